--- a/src/quarantine/suspect_row.rs
+++ b/src/quarantine/suspect_row.rs
@@ -32,8 +32,10 @@
     /// Crashes up to this level count no more: the request was answered since, or convicted.
     pub settled_level: u16,
     /// How often it was convicted.
+    #[serde(rename = "convictions")]
     pub convictions: u16,
     /// Convictions that an answer has disproved since.
+    #[serde(rename = "pardons")]
     pub pardons: u16,
     /// Time since the last crash that counted, or conviction; a length, as clocks differ.
     pub age_ms: u64,
