--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -27,7 +27,7 @@
 use crate::operator::OperatorListener;
 use crate::peer::Links;
 use crate::peer::PeerListener;
-use crate::quarantine::run_suspect_share;
+use crate::quarantine::run_suspect_gossip;
 use crate::route::CallerListener;
 use crate::route::Router;
 use crate::route::run_placement;
@@ -102,7 +102,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(run_placement(Arc::clone(&board)));
         tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
-        tasks.spawn(run_suspect_share(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), store.clone(), links.clone()));
         tasks.spawn(run_watcher(Arc::clone(&board), store.clone(), links.clone()));
         tasks.spawn(run_repair(Arc::clone(&board), links.clone()));
--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -50,7 +50,7 @@
 use crate::peer::Feed;
 use crate::peer::Links;
 use crate::peer::PeerListener;
-use crate::quarantine::run_suspect_share;
+use crate::quarantine::run_suspect_gossip;
 use crate::quota::Quotas;
 use crate::status::StatusPage;
 use crate::store::EventStore;
@@ -222,7 +222,7 @@
         tasks.spawn(registry.clone().run());
         tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), registry, links.clone()));
-        tasks.spawn(run_suspect_share(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         tasks.spawn(dispatcher.clone().run());
         let quotas = Arc::new(Quotas::new(gateway.quota_bound()));
         let admission = Admission::new(Arc::clone(&table), config_age, &gateway);
--- a/src/app/gateway_peers.rs
+++ b/src/app/gateway_peers.rs
@@ -68,7 +68,7 @@
                 PeerReply::Done
             }
             PeerRequest::Suspects { rows, all } => {
-                PeerReply::Suspects(self.board.quarantine.answer(&rows, all))
+                PeerReply::Suspects(self.board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::Feed { feed, after, hold_ms } => {
                 let hold = Duration::from_millis(hold_ms).min(HOLD_MAX);
--- a/src/app/peer_answers.rs
+++ b/src/app/peer_answers.rs
@@ -110,7 +110,7 @@
                 PeerReply::Granted(grant(board, &self.shard, &self.buckets, &asked))
             }
             PeerRequest::Suspects { rows, all } => {
-                PeerReply::Suspects(board.quarantine.answer(&rows, all))
+                PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::HandOver { part, last } => self.adopt(part, last),
             // Only instances that serve by routes tell these.
--- a/src/conf/gateway_settings.rs
+++ b/src/conf/gateway_settings.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::quota::QuotaBound;
+use crate::quota::QuotaTolerance;
 
 /// Requests by routes: where a platform calls, and the bounds it sets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -141,8 +141,8 @@
 
     /// What is tolerated beyond the quotas of workspaces.
     #[must_use]
-    pub const fn quota_bound(&self) -> QuotaBound {
-        QuotaBound {
+    pub const fn quota_bound(&self) -> QuotaTolerance {
+        QuotaTolerance {
             window_s: self.quota_window_s,
             overage: self.quota_overage,
             slack: self.quota_slack,
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -9,7 +9,7 @@
 use super::RouteTable;
 use super::reply::OwnReply;
 use crate::errors::Code;
-use crate::workspace::Access;
+use crate::workspace::KeyAccess;
 use crate::workspace::KeyHash;
 use crate::workspace::Workspace;
 
@@ -49,10 +49,10 @@
         }
         let key = only_key(headers, key_name).ok_or_else(OwnReply::key_rejected)?;
         match workspaces.access(key) {
-            Some(Access::Open(workspace)) => {
+            Some(KeyAccess::Granted(workspace)) => {
                 Ok(Some(Self { workspace: Arc::clone(workspace), key }))
             }
-            Some(Access::Closed) => Err(OwnReply::not_run(Code::KeyClosed, CLOSED_RETRY_MS)),
+            Some(KeyAccess::Suspended) => Err(OwnReply::not_run(Code::KeyClosed, CLOSED_RETRY_MS)),
             None => Err(OwnReply::key_rejected()),
         }
     }
@@ -61,6 +61,6 @@
     #[must_use]
     pub fn still_admitted(&self, table: &RouteTable) -> bool {
         let access = table.workspaces.as_ref().and_then(|workspaces| workspaces.access(self.key));
-        matches!(access, Some(Access::Open(workspace)) if workspace.name == self.workspace.name)
+        matches!(access, Some(KeyAccess::Granted(workspace)) if workspace.name == self.workspace.name)
     }
 }
--- a/src/gateway/declaration.rs
+++ b/src/gateway/declaration.rs
@@ -115,7 +115,7 @@
 /// A workspace that can be used as it was written.
 fn parse_workspace(part: &RawValue) -> Result<Workspace, String> {
     let workspace: Workspace = parse(part)?;
-    workspace.check()?;
+    workspace.validate()?;
     Ok(workspace)
 }
 
@@ -171,7 +171,7 @@
                 Err(why) => self.unreadable_workspace(part, why, &mut table, &mut closed),
             }
         }
-        table.close(&closed);
+        table.suspend(&closed);
         table
     }
 
@@ -184,7 +184,7 @@
     ) {
         let stub: WorkspaceStub = parse(part).unwrap_or_default();
         let name = stub.name.unwrap_or_default();
-        let before = self.before.and_then(|before| before.workspaces.as_ref()?.named(&name));
+        let before = self.before.and_then(|before| before.workspaces.as_ref()?.by_name(&name));
         let before = before.cloned();
         let kept = before.is_some() && stub.key_hashes.is_some();
         match (before, stub.key_hashes) {
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -9,7 +9,7 @@
 use super::RouteTable;
 use crate::model::LoadReport;
 use crate::model::ServerRow;
-use crate::workspace::seal;
+use crate::workspace::redact_keys;
 
 /// Header fields between callers, gateway and backend servers.
 #[derive(Clone, Debug)]
@@ -94,7 +94,7 @@
     /// A version of the configuration with the hashes of keys in their place, as it is kept and handed
     /// on; read by [`Dialect::decode_config`].
     fn seal_config(&self, value: Vec<u8>) -> Vec<u8> {
-        seal(value)
+        redact_keys(value)
     }
 
     /// A listed backend server.
--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -17,8 +17,8 @@
 use crate::balance::Ask;
 use crate::balance::RepeatNeed;
 use crate::clock::now_us;
+use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
-use crate::quarantine::Unanswered;
 use crate::route::hop_by_hop;
 
 /// Everything that every send of the request needs.
@@ -76,8 +76,8 @@
 
     /// A send of it to `server` that brought no whole answer.
     #[must_use]
-    pub fn unanswered(&self, server: &Server) -> Unanswered {
-        Unanswered {
+    pub fn unanswered(&self, server: &Server) -> FailedSend {
+        FailedSend {
             id: self.id_text().to_owned(),
             service: server.row.service.to_string(),
             server: server.row.id.to_string(),
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -24,8 +24,8 @@
 use crate::clock::now_us;
 use crate::errors::Code;
 use crate::limit::RateLimit;
+use crate::quarantine::CRASH_CHECK_WAIT;
 use crate::quarantine::Denial;
-use crate::quarantine::LOOK_WAIT;
 
 /// Servers that could not be reached before the request is given up; each costs a connect
 /// timeout.
@@ -135,7 +135,7 @@
     /// The answer to a request that is not sent on, since it may crash servers.
     fn denied(&self, request: &ForwardRequest, tried: &Tried, denial: Denial) -> OwnReply {
         self.board.counters.add(Counter::Denied);
-        let [exact, by_caller, content] = request.fingerprints.names();
+        let [exact, by_caller, content] = request.fingerprints.to_hex();
         info!(
             event = "request-denied", id = request.id_text(), content = content.as_str(),
             exact = exact.as_str(), by_caller = by_caller.as_str(),
@@ -300,11 +300,11 @@
             let lives = matches!(result, SendResult::TimedOut)
                 && self.dispatcher.heard_since(&server, started_us);
             if result.without_answer() && !lives {
-                let looked = request.unanswered(&server).look(trial);
+                let looked = request.unanswered(&server).check_server(trial);
                 let goes_on = request.route.idempotent() && request.left_ms() > 0;
                 if goes_on {
                     // Still looking after that, it goes on by itself.
-                    let _ = tokio::time::timeout(LOOK_WAIT, looked).await;
+                    let _ = tokio::time::timeout(CRASH_CHECK_WAIT, looked).await;
                 }
             }
             result
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -16,7 +16,7 @@
 use crate::clock::now_us;
 use crate::member::MemberRow;
 use crate::quota::QuotaHome;
-use crate::quota::QuotaShare;
+use crate::quota::QuotaPlacement;
 use crate::quota::Quotas;
 use crate::starts::HomeShare;
 use crate::workspace::WorkspaceTable;
@@ -97,14 +97,14 @@
             peer: row.peer,
         };
         let zones = settings.gateway.as_ref().map_or(&[][..], |gateway| &gateway.zones);
-        let share = QuotaShare {
+        let share = QuotaPlacement {
             zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
             own_zone: settings.instance.zone.as_str().into(),
-            own: self.board.incarnation,
+            own_incarnation: self.board.incarnation,
             homes: homes.iter().map(home).collect(),
-            sees_zone: sight.sees_most(&view, &settings.instance.zone, now_us()),
+            sees_zone_majority: sight.sees_most(&view, &settings.instance.zone, now_us()),
         };
-        self.quotas.share(share, now_us());
+        self.quotas.set_placement(share, now_us());
     }
 
     fn basis(&self) -> (Basis, Vec<Arc<MemberRow>>) {
--- a/src/gateway/quota_gate.rs
+++ b/src/gateway/quota_gate.rs
@@ -16,7 +16,7 @@
 use crate::peer::PeerCalls;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
-use crate::quota::Dry;
+use crate::quota::OutOfTokens;
 use crate::quota::Quotas;
 use crate::workspace::Workspace;
 
@@ -36,7 +36,7 @@
     /// The request did not run.
     pub fn give_back(&self) {
         if let Some((quotas, workspace)) = &self.0 {
-            quotas.give_back(workspace);
+            quotas.refund(workspace);
         }
     }
 }
@@ -65,7 +65,7 @@
     /// # Errors
     /// The answer to a request above the quota.
     pub async fn pass(&self, caller: Option<&Caller>) -> Result<QuotaTicket, OwnReply> {
-        let Some(caller) = caller.filter(|caller| caller.workspace.limited()) else {
+        let Some(caller) = caller.filter(|caller| caller.workspace.is_limited()) else {
             return Ok(QuotaTicket::default());
         };
         let workspace = &caller.workspace;
@@ -80,7 +80,7 @@
             return Ok(self.ticket(workspace));
         }
         if asked > 0 {
-            self.quotas.nobody_lends(workspace, now_us());
+            self.quotas.note_no_lender(workspace, now_us());
         }
         self.board.counters.add(Counter::OverQuota);
         info!(
@@ -99,19 +99,19 @@
     /// who does.
     async fn others_known(&self) {
         let began = Instant::now();
-        while !self.quotas.shared() && began.elapsed() < ALONE_MAX {
+        while !self.quotas.placement_known() && began.elapsed() < ALONE_MAX {
             tokio::time::sleep(ALONE_TURN).await;
         }
     }
 
     /// Asks those who hold tokens, one after the other, until one is there.
-    async fn borrow(&self, workspace: &Workspace, dry: &Dry) -> bool {
+    async fn borrow(&self, workspace: &Workspace, dry: &OutOfTokens) -> bool {
         for lender in &dry.lenders {
-            let tokens = self.ask(*lender, workspace, dry.wanted).await;
+            let tokens = self.ask(*lender, workspace, dry.tokens_wanted).await;
             if tokens <= 0.0 {
                 continue;
             }
-            self.quotas.borrowed(workspace, tokens, now_us());
+            self.quotas.add_borrowed(workspace, tokens, now_us());
             if self.quotas.take(workspace, now_us()).is_ok() {
                 return true;
             }
@@ -135,7 +135,8 @@
     pub fn lend(&self, workspace: &str, wanted_milli: u32) -> u32 {
         let table = self.table.load();
         let workspaces = table.as_ref().and_then(|table| table.workspaces.as_ref());
-        let Some(workspace) = workspaces.and_then(|workspaces| workspaces.named(workspace)) else {
+        let Some(workspace) = workspaces.and_then(|workspaces| workspaces.by_name(workspace))
+        else {
             return 0;
         };
         to_milli(self.quotas.lend(workspace, f64::from(wanted_milli) / MILLI, now_us()))
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -26,9 +26,9 @@
 use super::server_conn::ServerConn;
 use super::server_notice::ServerNotice;
 use crate::balance::SendEnd;
+use crate::quarantine::AdmittedSend;
 use crate::quarantine::Denial;
-use crate::quarantine::SendWatch;
-use crate::quarantine::Trial;
+use crate::quarantine::PendingSend;
 use crate::route::hop_by_hop;
 use crate::task::TaskGuard;
 
@@ -122,7 +122,7 @@
     /// For answers that are held whole.
     pub answer_room: &'a Arc<MemoryRoom>,
     /// What the send shows of the request.
-    pub trial: &'a Arc<Trial>,
+    pub trial: &'a Arc<AdmittedSend>,
 }
 
 /// The beginning of an answer: its head, and its body as far as it was held.
@@ -254,15 +254,15 @@
         if decoder.done() {
             keep(&grant, conn, &head, &decoder);
             if !status.is_server_error() {
-                self.trial.answered();
+                self.trial.record_response();
             }
             let bytes = Some(held).filter(|bytes| !bytes.is_empty());
             let body = ReplyBody::Whole { bytes, _held: part };
             return ended(grant, SendResult::Answered(ServerAnswer { status, headers, body }));
         }
-        let watch = SendWatch {
-            unanswered: request.unanswered(&grant.server),
-            trial: Arc::clone(self.trial),
+        let watch = PendingSend {
+            failed_send: request.unanswered(&grant.server),
+            send: Arc::clone(self.trial),
         };
         let body = live_body(grant, conn, head, held, decoder, watch);
         SendResult::Answered(ServerAnswer { status, headers, body })
@@ -324,7 +324,7 @@
     head: AnswerHead,
     first: Bytes,
     mut decoder: BodyDecoder,
-    watch: SendWatch,
+    watch: PendingSend,
 ) -> ReplyBody {
     let (sender, chunks) = mpsc::channel(LIVE_CHUNKS);
     let bytes = head.body_bytes();
@@ -338,7 +338,7 @@
                 Ok(chunk) => chunk,
                 Err(error) => {
                     grant.end(SendEnd::Broken);
-                    drop(watch.lost());
+                    drop(watch.record_truncated());
                     // Without a caller nobody needs to hear of it.
                     let _ = sender.send(Err(error)).await;
                     return;
@@ -347,7 +347,7 @@
         }
         keep(&grant, conn, &head, &decoder);
         if !head.status.is_server_error() {
-            watch.answered();
+            watch.record_response();
         }
         grant.end(SendEnd::Answered);
     });
--- a/src/gateway/suspect_keeper.rs
+++ b/src/gateway/suspect_keeper.rs
@@ -10,7 +10,7 @@
 use super::homes::HomesPlan;
 use super::homes::is_home;
 use crate::board::Blackboard;
-use crate::quarantine::SuspectRow;
+use crate::quarantine::SuspectRecord;
 use crate::store::EventStore;
 use crate::store::Freshness;
 use crate::store::StoreError;
@@ -38,12 +38,12 @@
     /// Writes convictions until the process ends.
     pub async fn write_all(self) {
         loop {
-            let rows = self.board.quarantine.convicted().await;
+            let rows = self.board.quarantine.next_quarantined().await;
             self.write_in_time(&rows).await;
         }
     }
 
-    async fn write_in_time(&self, rows: &[SuspectRow]) {
+    async fn write_in_time(&self, rows: &[SuspectRecord]) {
         for _ in 0..WRITES_MAX {
             match self.write(rows).await {
                 Ok(()) => return,
@@ -54,7 +54,7 @@
         warn!(event = "suspects-not-kept", rows = rows.len(); "the store took no write");
     }
 
-    async fn write(&self, rows: &[SuspectRow]) -> Result<(), StoreError> {
+    async fn write(&self, rows: &[SuspectRecord]) -> Result<(), StoreError> {
         let Some(first) = rows.first() else {
             return Ok(());
         };
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn read_once(&self) -> Result<Vec<SuspectRow>, StoreError> {
+    async fn read_once(&self) -> Result<Vec<SuspectRecord>, StoreError> {
         let prefix = self.dialect.keys().suspects_prefix;
         let mut rows = Vec::new();
         let mut after: Option<String> = None;
@@ -104,7 +104,7 @@
 }
 
 /// The rows of one key; none of one that another version wrote.
-fn read_rows(key: &str, value: &[u8]) -> Vec<SuspectRow> {
+fn read_rows(key: &str, value: &[u8]) -> Vec<SuspectRecord> {
     serde_json::from_slice(value).unwrap_or_else(|err| {
         let why = err.to_string();
         warn!(event = "suspects-unreadable", key = key, why = why.as_str(); "passed over");
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -11,7 +11,7 @@
 use crate::member::MemberRow;
 use crate::model::Versioned;
 use crate::outcome::OwnerSnapshot;
-use crate::quarantine::SuspectRow;
+use crate::quarantine::SuspectRecord;
 use crate::store::Item;
 use crate::store::ItemEvent;
 
@@ -128,7 +128,7 @@
     /// Requests under which servers ended; the other answers with those of them that it knows
     /// otherwise, and where these are `all` that the sender knows, with any others too.
     Suspects {
-        rows: Vec<SuspectRow>,
+        rows: Vec<SuspectRecord>,
         all: bool,
     },
     /// Asks for tokens of a workspace's quota, in thousandths.
@@ -163,7 +163,7 @@
         fingerprints: Vec<u32>,
     },
     Reached(bool),
-    Suspects(Vec<SuspectRow>),
+    Suspects(Vec<SuspectRecord>),
     /// Revision of each service, as far as the digests differ.
     Summary(Vec<(String, u64)>),
     Changes(Vec<(String, Versioned)>),
--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use super::Trial;
+use super::AdmittedSend;
 
 /// A server in the same region accepts within some milliseconds; one whose machine is gone never
 /// does.
@@ -16,11 +16,11 @@
 
 /// A request goes on to the next server once it is known whether the last one ended, so that its own
 /// crash counts when it is sent again; an address that does not even refuse is not waited for.
-pub const LOOK_WAIT: Duration = Duration::from_millis(25);
+pub const CRASH_CHECK_WAIT: Duration = Duration::from_millis(25);
 
 /// A send that brought no whole answer.
 #[derive(Debug)]
-pub struct Unanswered {
+pub struct FailedSend {
     /// The request's id, for the log.
     pub id: String,
     pub service: String,
@@ -30,16 +30,16 @@
     pub address: SocketAddr,
 }
 
-impl Unanswered {
+impl FailedSend {
     /// Finds out, beside the request, whether the server has ended, and takes note of it.
     ///
     /// A connection that closes without an answer has two causes: a server that ended, and one that
     /// lives and lost the answer or reset the connection. Only the first refuses the next connection.
     #[must_use = "the look goes on when this is dropped; a request that is sent again waits for it"]
-    pub fn look(self, trial: Arc<Trial>) -> JoinHandle<()> {
+    pub fn check_server(self, trial: Arc<AdmittedSend>) -> JoinHandle<()> {
         tokio::spawn(async move {
-            let ended = takes_no_connection(self.address).await;
-            let [exact, by_caller, content] = trial.fingerprints().names();
+            let ended = refuses_connections(self.address).await;
+            let [exact, by_caller, content] = trial.fingerprints().to_hex();
             info!(
                 event = "no-answer", request = self.id.as_str(), content = content.as_str(),
                 exact = exact.as_str(), by_caller = by_caller.as_str(),
@@ -48,14 +48,14 @@
                 "the server was looked for after it gave no answer"
             );
             if ended {
-                trial.crashed(self.server_key);
+                trial.record_crash(self.server_key);
             }
         })
     }
 }
 
 /// Whether nothing listens at an address any more.
-async fn takes_no_connection(address: SocketAddr) -> bool {
+async fn refuses_connections(address: SocketAddr) -> bool {
     let connected = tokio::time::timeout(ACCEPT_TIMEOUT, TcpStream::connect(address)).await;
     !matches!(connected, Ok(Ok(_)))
 }
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -8,7 +8,7 @@
 
 /// What two requests have in common that bear one fingerprint; from narrow to wide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Scope {
+pub enum FingerprintScope {
     /// Caller's address, host or service, method, path, query and body.
     Exact,
     /// Caller's address, method, path and body: a program that numbers its repeats in the query.
@@ -17,7 +17,7 @@
     Content,
 }
 
-impl Scope {
+impl FingerprintScope {
     /// All scopes, from narrow to wide.
     pub const ALL: [Self; 3] = [Self::Exact, Self::Caller, Self::Content];
 
@@ -35,7 +35,7 @@
 /// Hash of what requests of one scope have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
-    pub scope: Scope,
+    pub scope: FingerprintScope,
     hash: u128,
 }
 
@@ -65,57 +65,69 @@
 }
 
 /// Hash of one part, as far as it tells a few thousand apart.
-pub(super) fn low_hash(part: &[u8]) -> u32 {
-    low(hash(&[part]))
+pub(super) fn short_hash(part: &[u8]) -> u32 {
+    truncate(hash(&[part]))
 }
 
 /// The low part of a hash.
 #[expect(clippy::cast_possible_truncation, reason = "a quarter of a hash")]
-const fn low(hash: u128) -> u32 {
+const fn truncate(hash: u128) -> u32 {
     hash as u32
 }
 
 impl Fingerprints {
     /// The fingerprints of a request to `scope`, its host or its service.
     #[must_use]
-    pub fn of(caller: IpAddr, scope: &str, method: &str, target: &str, body: &[u8]) -> Self {
+    pub fn of(
+        caller: IpAddr,
+        host_or_service: &str,
+        method: &str,
+        target: &str,
+        body: &[u8],
+    ) -> Self {
         let caller = caller.to_canonical().to_string();
         let path = target.split('?').next().unwrap_or(target);
         let body = hash(&[body]).to_le_bytes();
         let content = [method.as_bytes(), path.as_bytes(), &body];
         let [method, path, _] = content;
         Self {
-            exact: hash(&[caller.as_bytes(), scope.as_bytes(), method, target.as_bytes(), &body]),
+            exact: hash(&[
+                caller.as_bytes(),
+                host_or_service.as_bytes(),
+                method,
+                target.as_bytes(),
+                &body,
+            ]),
             caller: hash(&[caller.as_bytes(), method, path, &body]),
             content: hash(&content),
-            caller_address: low_hash(caller.as_bytes()),
+            caller_address: short_hash(caller.as_bytes()),
         }
     }
 
     /// The fingerprint in one scope.
     #[must_use]
-    pub const fn in_scope(&self, scope: Scope) -> Fingerprint {
+    pub const fn in_scope(&self, scope: FingerprintScope) -> Fingerprint {
         let hash = match scope {
-            Scope::Exact => self.exact,
-            Scope::Caller => self.caller,
-            Scope::Content => self.content,
+            FingerprintScope::Exact => self.exact,
+            FingerprintScope::Caller => self.caller,
+            FingerprintScope::Content => self.content,
         };
         Fingerprint { scope, hash }
     }
 
     /// What tells requests of one scope apart, one step narrower; 0 where nothing does.
     #[must_use]
-    pub const fn variant_in(&self, scope: Scope) -> u32 {
+    pub const fn variant_in(&self, scope: FingerprintScope) -> u32 {
         match scope {
-            Scope::Exact => 0,
-            Scope::Caller => low(self.exact),
-            Scope::Content => self.caller_address,
+            FingerprintScope::Exact => 0,
+            FingerprintScope::Caller => truncate(self.exact),
+            FingerprintScope::Content => self.caller_address,
         }
     }
 
     /// The names by which logs tell requests that are the same, in the order of [`Scope::ALL`].
     #[must_use]
-    pub fn names(&self) -> [String; 3] {
-        Scope::ALL.map(|scope| self.in_scope(scope).to_string())
+    pub fn to_hex(&self) -> [String; 3] {
+        FingerprintScope::ALL.map(|scope| self.in_scope(scope).to_string())
     }
 }
--- a/src/quarantine/send_watch.rs
+++ b/src/quarantine/send_watch.rs
@@ -4,25 +4,25 @@
 
 use tokio::task::JoinHandle;
 
-use super::Trial;
-use super::Unanswered;
+use super::AdmittedSend;
+use super::FailedSend;
 
 /// A send whose answer is still on its way.
 #[derive(Debug)]
-pub struct SendWatch {
-    pub trial: Arc<Trial>,
-    pub unanswered: Unanswered,
+pub struct PendingSend {
+    pub send: Arc<AdmittedSend>,
+    pub failed_send: FailedSend,
 }
 
-impl SendWatch {
+impl PendingSend {
     /// The answer came whole.
-    pub fn answered(&self) {
-        self.trial.answered();
+    pub fn record_response(&self) {
+        self.send.record_response();
     }
 
     /// The answer was cut short; its server is looked for.
     #[must_use = "the look goes on when this is dropped"]
-    pub fn lost(self) -> JoinHandle<()> {
-        self.unanswered.look(self.trial)
+    pub fn record_truncated(self) -> JoinHandle<()> {
+        self.failed_send.check_server(self.send)
     }
 }
--- a/src/quarantine/share.rs
+++ b/src/quarantine/share.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::SuspectRow;
+use super::SuspectRecord;
 use crate::board::Blackboard;
 use crate::member::told_at_once;
 use crate::peer::PeerCalls;
@@ -12,28 +12,28 @@
 use crate::peer::PeerRequest;
 
 /// Least time between two words: crashes of one moment go out together.
-const PAUSE: Duration = Duration::from_millis(10);
+const SEND_INTERVAL_MIN: Duration = Duration::from_millis(10);
 /// Whoever does not answer by then finds the difference by its next ping.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Tells the instances that callers are sent to, as soon as this one finds out something; until the
 /// process ends. All others learn it from those they ping, when a digest differs.
-pub async fn run_suspect_share<L: PeerCalls>(board: Arc<Blackboard>, links: L) {
+pub async fn run_suspect_gossip<L: PeerCalls>(board: Arc<Blackboard>, links: L) {
     loop {
-        let news = board.quarantine.news().await;
+        let news = board.quarantine.next_updates().await;
         for peer in told_at_once(&board) {
             let (board, links, news) = (Arc::clone(&board), links.clone(), news.clone());
-            tokio::spawn(async move { tell(&board, &links, peer, news, false).await });
+            tokio::spawn(async move { send_records(&board, &links, peer, news, false).await });
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(SEND_INTERVAL_MIN).await;
     }
 }
 
-async fn tell<L: PeerCalls>(
+async fn send_records<L: PeerCalls>(
     board: &Blackboard,
     links: &L,
     peer: SocketAddr,
-    rows: Vec<SuspectRow>,
+    rows: Vec<SuspectRecord>,
     all: bool,
 ) {
     let request = PeerRequest::Suspects { rows, all };
@@ -45,5 +45,5 @@
 
 /// Tells another instance all that is known here, and learns what it knows.
 pub async fn exchange_suspects<L: PeerCalls>(board: &Blackboard, links: &L, peer: SocketAddr) {
-    tell(board, links, peer, board.quarantine.rows(), true).await;
+    send_records(board, links, peer, board.quarantine.rows(), true).await;
 }
--- a/src/quarantine/suspect.rs
+++ b/src/quarantine/suspect.rs
@@ -6,86 +6,86 @@
 
 use super::Crash;
 use super::Fingerprint;
-use super::Scope;
-use super::SuspectRow;
+use super::FingerprintScope;
+use super::SuspectRecord;
 use super::suspect_row::Crashes;
 
 /// Crashes that convict. A request that shared a server with the one at fault is sent again once or
 /// twice, so it rarely meets three.
-const CRASHES_TO_CONVICT: usize = 3;
+const CRASHES_TO_QUARANTINE: usize = 3;
 /// Levels over which these are spread at least. Many equal requests that run when all servers lose
 /// power are no cause of it; only a repeat that ends one more server tells them apart.
-const LEVELS_TO_CONVICT: u16 = 2;
+const LEVELS_TO_QUARANTINE: u16 = 2;
 /// Variants over which the crashes of a wide fingerprint are spread at least: while all came from one
 /// caller, others that ask the same are not concerned, and while all had one query, other queries.
-const VARIANTS_TO_CONVICT: usize = 2;
+const VARIANTS_TO_QUARANTINE: usize = 2;
 /// Crashes from which on a request is sent once at a time: whatever becomes of the next ones, three
 /// can be known before more than one follows.
-const CRASHES_TO_WATCH: usize = 2;
+const CRASHES_TO_SERIALIZE: usize = 2;
 /// Crashes that are kept where they do not convict, of the highest levels.
 const CRASHES_KEPT: usize = 4;
 /// For how long the first conviction holds: long against the patience of any caller, short against
 /// the time in which a server is mended and its operators wonder about refusals.
-const FIRST_HOLD: Duration = Duration::from_mins(10);
+const FIRST_BLOCK: Duration = Duration::from_mins(10);
 /// Each further conviction holds so many times as long: a request that is never mended ends no more
 /// than three servers in two days after its first conviction.
-const HOLD_FACTOR: u32 = 6;
+const BLOCK_GROWTH_FACTOR: u32 = 6;
 /// Convictions after which the hold grows no more; it is three months then.
-const HOLD_GROWTHS_MAX: u16 = 6;
+const BLOCK_GROWTHS_MAX: u16 = 6;
 /// Where nothing else is answered either, a request that would be convicted is only paused, until
 /// something is; the first time for so long at most, longer than all instances take to hear of it.
-const PAUSE: Duration = Duration::from_secs(4);
+const FIRST_PAUSE: Duration = Duration::from_secs(4);
 /// Each further pause lasts so many times as long: where nothing else is asked, so that nothing can be
 /// answered, a request that crashes servers ends three more of them in a minute.
-const PAUSE_FACTOR: u32 = 3;
+const PAUSE_GROWTH_FACTOR: u32 = 3;
 /// Pauses after which they grow no more; one is as long as a conviction then.
 const PAUSE_GROWTHS_MAX: u32 = 4;
 /// A crash is forgotten after this, unless another follows.
-const CRASH_LIFE: Duration = Duration::from_mins(10);
+const CRASH_EXPIRY: Duration = Duration::from_mins(10);
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SendPolicy {
     /// Nothing speaks against it.
-    Clear,
+    Unrestricted,
     /// Servers ended under it: it is sent once at a time.
-    Watched,
+    OneAtATime,
     /// It is refused for so long.
-    Held { left: Duration },
+    Blocked { remaining: Duration },
 }
 
 /// What is known of one request under which servers ended.
 ///
 /// Merging is the maximum of each part, so words may come late, twice and in any order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Suspect {
-    scope: Scope,
+pub struct SuspectRequest {
+    scope: FingerprintScope,
     /// Sorted; all above `settled_level`, and none while a conviction stands.
     crashes: Crashes,
     settled_level: u16,
-    convictions: u16,
-    pardons: u16,
+    quarantine_count: u16,
+    release_count: u16,
     /// Of the last crash that counted, or conviction.
-    news_us: u64,
+    last_change_us: u64,
     /// Known to this instance only, as the two are guesses of the moment.
     paused_until_us: u64,
-    pauses: u32,
+    pause_count: u32,
 }
 
-impl Suspect {
+impl SuspectRequest {
     /// Nothing is known yet; what will be is as old as `news_us` at least.
     #[must_use]
-    pub fn new(scope: Scope, news_us: u64) -> Self {
+    pub fn new(scope: FingerprintScope, last_change_us: u64) -> Self {
         let crashes = Crashes::new();
         Self {
             scope,
             crashes,
             settled_level: 0,
-            convictions: 0,
-            pardons: 0,
-            news_us,
+            quarantine_count: 0,
+            release_count: 0,
+            last_change_us,
             paused_until_us: 0,
-            pauses: 0,
+            pause_count: 0,
         }
     }
 
@@ -95,109 +95,111 @@
         self.crashes.last().map_or(self.settled_level, |last| last.level)
     }
 
-    const fn convicted(&self) -> bool {
-        self.convictions > self.pardons
+    const fn quarantined(&self) -> bool {
+        self.quarantine_count > self.release_count
     }
 
-    fn hold(&self) -> Duration {
-        let growths = self.convictions.saturating_sub(1).min(HOLD_GROWTHS_MAX);
-        FIRST_HOLD * HOLD_FACTOR.pow(u32::from(growths))
+    fn block_duration(&self) -> Duration {
+        let growths = self.quarantine_count.saturating_sub(1).min(BLOCK_GROWTHS_MAX);
+        FIRST_BLOCK * BLOCK_GROWTH_FACTOR.pow(u32::from(growths))
     }
 
     /// For how long a conviction still holds; nothing where there is none.
-    fn hold_left(&self, now_us: u64) -> Duration {
-        let hold = if self.convicted() { self.hold() } else { Duration::ZERO };
+    fn block_remaining(&self, now_us: u64) -> Duration {
+        let hold = if self.quarantined() { self.block_duration() } else { Duration::ZERO };
         hold.saturating_sub(self.age(now_us))
     }
 
     fn age(&self, now_us: u64) -> Duration {
-        Duration::from_micros(now_us.saturating_sub(self.news_us))
+        Duration::from_micros(now_us.saturating_sub(self.last_change_us))
     }
 
     /// What may be done with it now.
     #[must_use]
-    pub fn standing(&self, now_us: u64) -> Standing {
+    pub fn send_policy(&self, now_us: u64) -> SendPolicy {
         let pause = Duration::from_micros(self.paused_until_us.saturating_sub(now_us));
-        let left = self.hold_left(now_us).max(pause);
+        let left = self.block_remaining(now_us).max(pause);
         if !left.is_zero() {
-            return Standing::Held { left };
+            return SendPolicy::Blocked { remaining: left };
         }
-        if self.convicted() {
-            return Standing::Watched;
+        if self.quarantined() {
+            return SendPolicy::OneAtATime;
         }
         let watched = match self.scope {
-            Scope::Exact => self.crashes.len() >= CRASHES_TO_WATCH,
+            FingerprintScope::Exact => self.crashes.len() >= CRASHES_TO_SERIALIZE,
             // Of these there may be many at any moment, and most have nothing to do with a crash.
-            Scope::Caller | Scope::Content => self.spread(CRASHES_TO_WATCH),
+            FingerprintScope::Caller | FingerprintScope::Content => {
+                self.is_likely_cause(CRASHES_TO_SERIALIZE)
+            }
         };
-        if watched { Standing::Watched } else { Standing::Clear }
+        if watched { SendPolicy::OneAtATime } else { SendPolicy::Unrestricted }
     }
 
     /// Whether there are so many crashes, and spread so that the request is their likely cause.
-    fn spread(&self, crashes: usize) -> bool {
+    fn is_likely_cause(&self, crashes_min: usize) -> bool {
         let levels = self.level().saturating_sub(self.settled_level);
         let mut variants: SmallVec<[u32; 4]> = self.crashes.iter().map(|c| c.variant).collect();
         variants.sort_unstable();
         variants.dedup();
-        let wide = self.scope != Scope::Exact;
-        let variants_needed = if wide { VARIANTS_TO_CONVICT } else { 1 };
-        self.crashes.len() >= crashes
-            && levels >= LEVELS_TO_CONVICT
+        let wide = self.scope != FingerprintScope::Exact;
+        let variants_needed = if wide { VARIANTS_TO_QUARANTINE } else { 1 };
+        self.crashes.len() >= crashes_min
+            && levels >= LEVELS_TO_QUARANTINE
             && variants.len() >= variants_needed
     }
 
     /// Whether it can be forgotten.
     #[must_use]
     pub fn expired(&self, now_us: u64) -> bool {
-        let life = if self.convicted() { self.hold() * 2 } else { CRASH_LIFE };
+        let life = if self.quarantined() { self.block_duration() * 2 } else { CRASH_EXPIRY };
         self.age(now_us) >= life
     }
 
     /// A server ended under it. `others_served` tells whether other requests of its service were
     /// answered since it became suspect: where they were not, all of them crash servers, and this one
     /// is no more to blame than the rest. Tells whether the crash convicts it.
-    pub fn crashed(&mut self, crash: Crash, others_served: bool, now_us: u64) -> bool {
-        if !self.hold_left(now_us).is_zero() {
+    pub fn record_crash(&mut self, crash: Crash, others_served: bool, now_us: u64) -> bool {
+        if !self.block_remaining(now_us).is_zero() {
             // It was sent before the conviction.
             return false;
         }
-        if self.convicted() {
-            return self.convict_or_pause(others_served, now_us);
+        if self.quarantined() {
+            return self.quarantine_or_pause(others_served, now_us);
         }
-        if self.add(crash) {
-            self.news_us = now_us;
+        if self.add_crash(crash) {
+            self.last_change_us = now_us;
         }
-        self.judge(others_served, now_us)
+        self.evaluate(others_served, now_us)
     }
 
     /// A server answered it, which was sent when crashes up to `known_level` were known: those were
     /// not its doing. Tells whether that changed anything.
-    pub fn answered(&mut self, known_level: u16, now_us: u64) -> bool {
-        if !self.hold_left(now_us).is_zero() {
+    pub fn record_response(&mut self, known_level: u16, now_us: u64) -> bool {
+        if !self.block_remaining(now_us).is_zero() {
             // A word from before the conviction.
             return false;
         }
-        let before = (self.settled_level, self.pardons);
-        self.pardons = self.convictions;
-        self.settle(known_level);
-        self.pauses = 0;
+        let before = (self.settled_level, self.release_count);
+        self.release_count = self.quarantine_count;
+        self.discard_crashes_up_to(known_level);
+        self.pause_count = 0;
         self.paused_until_us = 0;
-        before != (self.settled_level, self.pardons)
+        before != (self.settled_level, self.release_count)
     }
 
     /// Other requests of its service are answered: it need not pause any longer, and is tried.
-    pub const fn others_are_served(&mut self) {
+    pub const fn end_pause(&mut self) {
         self.paused_until_us = 0;
     }
 
-    fn settle(&mut self, level: u16) {
+    fn discard_crashes_up_to(&mut self, level: u16) {
         self.settled_level = self.settled_level.max(level);
         let settled_level = self.settled_level;
         self.crashes.retain(|crash| crash.level > settled_level);
     }
 
     /// Keeps a crash that counts; tells whether it is new.
-    fn add(&mut self, crash: Crash) -> bool {
+    fn add_crash(&mut self, crash: Crash) -> bool {
         if crash.level <= self.settled_level {
             return false;
         }
@@ -209,8 +211,10 @@
     }
 
     /// Convicts it if its crashes suffice; of those that do not, only as many are kept as may.
-    fn judge(&mut self, others_served: bool, now_us: u64) -> bool {
-        if self.spread(CRASHES_TO_CONVICT) && self.convict_or_pause(others_served, now_us) {
+    fn evaluate(&mut self, others_served: bool, now_us: u64) -> bool {
+        if self.is_likely_cause(CRASHES_TO_QUARANTINE)
+            && self.quarantine_or_pause(others_served, now_us)
+        {
             return true;
         }
         let surplus = self.crashes.len().saturating_sub(CRASHES_KEPT);
@@ -218,46 +222,46 @@
         false
     }
 
-    fn convict_or_pause(&mut self, others_served: bool, now_us: u64) -> bool {
+    fn quarantine_or_pause(&mut self, others_served: bool, now_us: u64) -> bool {
         if others_served {
-            self.convictions = self.convictions.saturating_add(1);
-            self.news_us = now_us;
-            self.settle(self.level());
+            self.quarantine_count = self.quarantine_count.saturating_add(1);
+            self.last_change_us = now_us;
+            self.discard_crashes_up_to(self.level());
             return true;
         }
-        let pause = PAUSE * PAUSE_FACTOR.pow(self.pauses.min(PAUSE_GROWTHS_MAX));
-        self.pauses = self.pauses.saturating_add(1);
+        let pause = FIRST_PAUSE * PAUSE_GROWTH_FACTOR.pow(self.pause_count.min(PAUSE_GROWTHS_MAX));
+        self.pause_count = self.pause_count.saturating_add(1);
         self.paused_until_us = now_us + u64::try_from(pause.as_micros()).unwrap_or(u64::MAX);
         false
     }
 
     /// Takes in what another instance knows; tells whether that convicts it here. One instance may
     /// know of the crashes, and another of what was served meanwhile.
-    pub fn merge(&mut self, row: &SuspectRow, others_served: bool, now_us: u64) -> bool {
-        self.convictions = self.convictions.max(row.convictions);
-        self.pardons = self.pardons.max(row.pardons);
-        self.settle(row.settled_level);
+    pub fn merge(&mut self, row: &SuspectRecord, others_served: bool, now_us: u64) -> bool {
+        self.quarantine_count = self.quarantine_count.max(row.quarantine_count);
+        self.release_count = self.release_count.max(row.release_count);
+        self.discard_crashes_up_to(row.settled_level);
         let mut new = false;
         for crash in &row.crashes {
-            new |= self.add(*crash);
+            new |= self.add_crash(*crash);
         }
-        self.news_us = self.news_us.max(row.news_us(now_us));
-        if self.convicted() {
-            self.settle(self.level());
+        self.last_change_us = self.last_change_us.max(row.last_change_us(now_us));
+        if self.quarantined() {
+            self.discard_crashes_up_to(self.level());
         }
-        new && self.judge(others_served, now_us)
+        new && self.evaluate(others_served, now_us)
     }
 
     /// As it is told to other instances.
     #[must_use]
-    pub fn row(&self, fingerprint: Fingerprint, now_us: u64) -> SuspectRow {
-        SuspectRow {
+    pub fn record(&self, fingerprint: Fingerprint, now_us: u64) -> SuspectRecord {
+        SuspectRecord {
             fingerprint,
             service: 0,
             crashes: self.crashes.clone(),
             settled_level: self.settled_level,
-            convictions: self.convictions,
-            pardons: self.pardons,
+            quarantine_count: self.quarantine_count,
+            release_count: self.release_count,
             age_ms: u64::try_from(self.age(now_us).as_millis()).unwrap_or(u64::MAX),
         }
     }
--- a/src/quarantine/suspect_row.rs
+++ b/src/quarantine/suspect_row.rs
@@ -24,7 +24,7 @@
 
 /// All that is known of one request, as of now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectRow {
+pub struct SuspectRecord {
     pub fingerprint: Fingerprint,
     /// Hash of the name of the service that it was sent to last.
     pub service: u32,
@@ -33,15 +33,15 @@
     pub settled_level: u16,
     /// How often it was convicted.
     #[serde(rename = "convictions")]
-    pub convictions: u16,
+    pub quarantine_count: u16,
     /// Convictions that an answer has disproved since.
     #[serde(rename = "pardons")]
-    pub pardons: u16,
+    pub release_count: u16,
     /// Time since the last crash that counted, or conviction; a length, as clocks differ.
     pub age_ms: u64,
 }
 
-impl SuspectRow {
+impl SuspectRecord {
     /// The highest level of a crash.
     #[must_use]
     pub fn level(&self) -> u16 {
@@ -50,17 +50,17 @@
 
     /// When its news were, on this process's monotonic clock.
     #[must_use]
-    pub const fn news_us(&self, now_us: u64) -> u64 {
+    pub const fn last_change_us(&self, now_us: u64) -> u64 {
         now_us.saturating_sub(self.age_ms.saturating_mul(1000))
     }
 
     /// Hash of all but the age, equal where two instances believe the same.
     #[must_use]
-    pub fn hash(&self) -> u64 {
+    pub fn content_hash(&self) -> u64 {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
         hash.update(self.fingerprint.scope.name().as_bytes());
         hash.update(self.fingerprint.to_string().as_bytes());
-        for number in [self.settled_level, self.convictions, self.pardons] {
+        for number in [self.settled_level, self.quarantine_count, self.release_count] {
             hash.update(&number.to_le_bytes());
         }
         for crash in &self.crashes {
--- a/src/quarantine/table.rs
+++ b/src/quarantine/table.rs
@@ -12,17 +12,17 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
+use super::AdmittedSend;
 use super::Crash;
 use super::Denial;
 use super::Fingerprint;
+use super::FingerprintScope;
 use super::Fingerprints;
-use super::Scope;
-use super::Standing;
-use super::Suspect;
-use super::SuspectRow;
-use super::Trial;
-use super::fingerprint::low_hash;
-use super::trial::Known;
+use super::SendPolicy;
+use super::SuspectRecord;
+use super::SuspectRequest;
+use super::fingerprint::short_hash;
+use super::trial::KnownCrashes;
 use crate::clock::now_us;
 
 /// Requests that are kept. When an availability zone loses power, each request that ran there is
@@ -32,24 +32,26 @@
 
 #[derive(Debug)]
 struct Entry {
-    suspect: Suspect,
+    suspect: SuspectRequest,
     /// Sends of this instance that are under way.
-    trials: u32,
+    sends_in_flight: u32,
     /// Since when this instance knows of it.
-    since_us: u64,
+    known_since_us: u64,
     /// Hash of the name of its service.
-    service: u32,
+    service_hash: u32,
 }
 
 impl Entry {
-    fn row(&self, fingerprint: Fingerprint, now_us: u64) -> SuspectRow {
-        SuspectRow { service: self.service, ..self.suspect.row(fingerprint, now_us) }
+    fn record(&self, fingerprint: Fingerprint, now_us: u64) -> SuspectRecord {
+        SuspectRecord { service: self.service_hash, ..self.suspect.record(fingerprint, now_us) }
     }
 
     fn denial(&self, now_us: u64) -> Option<Denial> {
-        match self.suspect.standing(now_us) {
-            Standing::Held { left } => Some(Denial::Quarantined { left }),
-            Standing::Watched if self.trials > 0 => Some(Denial::OnTrial),
+        match self.suspect.send_policy(now_us) {
+            SendPolicy::Blocked { remaining: left } => {
+                Some(Denial::Quarantined { remaining: left })
+            }
+            SendPolicy::OneAtATime if self.sends_in_flight > 0 => Some(Denial::AlreadyInFlight),
             _ => None,
         }
     }
@@ -59,12 +61,12 @@
 struct State {
     entries: HashMap<Fingerprint, Entry>,
     /// Those of which this instance has something to tell.
-    news: HashSet<Fingerprint>,
+    unsent_updates: HashSet<Fingerprint>,
     /// Those that were convicted here, to be kept in the platform's store.
-    convicted: Vec<Fingerprint>,
+    newly_quarantined: Vec<Fingerprint>,
     /// When each service answered a request of this instance last, by its hash; only while there is
     /// a suspect.
-    answered_us: HashMap<u32, u64>,
+    last_response_us: HashMap<u32, u64>,
 }
 
 impl State {
@@ -72,8 +74,9 @@
     fn make_room(&mut self, now_us: u64) {
         self.expire(now_us);
         while self.entries.len() >= SUSPECTS_MAX {
-            let rows = self.entries.iter().map(|(key, entry)| entry.row(*key, now_us));
-            let least = rows.min_by_key(|row| (row.convictions, row.level(), Reverse(row.age_ms)));
+            let records = self.entries.iter().map(|(key, entry)| entry.record(*key, now_us));
+            let least =
+                records.min_by_key(|row| (row.quarantine_count, row.level(), Reverse(row.age_ms)));
             let Some(least) = least else {
                 return;
             };
@@ -83,67 +86,76 @@
 
     /// Forgets what is over.
     fn expire(&mut self, now_us: u64) {
-        self.entries.retain(|_, entry| entry.trials > 0 || !entry.suspect.expired(now_us));
+        self.entries.retain(|_, entry| entry.sends_in_flight > 0 || !entry.suspect.expired(now_us));
     }
 
     /// What is known of these.
-    fn rows_of(&self, keys: impl IntoIterator<Item = Fingerprint>, now_us: u64) -> Vec<SuspectRow> {
-        let row = |key| self.entries.get(&key).map(|entry| entry.row(key, now_us));
+    fn records_of(
+        &self,
+        keys: impl IntoIterator<Item = Fingerprint>,
+        now_us: u64,
+    ) -> Vec<SuspectRecord> {
+        let row = |key| self.entries.get(&key).map(|entry| entry.record(key, now_us));
         keys.into_iter().filter_map(row).collect()
     }
 
     /// The entry of a request; a new one has news of that time.
-    fn entry(&mut self, fingerprint: Fingerprint, news_us: u64, now_us: u64) -> &mut Entry {
+    fn entry_or_insert(
+        &mut self,
+        fingerprint: Fingerprint,
+        last_change_us: u64,
+        now_us: u64,
+    ) -> &mut Entry {
         if !self.entries.contains_key(&fingerprint) {
             self.make_room(now_us);
         }
         let new = || Entry {
-            suspect: Suspect::new(fingerprint.scope, news_us),
-            trials: 0,
-            since_us: now_us,
-            service: 0,
+            suspect: SuspectRequest::new(fingerprint.scope, last_change_us),
+            sends_in_flight: 0,
+            known_since_us: now_us,
+            service_hash: 0,
         };
         self.entries.entry(fingerprint).or_insert_with(new)
     }
 
     fn denial(&self, fingerprints: &Fingerprints, now_us: u64) -> Option<Denial> {
-        let entries = Scope::ALL.iter().map(|scope| fingerprints.in_scope(*scope));
+        let entries = FingerprintScope::ALL.iter().map(|scope| fingerprints.in_scope(*scope));
         let known = entries.filter_map(|fingerprint| self.entries.get(&fingerprint));
         known.into_iter().find_map(|entry| entry.denial(now_us))
     }
 
     /// Takes note of a crash; returns the fingerprints that it convicts.
-    fn crashed(&mut self, trial: &Trial, server: u32, now_us: u64) -> Vec<Fingerprint> {
+    fn record_crash(&mut self, trial: &AdmittedSend, server: u32, now_us: u64) -> Vec<Fingerprint> {
         let mut convicted = Vec::new();
-        for (scope, known) in Scope::ALL.into_iter().zip(trial.known) {
+        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known) {
             let fingerprint = trial.fingerprints.in_scope(scope);
             let variant = trial.fingerprints.variant_in(scope);
             let crash = Crash { level: known.level.saturating_add(1), server, variant };
-            let answered_us = self.answered_us.get(&trial.service).copied();
-            let entry = self.entry(fingerprint, now_us, now_us);
-            let others_served = answered_us.is_some_and(|at| at > entry.since_us);
-            entry.service = trial.service;
-            if entry.suspect.crashed(crash, others_served, now_us) {
+            let answered_us = self.last_response_us.get(&trial.service).copied();
+            let entry = self.entry_or_insert(fingerprint, now_us, now_us);
+            let others_served = answered_us.is_some_and(|at| at > entry.known_since_us);
+            entry.service_hash = trial.service;
+            if entry.suspect.record_crash(crash, others_served, now_us) {
                 convicted.push(fingerprint);
             }
-            self.news.insert(fingerprint);
+            self.unsent_updates.insert(fingerprint);
         }
-        self.convicted.extend(&convicted);
+        self.newly_quarantined.extend(&convicted);
         convicted
     }
 
     /// Takes note of an answer; tells whether it changed anything.
-    fn answered(&mut self, trial: &Trial, now_us: u64) -> bool {
-        self.answered_us.insert(trial.service, now_us);
-        for entry in self.entries.values_mut().filter(|entry| entry.service == trial.service) {
-            entry.suspect.others_are_served();
+    fn record_response(&mut self, trial: &AdmittedSend, now_us: u64) -> bool {
+        self.last_response_us.insert(trial.service, now_us);
+        for entry in self.entries.values_mut().filter(|entry| entry.service_hash == trial.service) {
+            entry.suspect.end_pause();
         }
         let mut changed = false;
-        for (scope, known) in Scope::ALL.into_iter().zip(trial.known) {
+        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known) {
             let fingerprint = trial.fingerprints.in_scope(scope);
             let entry = self.entries.get_mut(&fingerprint);
-            if entry.is_some_and(|entry| entry.suspect.answered(known.level, now_us)) {
-                self.news.insert(fingerprint);
+            if entry.is_some_and(|entry| entry.suspect.record_response(known.level, now_us)) {
+                self.unsent_updates.insert(fingerprint);
                 changed = true;
             }
         }
@@ -152,12 +164,14 @@
 
     /// Takes in what another instance knows; tells whether the request is refused since. What is
     /// over is not taken in again, or instances would remind each other of it for ever.
-    fn merge(&mut self, row: &SuspectRow, now_us: u64) -> bool {
-        let held = |suspect: &Suspect| matches!(suspect.standing(now_us), Standing::Held { .. });
-        let answered_us = self.answered_us.get(&row.service).copied();
-        let entry = self.entry(row.fingerprint, row.news_us(now_us), now_us);
-        let others_served = answered_us.is_some_and(|at| at > entry.since_us);
-        entry.service = row.service;
+    fn merge(&mut self, row: &SuspectRecord, now_us: u64) -> bool {
+        let held = |suspect: &SuspectRequest| {
+            matches!(suspect.send_policy(now_us), SendPolicy::Blocked { .. })
+        };
+        let answered_us = self.last_response_us.get(&row.service).copied();
+        let entry = self.entry_or_insert(row.fingerprint, row.last_change_us(now_us), now_us);
+        let others_served = answered_us.is_some_and(|at| at > entry.known_since_us);
+        entry.service_hash = row.service;
         let suspect = &mut entry.suspect;
         let was_held = held(suspect);
         let convicted = suspect.merge(row, others_served, now_us);
@@ -166,8 +180,8 @@
             self.entries.remove(&row.fingerprint);
         }
         if convicted {
-            self.news.insert(row.fingerprint);
-            self.convicted.push(row.fingerprint);
+            self.unsent_updates.insert(row.fingerprint);
+            self.newly_quarantined.push(row.fingerprint);
         }
         is_held && !was_held
     }
@@ -177,9 +191,9 @@
 struct Inner {
     state: Mutex<State>,
     /// Entries; read without the lock, so that requests pass freely while there are none.
-    known: AtomicUsize,
-    changed: Notify,
-    convicted: Notify,
+    entry_count: AtomicUsize,
+    updates_pending: Notify,
+    quarantine_pending: Notify,
 }
 
 /// The requests under which servers ended; clones share.
@@ -187,24 +201,24 @@
 pub struct Quarantine(Arc<Inner>);
 
 impl Quarantine {
-    fn with<T>(&self, work: impl FnOnce(&mut State) -> T) -> T {
+    fn update<T>(&self, work: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.0.state.lock();
         let done = work(&mut state);
         if state.entries.is_empty() {
-            state.answered_us.clear();
+            state.last_response_us.clear();
         }
-        self.0.known.store(state.entries.len(), Ordering::Release);
+        self.0.entry_count.store(state.entries.len(), Ordering::Release);
         done
     }
 
-    fn empty(&self) -> bool {
-        self.0.known.load(Ordering::Acquire) == 0
+    fn is_empty(&self) -> bool {
+        self.0.entry_count.load(Ordering::Acquire) == 0
     }
 
     /// Why a request may not be sent now; `None` where it may.
     #[must_use]
     pub fn denial(&self, fingerprints: &Fingerprints) -> Option<Denial> {
-        if self.empty() {
+        if self.is_empty() {
             return None;
         }
         self.0.state.lock().denial(fingerprints, now_us())
@@ -217,55 +231,60 @@
     ///
     /// # Errors
     /// Why it may not be sent now.
-    pub fn admit(&self, fingerprints: &Fingerprints, service: &str) -> Result<Trial, Denial> {
-        let known = if self.empty() { Default::default() } else { self.count_trial(fingerprints)? };
-        let service = low_hash(service.as_bytes());
-        Ok(Trial { quarantine: self.clone(), fingerprints: *fingerprints, service, known })
+    pub fn admit(
+        &self,
+        fingerprints: &Fingerprints,
+        service: &str,
+    ) -> Result<AdmittedSend, Denial> {
+        let known =
+            if self.is_empty() { Default::default() } else { self.count_send(fingerprints)? };
+        let service = short_hash(service.as_bytes());
+        Ok(AdmittedSend { quarantine: self.clone(), fingerprints: *fingerprints, service, known })
     }
 
-    fn count_trial(&self, fingerprints: &Fingerprints) -> Result<[Known; 3], Denial> {
+    fn count_send(&self, fingerprints: &Fingerprints) -> Result<[KnownCrashes; 3], Denial> {
         let mut state = self.0.state.lock();
         if let Some(denial) = state.denial(fingerprints, now_us()) {
             return Err(denial);
         }
-        Ok(Scope::ALL.map(|scope| {
+        Ok(FingerprintScope::ALL.map(|scope| {
             let entry = state.entries.get_mut(&fingerprints.in_scope(scope));
-            entry.map_or_else(Known::default, |entry| {
-                entry.trials += 1;
-                Known { level: entry.suspect.level(), counted: true }
+            entry.map_or_else(KnownCrashes::default, |entry| {
+                entry.sends_in_flight += 1;
+                KnownCrashes { level: entry.suspect.level(), counted: true }
             })
         }))
     }
 
-    pub(super) fn trial_over(&self, trial: &Trial) {
+    pub(super) fn end_send(&self, trial: &AdmittedSend) {
         let mut state = self.0.state.lock();
-        for (scope, known) in Scope::ALL.into_iter().zip(trial.known) {
+        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known) {
             let entry = state.entries.get_mut(&trial.fingerprints.in_scope(scope));
             if let Some(entry) = entry.filter(|_| known.counted) {
-                entry.trials = entry.trials.saturating_sub(1);
+                entry.sends_in_flight = entry.sends_in_flight.saturating_sub(1);
             }
         }
     }
 
-    pub(super) fn crashed(&self, trial: &Trial, server: u32) {
-        let convicted = self.with(|state| state.crashed(trial, server, now_us()));
-        self.0.changed.notify_one();
+    pub(super) fn record_crash(&self, trial: &AdmittedSend, server: u32) {
+        let convicted = self.update(|state| state.record_crash(trial, server, now_us()));
+        self.0.updates_pending.notify_one();
         if !convicted.is_empty() {
-            self.0.convicted.notify_one();
+            self.0.quarantine_pending.notify_one();
         }
         for fingerprint in convicted {
-            note_quarantined(fingerprint, "here");
+            log_quarantined(fingerprint, "here");
         }
     }
 
-    pub(super) fn answered(&self, trial: &Trial) {
-        if self.empty() {
+    pub(super) fn record_response(&self, trial: &AdmittedSend) {
+        if self.is_empty() {
             return;
         }
-        let changed = self.with(|state| state.answered(trial, now_us()));
+        let changed = self.update(|state| state.record_response(trial, now_us()));
         if changed {
-            self.0.changed.notify_one();
-            let [exact, by_caller, content] = trial.fingerprints.names();
+            self.0.updates_pending.notify_one();
+            let [exact, by_caller, content] = trial.fingerprints.to_hex();
             info!(
                 event = "suspect-answered", content = content.as_str(), exact = exact.as_str(),
                 by_caller = by_caller.as_str(),
@@ -276,30 +295,30 @@
     }
 
     /// Takes in what another instance knows.
-    pub fn merge(&self, rows: &[SuspectRow]) {
+    pub fn merge(&self, rows: &[SuspectRecord]) {
         let now_us = now_us();
-        let held: Vec<Fingerprint> = self.with(|state| {
+        let held: Vec<Fingerprint> = self.update(|state| {
             let refused = rows.iter().filter(|row| state.merge(row, now_us));
             refused.map(|row| row.fingerprint).collect()
         });
         if !held.is_empty() {
-            self.0.changed.notify_one();
-            self.0.convicted.notify_one();
+            self.0.updates_pending.notify_one();
+            self.0.quarantine_pending.notify_one();
         }
         for fingerprint in held {
-            note_quarantined(fingerprint, "told");
+            log_quarantined(fingerprint, "told");
         }
     }
 
     /// Takes in what another instance knows; returns what is known otherwise here, of these or, where
     /// they are `all` that it knows, at all.
     #[must_use]
-    pub fn answer(&self, rows: &[SuspectRow], all: bool) -> Vec<SuspectRow> {
+    pub fn merge_and_diff(&self, rows: &[SuspectRecord], all: bool) -> Vec<SuspectRecord> {
         self.merge(rows);
         let told: HashMap<Fingerprint, u64> =
-            rows.iter().map(|row| (row.fingerprint, row.hash())).collect();
-        let differs = |row: &SuspectRow| match told.get(&row.fingerprint) {
-            Some(hash) => *hash != row.hash(),
+            rows.iter().map(|row| (row.fingerprint, row.content_hash())).collect();
+        let differs = |row: &SuspectRecord| match told.get(&row.fingerprint) {
+            Some(hash) => *hash != row.content_hash(),
             None => all,
         };
         self.rows().into_iter().filter(differs).collect()
@@ -307,28 +326,28 @@
 
     /// All that is known.
     #[must_use]
-    pub fn rows(&self) -> Vec<SuspectRow> {
-        if self.empty() {
+    pub fn rows(&self) -> Vec<SuspectRecord> {
+        if self.is_empty() {
             return Vec::new();
         }
         let now_us = now_us();
-        self.with(|state| {
+        self.update(|state| {
             state.expire(now_us);
-            state.entries.iter().map(|(key, entry)| entry.row(*key, now_us)).collect()
+            state.entries.iter().map(|(key, entry)| entry.record(*key, now_us)).collect()
         })
     }
 
     /// Equal for instances that know the same; 0 where nothing is known.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        self.rows().iter().fold(0, |digest, row| digest ^ row.hash())
+        self.rows().iter().fold(0, |digest, row| digest ^ row.content_hash())
     }
 
     /// What this instance found out and has not told yet, as soon as there is something.
-    pub async fn news(&self) -> Vec<SuspectRow> {
+    pub async fn next_updates(&self) -> Vec<SuspectRecord> {
         loop {
-            let changed = self.0.changed.notified();
-            let news = self.take_news();
+            let changed = self.0.updates_pending.notified();
+            let news = self.take_updates();
             if !news.is_empty() {
                 return news;
             }
@@ -336,22 +355,22 @@
         }
     }
 
-    fn take_news(&self) -> Vec<SuspectRow> {
+    fn take_updates(&self) -> Vec<SuspectRecord> {
         let now_us = now_us();
-        self.with(|state| {
-            let news = std::mem::take(&mut state.news);
-            state.rows_of(news, now_us)
+        self.update(|state| {
+            let news = std::mem::take(&mut state.unsent_updates);
+            state.records_of(news, now_us)
         })
     }
 
     /// Requests that this instance convicted, as soon as there is one.
-    pub async fn convicted(&self) -> Vec<SuspectRow> {
+    pub async fn next_quarantined(&self) -> Vec<SuspectRecord> {
         loop {
-            let told = self.0.convicted.notified();
+            let told = self.0.quarantine_pending.notified();
             let now_us = now_us();
-            let rows: Vec<SuspectRow> = self.with(|state| {
-                let convicted = std::mem::take(&mut state.convicted);
-                state.rows_of(convicted, now_us)
+            let rows: Vec<SuspectRecord> = self.update(|state| {
+                let convicted = std::mem::take(&mut state.newly_quarantined);
+                state.records_of(convicted, now_us)
             });
             if !rows.is_empty() {
                 return rows;
@@ -361,7 +380,7 @@
     }
 }
 
-fn note_quarantined(fingerprint: Fingerprint, learned: &str) {
+fn log_quarantined(fingerprint: Fingerprint, learned: &str) {
     let name = fingerprint.to_string();
     warn!(
         event = "request-quarantined", scope = fingerprint.scope.name(), fingerprint = name.as_str(),
--- a/src/quarantine/trial.rs
+++ b/src/quarantine/trial.rs
@@ -1,12 +1,12 @@
 //! One send of a request, as far as it may tell whether the request crashes servers.
 
+use super::FingerprintScope;
 use super::Fingerprints;
 use super::Quarantine;
-use super::Scope;
 
 /// What was known of one fingerprint of a request when it was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Known {
+pub(super) struct KnownCrashes {
     /// The highest level of a crash.
     pub level: u16,
     /// Whether this send is counted as under way.
@@ -15,16 +15,16 @@
 
 /// A send that was admitted; over when it is dropped.
 #[derive(Debug)]
-pub struct Trial {
+pub struct AdmittedSend {
     pub(super) quarantine: Quarantine,
     pub(super) fingerprints: Fingerprints,
     /// Hash of the name of its service.
     pub(super) service: u32,
     /// In the order of [`Scope::ALL`].
-    pub(super) known: [Known; Scope::ALL.len()],
+    pub(super) known: [KnownCrashes; FingerprintScope::ALL.len()],
 }
 
-impl Trial {
+impl AdmittedSend {
     /// What was sent.
     #[must_use]
     pub const fn fingerprints(&self) -> &Fingerprints {
@@ -38,20 +38,20 @@
     }
 
     /// The server that it was sent to has ended, and gave no whole answer.
-    pub fn crashed(&self, server: u32) {
-        self.quarantine.crashed(self, server);
+    pub fn record_crash(&self, server: u32) {
+        self.quarantine.record_crash(self, server);
     }
 
     /// The server gave a whole answer.
-    pub fn answered(&self) {
-        self.quarantine.answered(self);
+    pub fn record_response(&self) {
+        self.quarantine.record_response(self);
     }
 }
 
-impl Drop for Trial {
+impl Drop for AdmittedSend {
     fn drop(&mut self) {
         if self.known.iter().any(|known| known.counted) {
-            self.quarantine.trial_over(self);
+            self.quarantine.end_send(self);
         }
     }
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -9,8 +9,8 @@
 mod quota_share;
 mod quotas;
 
-pub use quota_bound::QuotaBound;
+pub use quota_bound::QuotaTolerance;
 pub use quota_share::QuotaHome;
-pub use quota_share::QuotaShare;
-pub use quotas::Dry;
+pub use quota_share::QuotaPlacement;
+pub use quotas::OutOfTokens;
 pub use quotas::Quotas;
--- a/src/quota/quota_bucket.rs
+++ b/src/quota/quota_bucket.rs
@@ -2,9 +2,9 @@
 
 /// This instance's part of a workspace's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct BucketRule {
+pub(super) struct BucketLimits {
     /// Part of the rate, 0 to 1.
-    pub(super) part: f64,
+    pub(super) fraction: f64,
     /// Over all instances.
     pub(super) tokens_per_s: f64,
     pub(super) tokens_max: f64,
@@ -14,31 +14,31 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaBucket {
     tokens: f64,
-    filled_us: u64,
+    refilled_us: u64,
     /// The part of the rate by which it was last filled.
-    part: f64,
+    fraction: f64,
     /// Nobody had tokens to lend; not asked again before this.
-    pub(super) dry_until_us: u64,
+    pub(super) no_lender_until_us: u64,
 }
 
 impl QuotaBucket {
     /// A bucket of an instance that has `tokens`, and had this part of the rate since `since_us`.
-    pub(super) const fn new(tokens: f64, part: f64, since_us: u64) -> Self {
-        Self { tokens, filled_us: since_us, part, dry_until_us: 0 }
+    pub(super) const fn new(tokens: f64, fraction: f64, since_us: u64) -> Self {
+        Self { tokens, refilled_us: since_us, fraction, no_lender_until_us: 0 }
     }
 
     /// Adds what came since it was last filled. Of a part that changed meanwhile the smaller counts: from
     /// when the larger held is not known.
     #[expect(clippy::cast_precision_loss, reason = "microseconds of a session")]
-    pub(super) fn fill(&mut self, rule: BucketRule, now_us: u64) {
-        let passed_s = now_us.saturating_sub(self.filled_us) as f64 / 1e6;
-        let part = rule.part.min(self.part);
-        let own_max = rule.tokens_max * part;
-        let filled = (part * rule.tokens_per_s).mul_add(passed_s, self.tokens);
+    pub(super) fn refill(&mut self, limits: BucketLimits, now_us: u64) {
+        let passed_s = now_us.saturating_sub(self.refilled_us) as f64 / 1e6;
+        let part = limits.fraction.min(self.fraction);
+        let own_max = limits.tokens_max * part;
+        let filled = (part * limits.tokens_per_s).mul_add(passed_s, self.tokens);
         // Borrowed tokens above the own part stay, as long as all together keep the bound.
-        self.tokens = filled.min(own_max.max(self.tokens)).min(rule.tokens_max);
-        self.filled_us = now_us;
-        self.part = rule.part;
+        self.tokens = filled.min(own_max.max(self.tokens)).min(limits.tokens_max);
+        self.refilled_us = now_us;
+        self.fraction = limits.fraction;
     }
 
     /// Takes one token.
@@ -63,8 +63,8 @@
     }
 
     /// Milliseconds until the next token, by the own part of the rate; `None` without a part.
-    pub(super) fn next_token_ms(&self, rule: BucketRule) -> Option<f64> {
-        let per_s = rule.part * rule.tokens_per_s;
+    pub(super) fn next_token_ms(&self, limits: BucketLimits) -> Option<f64> {
+        let per_s = limits.fraction * limits.tokens_per_s;
         (per_s > 0.0).then(|| (1.0 - self.tokens).max(0.0) * 1000.0 / per_s)
     }
 }
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -29,7 +29,7 @@
 use crate::peer::PassReply;
 use crate::peer::PeerError;
 use crate::peer::ReplyHead;
-use crate::quarantine::SendWatch;
+use crate::quarantine::PendingSend;
 
 /// What a request came to; the caller reads it in `sorrelwick-outcome`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct UpstreamBody {
     incoming: Incoming,
-    held: Option<(Slot, Conn, SendWatch)>,
+    held: Option<(Slot, Conn, PendingSend)>,
     /// The request's deadline holds for its whole answer: without it a server that stops in the
     /// middle would keep its slot and its caller for ever.
     deadline: Pin<Box<Sleep>>,
@@ -92,7 +92,7 @@
         slot: Slot,
         conn: Conn,
         left: Duration,
-        watch: SendWatch,
+        watch: PendingSend,
     ) -> Self {
         let deadline = Box::pin(tokio::time::sleep(left));
         Self { incoming, held: Some((slot, conn, watch)), deadline }
@@ -104,12 +104,12 @@
         };
         if whole {
             conn.give_back();
-            watch.answered();
+            watch.record_response();
             let latency_us = slot.age_us();
             slot.finish(Finish::Answered { latency_us });
         } else {
             slot.finish(Finish::Failed);
-            drop(watch.lost());
+            drop(watch.record_truncated());
         }
     }
 }
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -26,8 +26,8 @@
 use crate::decide::Finish;
 use crate::errors::Code;
 use crate::model::Service;
-use crate::quarantine::SendWatch;
-use crate::quarantine::Trial;
+use crate::quarantine::AdmittedSend;
+use crate::quarantine::PendingSend;
 
 /// When to come back where the server tells nothing of it.
 const RETRY_SOON_MS: u64 = 100;
@@ -90,7 +90,7 @@
     spec: &Service,
     slot: Slot,
     buffer_bytes: usize,
-    trial: &Arc<Trial>,
+    trial: &Arc<AdmittedSend>,
 ) -> Attempted {
     let Some(request) = build(proxy_request) else {
         return Answer::not_run(Code::BadRequest, 0).into();
@@ -107,7 +107,7 @@
         Err(_) => return Answer::not_run(Code::DeadlineInQueue, RETRY_SOON_MS).into(),
     };
     let (unanswered, trial) = (proxy_request.unanswered(&upstream), Arc::clone(trial));
-    let watch = SendWatch { trial, unanswered };
+    let watch = PendingSend { send: trial, failed_send: unanswered };
     exchange(proxy_request, spec, slot, conn, request, buffer_bytes, watch).await
 }
 
@@ -118,7 +118,7 @@
     mut conn: Conn,
     request: Request<Full<Bytes>>,
     buffer_bytes: usize,
-    watch: SendWatch,
+    watch: PendingSend,
 ) -> Attempted {
     let left = Duration::from_micros(proxy_request.left_us());
     if left.is_zero() {
@@ -215,7 +215,7 @@
     slot: Slot,
     conn: Conn,
     buffer_bytes: usize,
-    watch: SendWatch,
+    watch: PendingSend,
 ) -> Answer {
     let (parts, incoming) = response.into_parts();
     let headers = fields::header_map(&fields::travelling(&parts.headers));
@@ -236,7 +236,7 @@
     let latency_us = slot.age_us();
     let failed = failure(parts.status);
     if !failed {
-        watch.answered();
+        watch.record_response();
     }
     slot.finish(if failed { Finish::Failed } else { Finish::Answered { latency_us } });
     Answer::ran(parts.status, headers, AnswerBody::Whole(collected.to_bytes()))
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -10,8 +10,8 @@
 use crate::outcome::Key;
 use crate::peer::PassHead;
 use crate::peer::Stage;
+use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
-use crate::quarantine::Unanswered;
 
 /// A request whose body is whole.
 #[derive(Clone, Debug)]
@@ -55,8 +55,8 @@
 
     /// A send of it to `upstream` that brought no whole answer.
     #[must_use]
-    pub fn unanswered(&self, upstream: &Upstream) -> Unanswered {
-        Unanswered {
+    pub fn unanswered(&self, upstream: &Upstream) -> FailedSend {
+        FailedSend {
             id: self.id().into_owned(),
             service: self.service.clone(),
             server: upstream.id.clone(),
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -30,8 +30,8 @@
 use crate::peer::PeerError;
 use crate::peer::PeerRequest;
 use crate::peer::Stage;
+use crate::quarantine::CRASH_CHECK_WAIT;
 use crate::quarantine::Denial;
-use crate::quarantine::LOOK_WAIT;
 
 /// Added to the deadline of a passed request, so that the final answer of the other instance is
 /// heard rather than replaced by our own guess.
@@ -292,7 +292,7 @@
     /// The answer to a request that is not sent on, since it may crash servers.
     fn denied(&self, proxy_request: &ProxyRequest, denial: Denial) -> Answer {
         self.board.counters.add(Counter::Denied);
-        let [exact, by_caller, content] = proxy_request.fingerprints.names();
+        let [exact, by_caller, content] = proxy_request.fingerprints.to_hex();
         info!(
             event = "request-denied", id = proxy_request.id().as_ref(),
             content = content.as_str(), exact = exact.as_str(), by_caller = by_caller.as_str(),
@@ -327,10 +327,10 @@
             self.server_leaves(state, &upstream.id);
         }
         if answer.outcome == Outcome::Unknown {
-            let looked = proxy_request.unanswered(&upstream).look(trial);
+            let looked = proxy_request.unanswered(&upstream).check_server(trial);
             if proxy_request.idempotent && proxy_request.left_us() > 0 {
                 // Still looking after that, it goes on by itself.
-                let _ = tokio::time::timeout(LOOK_WAIT, looked).await;
+                let _ = tokio::time::timeout(CRASH_CHECK_WAIT, looked).await;
             }
         }
         answer
--- a/src/workspace/key_hash.rs
+++ b/src/workspace/key_hash.rs
@@ -10,25 +10,25 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-const BYTES: usize = 16;
+const HASH_BYTES: usize = 16;
 
 /// The first half of the SHA-256 of a key; written as hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct KeyHash([u8; BYTES]);
+pub struct KeyHash([u8; HASH_BYTES]);
 
 impl KeyHash {
     /// The hash of a key as callers send it.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&Sha256::digest(key)[..BYTES]);
+        let mut bytes = [0; HASH_BYTES];
+        bytes.copy_from_slice(&Sha256::digest(key)[..HASH_BYTES]);
         Self(bytes)
     }
 
     /// As hexadecimal digits.
     #[must_use]
     pub fn to_hex(self) -> String {
-        let mut text = String::with_capacity(2 * BYTES);
+        let mut text = String::with_capacity(2 * HASH_BYTES);
         for byte in self.0 {
             // Writing to a text does not fail.
             let _ = write!(text, "{byte:02x}");
@@ -37,7 +37,8 @@
     }
 
     fn from_hex(text: &str) -> Option<Self> {
-        let valid = text.len() == 2 * BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let valid =
+            text.len() == 2 * HASH_BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = u128::from_str_radix(text, 16).ok().filter(|_| valid)?;
         Some(Self(number.to_be_bytes()))
     }
--- a/src/workspace/mod.rs
+++ b/src/workspace/mod.rs
@@ -9,7 +9,7 @@
 mod workspace_table;
 
 pub use key_hash::KeyHash;
-pub use sealed::seal;
+pub use sealed::redact_keys;
 pub use workspace::Workspace;
-pub use workspace_table::Access;
+pub use workspace_table::KeyAccess;
 pub use workspace_table::WorkspaceTable;
--- a/src/workspace/workspace.rs
+++ b/src/workspace/workspace.rs
@@ -26,7 +26,7 @@
 impl Workspace {
     /// Whether there is a bound on its requests.
     #[must_use]
-    pub fn limited(&self) -> bool {
+    pub fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
 
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// Says which field cannot be used.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         let usable = |value: f64| value.is_finite() && value >= 0.0;
         if self.name.is_empty() || !self.name.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err("name: not one word of printable characters".into());
--- a/src/workspace/workspace_table.rs
+++ b/src/workspace/workspace_table.rs
@@ -8,18 +8,18 @@
 
 /// What a key gives.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Access {
+pub enum KeyAccess {
     /// Requests of this workspace.
-    Open(Arc<Workspace>),
+    Granted(Arc<Workspace>),
     /// Nothing for now: what the operators wrote of its workspace cannot be read, so nobody knows
     /// whether they took the key away.
-    Closed,
+    Suspended,
 }
 
 /// Workspaces by their keys and names.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkspaceTable {
-    by_key: HashMap<KeyHash, Access>,
+    by_key: HashMap<KeyHash, KeyAccess>,
     by_name: HashMap<Arc<str>, Arc<Workspace>>,
 }
 
@@ -28,37 +28,37 @@
     pub fn add(&mut self, workspace: Workspace) {
         let workspace = Arc::new(workspace);
         for key in &workspace.key_hashes {
-            let access = Access::Open(Arc::clone(&workspace));
-            if self.by_key.insert(*key, access).is_some() {
-                self.by_key.insert(*key, Access::Closed);
+            let key_access = KeyAccess::Granted(Arc::clone(&workspace));
+            if self.by_key.insert(*key, key_access).is_some() {
+                self.by_key.insert(*key, KeyAccess::Suspended);
             }
         }
         self.by_name.insert(Arc::clone(&workspace.name), workspace);
     }
 
     /// Closes keys that are not known otherwise.
-    pub fn close(&mut self, keys: &[KeyHash]) {
+    pub fn suspend(&mut self, keys: &[KeyHash]) {
         for key in keys {
-            self.by_key.entry(*key).or_insert(Access::Closed);
+            self.by_key.entry(*key).or_insert(KeyAccess::Suspended);
         }
     }
 
     /// What a key gives; `None` for one of no workspace.
     #[must_use]
-    pub fn access(&self, key: KeyHash) -> Option<&Access> {
+    pub fn access(&self, key: KeyHash) -> Option<&KeyAccess> {
         self.by_key.get(&key)
     }
 
     /// The workspace of this name.
     #[must_use]
-    pub fn named(&self, name: &str) -> Option<&Arc<Workspace>> {
+    pub fn by_name(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.by_name.get(name)
     }
 
     /// Whether any workspace has a bound on its requests.
     #[must_use]
     pub fn any_limited(&self) -> bool {
-        self.by_name.values().any(|workspace| workspace.limited())
+        self.by_name.values().any(|workspace| workspace.is_limited())
     }
 
     /// Number of workspaces, for logs.
--- a/standins/src/routed/memory_links.rs
+++ b/standins/src/routed/memory_links.rs
@@ -144,7 +144,7 @@
         match request {
             PeerRequest::Member(request) => answer_member(board, request),
             PeerRequest::Suspects { rows, all } => {
-                PeerReply::Suspects(board.quarantine.answer(&rows, all))
+                PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::PingFor { target } => self.ping_for(board, target).await,
             PeerRequest::Feed { feed, after, hold_ms } => match &to.mirror {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -24,7 +24,7 @@
 use sorrelwick::member::told_at_once;
 use sorrelwick::peer::Feed;
 use sorrelwick::quarantine::Fingerprints;
-use sorrelwick::quarantine::run_suspect_share;
+use sorrelwick::quarantine::run_suspect_gossip;
 use sorrelwick::store::Item;
 use sorrelwick::store::Listed;
 use sorrelwick::store::Roster;
@@ -167,7 +167,7 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), NoList, links.clone()));
-        tasks.spawn(run_suspect_share(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         let new = || {
             let (store, links) = (store.clone(), links.clone());
             let (board, mirror) = (Arc::clone(&board), Arc::clone(&mirror));
@@ -367,9 +367,9 @@
     let other = Fingerprints::of(caller.into(), "shop.example", "GET", "/look/b", b"");
     for server in 0..3 {
         let quarantine = &first.board.quarantine;
-        quarantine.admit(&guilty, "parts").expect("not convicted yet").crashed(server);
+        quarantine.admit(&guilty, "parts").expect("not convicted yet").record_crash(server);
         tokio::time::sleep(Duration::from_millis(5)).await;
-        quarantine.admit(&other, "parts").expect("innocent").answered();
+        quarantine.admit(&other, "parts").expect("innocent").record_response();
     }
     let took = fleet
         .until(Duration::from_secs(4), "the request refused", |one| {
--- a/tests/quota_schedules.rs
+++ b/tests/quota_schedules.rs
@@ -12,13 +12,13 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use sorrelwick::quota::QuotaBound;
 use sorrelwick::quota::QuotaHome;
-use sorrelwick::quota::QuotaShare;
+use sorrelwick::quota::QuotaPlacement;
+use sorrelwick::quota::QuotaTolerance;
 use sorrelwick::quota::Quotas;
 use sorrelwick::workspace::Workspace;
 
-const BOUND: QuotaBound = QuotaBound { window_s: 5.0, overage: 0.1, slack: 20.0 };
+const BOUND: QuotaTolerance = QuotaTolerance { window_s: 5.0, overage: 0.1, slack: 20.0 };
 const WINDOW_MS: u64 = 5_000;
 /// Played in CI; `SORRELWICK_SCHEDULES` gives another number.
 const SEEDS: u64 = 24;
@@ -119,15 +119,15 @@
             incarnation: self.instances[at].incarnation,
             peer: address(at),
         };
-        let share = QuotaShare {
+        let share = QuotaPlacement {
             zones: (0..ZONES).map(zone_name).collect(),
             own_zone: zone_name(zone),
-            own: self.instances[at].incarnation,
+            own_incarnation: self.instances[at].incarnation,
             homes: homes.map(home).collect(),
-            sees_zone: 2 * seen > of_zone,
+            sees_zone_majority: 2 * seen > of_zone,
         };
         let now_us = self.now_us();
-        self.instances[at].quotas.share(share, now_us);
+        self.instances[at].quotas.set_placement(share, now_us);
         self.instances[at].believes_at_ms = u64::MAX;
     }
 
@@ -168,18 +168,19 @@
             if !self.reaches(at, lender) || self.random.random_bool(self.lost_share) {
                 continue;
             }
-            let lent = self.instances[lender].quotas.lend(&self.workspace, dry.wanted, now_us);
+            let lent =
+                self.instances[lender].quotas.lend(&self.workspace, dry.tokens_wanted, now_us);
             if lent <= 0.0 || self.random.random_bool(self.lost_share) {
                 continue;
             }
             let quotas = &self.instances[at].quotas;
-            quotas.borrowed(&self.workspace, lent, now_us);
+            quotas.add_borrowed(&self.workspace, lent, now_us);
             if quotas.take(&self.workspace, now_us).is_ok() {
                 return true;
             }
         }
         if asked {
-            self.instances[at].quotas.nobody_lends(&self.workspace, now_us);
+            self.instances[at].quotas.note_no_lender(&self.workspace, now_us);
         }
         false
     }
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -4,19 +4,19 @@
 
 use sorrelwick::quarantine::Crash;
 use sorrelwick::quarantine::Denial;
+use sorrelwick::quarantine::FingerprintScope;
 use sorrelwick::quarantine::Fingerprints;
 use sorrelwick::quarantine::Quarantine;
-use sorrelwick::quarantine::Scope;
-use sorrelwick::quarantine::Standing;
-use sorrelwick::quarantine::Suspect;
-use sorrelwick::quarantine::SuspectRow;
+use sorrelwick::quarantine::SendPolicy;
+use sorrelwick::quarantine::SuspectRecord;
+use sorrelwick::quarantine::SuspectRequest;
 
 const MINUTE_US: u64 = 60_000_000;
 /// Rows that an instance keeps at most.
 const ROWS_MAX: usize = 128;
 
-fn suspect(scope: Scope) -> Suspect {
-    Suspect::new(scope, 0)
+fn suspect(scope: FingerprintScope) -> SuspectRequest {
+    SuspectRequest::new(scope, 0)
 }
 
 fn prints(caller: u8, target: &str) -> Fingerprints {
@@ -24,28 +24,34 @@
     Fingerprints::of(caller.into(), "shop.example", "GET", target, b"")
 }
 
-fn row(suspect: &Suspect, now_us: u64) -> SuspectRow {
-    suspect.row(prints(1, "/look/a").in_scope(Scope::Exact), now_us)
+fn row(suspect: &SuspectRequest, now_us: u64) -> SuspectRecord {
+    suspect.record(prints(1, "/look/a").in_scope(FingerprintScope::Exact), now_us)
 }
 
 /// A crash of a send that knew of crashes up to a level, while other requests are served.
-fn crash(suspect: &mut Suspect, server: u32, variant: u32, known_level: u16, now_us: u64) -> bool {
-    suspect.crashed(Crash { level: known_level + 1, server, variant }, true, now_us)
+fn crash(
+    suspect: &mut SuspectRequest,
+    server: u32,
+    variant: u32,
+    known_level: u16,
+    now_us: u64,
+) -> bool {
+    suspect.record_crash(Crash { level: known_level + 1, server, variant }, true, now_us)
 }
 
-fn held(suspect: &Suspect, now_us: u64) -> bool {
-    matches!(suspect.standing(now_us), Standing::Held { .. })
+fn held(suspect: &SuspectRequest, now_us: u64) -> bool {
+    matches!(suspect.send_policy(now_us), SendPolicy::Blocked { .. })
 }
 
 #[test]
 fn three_crashes_over_two_tries_convict_and_crashes_of_one_moment_do_not() {
-    let mut one_moment = suspect(Scope::Exact);
+    let mut one_moment = suspect(FingerprintScope::Exact);
     for server in 0..40 {
         assert!(!crash(&mut one_moment, server, 0, 0, 0));
     }
     assert!(crash(&mut one_moment, 41, 0, 1, 0), "a further try ended one more");
 
-    let mut one_by_one = suspect(Scope::Exact);
+    let mut one_by_one = suspect(FingerprintScope::Exact);
     assert!(!crash(&mut one_by_one, 1, 0, 0, 0));
     assert!(!crash(&mut one_by_one, 2, 0, 1, 0));
     assert!(crash(&mut one_by_one, 3, 0, 2, 0));
@@ -54,84 +60,93 @@
 
 #[test]
 fn an_answer_clears_what_was_known_when_it_was_sent_and_nothing_later() {
-    let mut cleared = suspect(Scope::Exact);
+    let mut cleared = suspect(FingerprintScope::Exact);
     crash(&mut cleared, 1, 0, 0, 0);
     crash(&mut cleared, 2, 0, 1, 0);
-    assert!(cleared.answered(2, 0));
-    assert_eq!(cleared.standing(0), Standing::Clear);
+    assert!(cleared.record_response(2, 0));
+    assert_eq!(cleared.send_policy(0), SendPolicy::Unrestricted);
     assert!(!crash(&mut cleared, 3, 0, 2, 0), "two of the three were not its doing");
 
-    let mut late = suspect(Scope::Exact);
+    let mut late = suspect(FingerprintScope::Exact);
     crash(&mut late, 1, 0, 0, 0);
     crash(&mut late, 2, 0, 1, 0);
-    assert!(!late.answered(0, 0), "sent before the first crash, it shows nothing of them");
+    assert!(!late.record_response(0, 0), "sent before the first crash, it shows nothing of them");
     assert!(crash(&mut late, 3, 0, 2, 0));
-    assert!(!late.answered(2, 0), "a word from before the conviction");
+    assert!(!late.record_response(2, 0), "a word from before the conviction");
     assert!(held(&late, 0));
 }
 
 #[test]
 fn a_wide_fingerprint_needs_two_variants() {
-    let mut one_caller = suspect(Scope::Content);
+    let mut one_caller = suspect(FingerprintScope::Content);
     for try_number in 0..20 {
         assert!(!crash(&mut one_caller, u32::from(try_number), 7, try_number, 0));
-        assert_eq!(one_caller.standing(0), Standing::Clear, "other callers are not concerned");
+        assert_eq!(
+            one_caller.send_policy(0),
+            SendPolicy::Unrestricted,
+            "other callers are not concerned"
+        );
     }
     assert!(crash(&mut one_caller, 21, 8, 0, 0), "another caller's ended one too");
 }
 
 #[test]
 fn a_conviction_ends_with_one_trial_and_each_further_one_holds_longer() {
-    let mut suspect = suspect(Scope::Exact);
+    let mut suspect = suspect(FingerprintScope::Exact);
     for level in 0..3 {
         crash(&mut suspect, u32::from(level), 0, level, 0);
     }
     assert!(held(&suspect, 10 * MINUTE_US - 1));
     let trial_us = 10 * MINUTE_US;
-    assert_eq!(suspect.standing(trial_us), Standing::Watched, "sent once at a time");
+    assert_eq!(suspect.send_policy(trial_us), SendPolicy::OneAtATime, "sent once at a time");
     let level = suspect.level();
     assert!(crash(&mut suspect, 9, 0, level, trial_us), "one crash is enough now");
     assert!(held(&suspect, trial_us + 60 * MINUTE_US - 1));
     let second_trial_us = trial_us + 60 * MINUTE_US;
-    assert!(suspect.answered(suspect.level(), second_trial_us), "it was mended");
-    assert_eq!(suspect.standing(second_trial_us), Standing::Clear);
+    assert!(suspect.record_response(suspect.level(), second_trial_us), "it was mended");
+    assert_eq!(suspect.send_policy(second_trial_us), SendPolicy::Unrestricted);
 }
 
 /// Story: everything crashes the servers of a service. A request that is asked for often must not be
 /// convicted for it, and must be tried as soon as anything else is answered.
 #[test]
 fn where_nothing_is_answered_a_request_is_paused_and_not_convicted() {
-    let mut paused = suspect(Scope::Exact);
+    let mut paused = suspect(FingerprintScope::Exact);
     let mut now_us = 0;
     for level in 0..3 {
-        assert!(!paused.crashed(Crash { level: level + 1, server: 1, variant: 0 }, false, now_us));
+        assert!(!paused.record_crash(
+            Crash { level: level + 1, server: 1, variant: 0 },
+            false,
+            now_us
+        ));
     }
     let mut longest = Duration::ZERO;
     for _ in 0..10 {
-        let Standing::Held { left } = paused.standing(now_us) else {
+        let SendPolicy::Blocked { remaining: left } = paused.send_policy(now_us) else {
             panic!("it is not paused");
         };
         assert!(left >= longest, "pauses grow");
         longest = left;
         now_us += u64::try_from(left.as_micros()).expect("minutes");
-        assert_eq!(paused.standing(now_us), Standing::Watched, "one trial");
+        assert_eq!(paused.send_policy(now_us), SendPolicy::OneAtATime, "one trial");
         let crash = Crash { level: paused.level() + 1, server: 1, variant: 0 };
-        assert!(!paused.crashed(crash, false, now_us));
+        assert!(!paused.record_crash(crash, false, now_us));
     }
     assert!(longest <= Duration::from_mins(10));
-    paused.others_are_served();
-    assert_eq!(paused.standing(now_us), Standing::Watched);
+    paused.end_pause();
+    assert_eq!(paused.send_policy(now_us), SendPolicy::OneAtATime);
     let crash = Crash { level: paused.level() + 1, server: 1, variant: 0 };
-    assert!(paused.crashed(crash, true, now_us), "now it alone crashes a server");
+    assert!(paused.record_crash(crash, true, now_us), "now it alone crashes a server");
 }
 
 #[test]
 fn what_is_over_is_not_taken_in_again() {
     let now_us = sorrelwick::clock::now_us();
-    let mut old = Suspect::new(Scope::Exact, now_us);
+    let mut old = SuspectRequest::new(FingerprintScope::Exact, now_us);
     crash(&mut old, 1, 0, 0, now_us);
     let quarantine = Quarantine::default();
-    let told = old.row(prints(1, "/look/a").in_scope(Scope::Exact), now_us + 11 * MINUTE_US);
+    let told =
+        old.record(prints(1, "/look/a").in_scope(FingerprintScope::Exact), now_us + 11 * MINUTE_US);
     quarantine.merge(&[told]);
     assert!(quarantine.rows().is_empty());
     assert_eq!(quarantine.digest(), 0);
@@ -142,10 +157,10 @@
 #[test]
 fn instances_that_heard_the_same_believe_the_same() {
     arbtest::arbtest(|u| {
-        let scope = Scope::ALL[u.choose_index(3)?];
-        let mut instances = vec![Suspect::new(scope, 0), Suspect::new(scope, 0)];
-        instances.push(Suspect::new(scope, 0));
-        let mut words: Vec<SuspectRow> = Vec::new();
+        let scope = FingerprintScope::ALL[u.choose_index(3)?];
+        let mut instances = vec![SuspectRequest::new(scope, 0), SuspectRequest::new(scope, 0)];
+        instances.push(SuspectRequest::new(scope, 0));
+        let mut words: Vec<SuspectRecord> = Vec::new();
         for _ in 0..u.int_in_range(1..=24)? {
             let at = u.choose_index(instances.len())?;
             match u.int_in_range(0..=5)? {
@@ -153,11 +168,11 @@
                     let level = u.int_in_range(0..=instances[at].level())?;
                     let (server, variant) = (u.int_in_range(0..=9)?, u.int_in_range(0..=2)?);
                     let crash = Crash { level: level + 1, server, variant };
-                    instances[at].crashed(crash, u.arbitrary()?, 0);
+                    instances[at].record_crash(crash, u.arbitrary()?, 0);
                 }
                 3 => {
                     let level = u.int_in_range(0..=instances[at].level())?;
-                    instances[at].answered(level, 0);
+                    instances[at].record_response(level, 0);
                 }
                 _ => {
                     if let Some(word) = words.get(u.choose_index(words.len().max(1))?) {
@@ -169,7 +184,7 @@
         }
         // Then all hear of all, in an order of their own, until nothing changes.
         for _ in 0..4 {
-            let mut all: Vec<SuspectRow> = instances.iter().map(|own| row(own, 0)).collect();
+            let mut all: Vec<SuspectRecord> = instances.iter().map(|own| row(own, 0)).collect();
             let turned = u.choose_index(all.len())?;
             all.rotate_left(turned);
             for own in &mut instances {
@@ -178,11 +193,11 @@
                 }
             }
         }
-        let rows: Vec<SuspectRow> = instances.iter().map(|own| row(own, 0)).collect();
+        let rows: Vec<SuspectRecord> = instances.iter().map(|own| row(own, 0)).collect();
         assert_eq!(rows[0], rows[1]);
         assert_eq!(rows[1], rows[2]);
-        let convicted = words.iter().any(|word| word.convictions > word.pardons);
-        let pardoned = rows[0].pardons > 0;
+        let convicted = words.iter().any(|word| word.quarantine_count > word.release_count);
+        let pardoned = rows[0].release_count > 0;
         assert!(!convicted || pardoned || held(&instances[0], 0), "{words:?}");
         Ok(())
     })
@@ -196,9 +211,9 @@
     let quarantine = Quarantine::default();
     let (guilty, innocent) = (prints(1, "/look/guilty"), prints(1, "/look/innocent"));
     for server in 0..3 {
-        quarantine.admit(&guilty, "parts").expect("not convicted yet").crashed(server);
+        quarantine.admit(&guilty, "parts").expect("not convicted yet").record_crash(server);
         std::thread::sleep(Duration::from_millis(1));
-        quarantine.admit(&innocent, "parts").expect("innocent").answered();
+        quarantine.admit(&innocent, "parts").expect("innocent").record_response();
     }
     assert!(matches!(quarantine.denial(&guilty), Some(Denial::Quarantined { .. })));
     let trials: Vec<_> = (0..4_000)
@@ -207,7 +222,7 @@
         })
         .collect();
     for (server, trial) in (100..).zip(&trials) {
-        trial.crashed(server);
+        trial.record_crash(server);
     }
     assert!(quarantine.rows().len() <= ROWS_MAX);
     assert!(matches!(quarantine.denial(&guilty), Some(Denial::Quarantined { .. })));
@@ -223,13 +238,13 @@
     let suspect = prints(1, "/look/suspect");
     let copies: Vec<_> =
         (0..2).map(|_| quarantine.admit(&suspect, "parts").expect("unknown")).collect();
-    copies.iter().zip(0..).for_each(|(copy, server)| copy.crashed(server));
+    copies.iter().zip(0..).for_each(|(copy, server)| copy.record_crash(server));
     drop(copies);
     let first = quarantine.admit(&suspect, "parts").expect("one may be sent");
-    assert_eq!(quarantine.admit(&suspect, "parts").err(), Some(Denial::OnTrial));
+    assert_eq!(quarantine.admit(&suspect, "parts").err(), Some(Denial::AlreadyInFlight));
     drop(first);
     let second = quarantine.admit(&suspect, "parts").expect("the first is over");
-    second.crashed(9);
+    second.record_crash(9);
     assert!(matches!(quarantine.denial(&suspect), Some(Denial::Quarantined { .. })));
 }
 
@@ -243,13 +258,13 @@
         (prints(2, "/look/a?n=1"), false, false, true),
         (prints(1, "/look/b?n=1"), false, false, false),
     ] {
-        assert_eq!(same(&first, &other, Scope::Exact), exact);
-        assert_eq!(same(&first, &other, Scope::Caller), caller);
-        assert_eq!(same(&first, &other, Scope::Content), content);
+        assert_eq!(same(&first, &other, FingerprintScope::Exact), exact);
+        assert_eq!(same(&first, &other, FingerprintScope::Caller), caller);
+        assert_eq!(same(&first, &other, FingerprintScope::Content), content);
     }
     let address = std::net::Ipv4Addr::LOCALHOST.into();
     let of = |method: &str, body: &[u8]| Fingerprints::of(address, "h", method, "/a", body);
     for (other, what) in [(of("POST", b"2"), "body"), (of("PUT", b"1"), "method")] {
-        assert!(!same(&of("POST", b"1"), &other, Scope::Content), "{what}");
+        assert!(!same(&of("POST", b"1"), &other, FingerprintScope::Content), "{what}");
     }
 }
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -6,9 +6,9 @@
 use serde_json::json;
 use sorrelwick::errors::Code;
 use sorrelwick::gateway::RouteTable;
-use sorrelwick::workspace::Access;
+use sorrelwick::workspace::KeyAccess;
 use sorrelwick::workspace::KeyHash;
-use sorrelwick::workspace::seal;
+use sorrelwick::workspace::redact_keys;
 use standins::routed::CONFIG_KEY;
 use standins::routed::RawServer;
 use standins::routed::RoutedBed;
@@ -46,17 +46,17 @@
 }
 
 fn read(document: &serde_json::Value, before: Option<&RouteTable>) -> RouteTable {
-    let sealed = seal(document.to_string().into_bytes());
+    let sealed = redact_keys(document.to_string().into_bytes());
     RouteTable::read(&sealed, before).expect("a document").table
 }
 
-fn access(table: &RouteTable, key: &str) -> Option<Access> {
+fn access(table: &RouteTable, key: &str) -> Option<KeyAccess> {
     let workspaces = table.workspaces.as_ref().expect("keys are needed");
     workspaces.access(KeyHash::of(key.as_bytes())).cloned()
 }
 
 fn holds(table: &RouteTable, key: &str, name: &str) -> bool {
-    matches!(access(table, key), Some(Access::Open(workspace)) if &*workspace.name == name)
+    matches!(access(table, key), Some(KeyAccess::Granted(workspace)) if &*workspace.name == name)
 }
 
 /// Guards against a customer who gets at the work of another by naming it.
@@ -111,7 +111,7 @@
         { "name": "gin", "api_keys": [[FARM_KEY]] },
         FARM_KEY,
     ]);
-    let sealed = seal(routes_with_workspaces(1, &misplaced).into_bytes());
+    let sealed = redact_keys(routes_with_workspaces(1, &misplaced).into_bytes());
     let text = String::from_utf8(sealed.clone()).expect("text");
     assert!(!text.contains(MILL_KEY) && !text.contains(FARM_KEY), "{text}");
     let read = RouteTable::read(&sealed, None).expect("a document");
@@ -119,7 +119,10 @@
     assert!(read.faults.iter().all(|fault| fault.code == Code::WorkspaceUnreadable));
     assert!(read.faults.iter().all(|fault| !fault.why.contains(FARM_KEY)), "{:?}", read.faults);
     let cut = &routes_with_workspaces(1, &two_workspaces()).into_bytes()[..700];
-    assert!(seal([cut, MILL_KEY.as_bytes()].concat()).is_empty(), "cut short, with a key in it");
+    assert!(
+        redact_keys([cut, MILL_KEY.as_bytes()].concat()).is_empty(),
+        "cut short, with a key in it"
+    );
 }
 
 /// Guards against one workspace that cannot be read and takes all others with it.
@@ -146,7 +149,7 @@
     let mut after = before;
     after["workspaces"][0]["api_keys"] = 7.into();
     let table = read(&after, Some(&table));
-    assert_eq!(access(&table, MILL_KEY), Some(Access::Closed));
+    assert_eq!(access(&table, MILL_KEY), Some(KeyAccess::Suspended));
     assert!(holds(&table, FARM_KEY, "farm"));
 }
 
@@ -170,7 +173,7 @@
     ]);
     let document = serde_json::from_str(&routes_with_workspaces(1, &workspaces)).expect("JSON");
     let table = read(&document, None);
-    assert_eq!(access(&table, MILL_KEY), Some(Access::Closed));
+    assert_eq!(access(&table, MILL_KEY), Some(KeyAccess::Suspended));
     assert!(holds(&table, FARM_KEY, "farm"));
 }
 
