--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -81,7 +81,7 @@
             id: self.id_text().to_owned(),
             service: server.row.service.to_string(),
             server: server.row.id.to_string(),
-            server_key: server.key,
+            server_hash: server.key,
             address: server.conns.address(),
         }
     }
--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -26,7 +26,7 @@
     pub service: String,
     pub server: String,
     /// Hash by which instances name this start of the server to each other.
-    pub server_key: u32,
+    pub server_hash: u32,
     pub address: SocketAddr,
 }
 
@@ -48,7 +48,7 @@
                 "the server was looked for after it gave no answer"
             );
             if ended {
-                trial.record_crash(self.server_key);
+                trial.record_crash(self.server_hash);
             }
         })
     }
--- a/src/quarantine/share.rs
+++ b/src/quarantine/share.rs
@@ -45,5 +45,5 @@
 
 /// Tells another instance all that is known here, and learns what it knows.
 pub async fn exchange_suspects<L: PeerCalls>(board: &Blackboard, links: &L, peer: SocketAddr) {
-    send_records(board, links, peer, board.quarantine.rows(), true).await;
+    send_records(board, links, peer, board.quarantine.records(), true).await;
 }
--- a/src/quarantine/table.rs
+++ b/src/quarantine/table.rs
@@ -127,14 +127,14 @@
     /// Takes note of a crash; returns the fingerprints that it convicts.
     fn record_crash(&mut self, trial: &AdmittedSend, server: u32, now_us: u64) -> Vec<Fingerprint> {
         let mut convicted = Vec::new();
-        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known) {
+        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known_crashes) {
             let fingerprint = trial.fingerprints.in_scope(scope);
             let variant = trial.fingerprints.variant_in(scope);
             let crash = Crash { level: known.level.saturating_add(1), server, variant };
-            let answered_us = self.last_response_us.get(&trial.service).copied();
+            let answered_us = self.last_response_us.get(&trial.service_hash).copied();
             let entry = self.entry_or_insert(fingerprint, now_us, now_us);
             let others_served = answered_us.is_some_and(|at| at > entry.known_since_us);
-            entry.service_hash = trial.service;
+            entry.service_hash = trial.service_hash;
             if entry.suspect.record_crash(crash, others_served, now_us) {
                 convicted.push(fingerprint);
             }
@@ -146,12 +146,14 @@
 
     /// Takes note of an answer; tells whether it changed anything.
     fn record_response(&mut self, trial: &AdmittedSend, now_us: u64) -> bool {
-        self.last_response_us.insert(trial.service, now_us);
-        for entry in self.entries.values_mut().filter(|entry| entry.service_hash == trial.service) {
+        self.last_response_us.insert(trial.service_hash, now_us);
+        for entry in
+            self.entries.values_mut().filter(|entry| entry.service_hash == trial.service_hash)
+        {
             entry.suspect.end_pause();
         }
         let mut changed = false;
-        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known) {
+        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known_crashes) {
             let fingerprint = trial.fingerprints.in_scope(scope);
             let entry = self.entries.get_mut(&fingerprint);
             if entry.is_some_and(|entry| entry.suspect.record_response(known.level, now_us)) {
@@ -239,7 +241,12 @@
         let known =
             if self.is_empty() { Default::default() } else { self.count_send(fingerprints)? };
         let service = short_hash(service.as_bytes());
-        Ok(AdmittedSend { quarantine: self.clone(), fingerprints: *fingerprints, service, known })
+        Ok(AdmittedSend {
+            quarantine: self.clone(),
+            fingerprints: *fingerprints,
+            service_hash: service,
+            known_crashes: known,
+        })
     }
 
     fn count_send(&self, fingerprints: &Fingerprints) -> Result<[KnownCrashes; 3], Denial> {
@@ -258,7 +265,7 @@
 
     pub(super) fn end_send(&self, trial: &AdmittedSend) {
         let mut state = self.0.state.lock();
-        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known) {
+        for (scope, known) in FingerprintScope::ALL.into_iter().zip(trial.known_crashes) {
             let entry = state.entries.get_mut(&trial.fingerprints.in_scope(scope));
             if let Some(entry) = entry.filter(|_| known.counted) {
                 entry.sends_in_flight = entry.sends_in_flight.saturating_sub(1);
@@ -321,12 +328,12 @@
             Some(hash) => *hash != row.content_hash(),
             None => all,
         };
-        self.rows().into_iter().filter(differs).collect()
+        self.records().into_iter().filter(differs).collect()
     }
 
     /// All that is known.
     #[must_use]
-    pub fn rows(&self) -> Vec<SuspectRecord> {
+    pub fn records(&self) -> Vec<SuspectRecord> {
         if self.is_empty() {
             return Vec::new();
         }
@@ -340,7 +347,7 @@
     /// Equal for instances that know the same; 0 where nothing is known.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        self.rows().iter().fold(0, |digest, row| digest ^ row.content_hash())
+        self.records().iter().fold(0, |digest, row| digest ^ row.content_hash())
     }
 
     /// What this instance found out and has not told yet, as soon as there is something.
--- a/src/quarantine/trial.rs
+++ b/src/quarantine/trial.rs
@@ -19,9 +19,9 @@
     pub(super) quarantine: Quarantine,
     pub(super) fingerprints: Fingerprints,
     /// Hash of the name of its service.
-    pub(super) service: u32,
+    pub(super) service_hash: u32,
     /// In the order of [`Scope::ALL`].
-    pub(super) known: [KnownCrashes; FingerprintScope::ALL.len()],
+    pub(super) known_crashes: [KnownCrashes; FingerprintScope::ALL.len()],
 }
 
 impl AdmittedSend {
@@ -34,7 +34,7 @@
     /// The highest level of a crash that was known when it was sent.
     #[must_use]
     pub fn known_level(&self) -> u16 {
-        self.known.iter().map(|known| known.level).max().unwrap_or(0)
+        self.known_crashes.iter().map(|known| known.level).max().unwrap_or(0)
     }
 
     /// The server that it was sent to has ended, and gave no whole answer.
@@ -50,7 +50,7 @@
 
 impl Drop for AdmittedSend {
     fn drop(&mut self) {
-        if self.known.iter().any(|known| known.counted) {
+        if self.known_crashes.iter().any(|known| known.counted) {
             self.quarantine.end_send(self);
         }
     }
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -60,7 +60,7 @@
             id: self.id().into_owned(),
             service: self.service.clone(),
             server: upstream.id.clone(),
-            server_key: upstream.key,
+            server_hash: upstream.key,
             address: upstream.address,
         }
     }
--- a/standins/src/routed/crash_rule.rs
+++ b/standins/src/routed/crash_rule.rs
@@ -10,5 +10,5 @@
     /// How long nothing listens on its address.
     pub down: Duration,
     /// Whether the answer has begun by then.
-    pub midway: bool,
+    pub mid_response: bool,
 }
--- a/standins/src/routed/raw_server.rs
+++ b/standins/src/routed/raw_server.rs
@@ -430,7 +430,7 @@
         return false;
     }
     if let Some(rule) = crashing(shared, head) {
-        if rule.midway {
+        if rule.mid_response {
             let begun = format!(
                 "HTTP/1.1 200 OK\r\n{}: {id}\r\ncontent-length: {LARGE_BYTES}\r\n\r\n",
                 shared.names.request_id
--- a/tests/key_revocation.rs
+++ b/tests/key_revocation.rs
@@ -13,14 +13,14 @@
 use standins::routed::losses;
 use tokio::time::Instant;
 
-const BOUND: Duration = Duration::from_secs(5);
+const REVOCATION_BOUND: Duration = Duration::from_secs(5);
 const SMALL: FleetSize = FleetSize { key_revocation_ms: Some(5_000), ..FleetSize::SMALL };
 const LARGE: FleetSize = FleetSize { key_revocation_ms: Some(5_000), ..FleetSize::LARGE };
 /// Played in CI; `SORRELWICK_SCHEDULES` gives another number.
-const SEEDS: u64 = 30;
-const TURN: Duration = Duration::from_millis(20);
+const DEFAULT_SEED_COUNT: u64 = 30;
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const SETTLE: Duration = Duration::from_secs(3);
-const SCHEDULE: Duration = Duration::from_secs(25);
+const SCHEDULE_LENGTH: Duration = Duration::from_secs(25);
 
 /// Versions of the configuration, with the times at which the store acknowledged them.
 #[derive(Debug, Default)]
@@ -33,18 +33,18 @@
     }
 
     /// The version that nobody may be without any more who serves keys.
-    fn due(&self, now: Instant) -> u64 {
-        let overdue = self.0.iter().filter(|(_, at)| now.duration_since(*at) > BOUND);
+    fn required_revision(&self, now: Instant) -> u64 {
+        let overdue = self.0.iter().filter(|(_, at)| now.duration_since(*at) > REVOCATION_BOUND);
         overdue.map(|(revision, _)| *revision).max().unwrap_or(0)
     }
 }
 
 /// Whether an instance may serve keys: its proof is younger than the bound.
-fn may_serve(fleet: &RelayFleet, at: usize) -> bool {
-    fleet.net.mirrors[at].proof_age().is_some_and(|age| age <= BOUND)
+fn may_accept_keys(fleet: &RelayFleet, at: usize) -> bool {
+    fleet.net.mirrors[at].proof_age().is_some_and(|age| age <= REVOCATION_BOUND)
 }
 
-fn fail(fleet: &RelayFleet, lost: &[Loss]) {
+fn apply_losses(fleet: &RelayFleet, lost: &[Loss]) {
     fleet.net.losses.lock().clone_from_slice(lost);
     for (view, loss) in fleet.views.iter().zip(lost) {
         view.set_fault(match loss {
@@ -68,13 +68,13 @@
     }
 }
 
-fn paid(fleet: &RelayFleet) -> u64 {
+fn store_calls(fleet: &RelayFleet) -> u64 {
     fleet.views.iter().map(|view| view.calls() - view.looks()).sum()
 }
 
 /// Changes while instances fail, one set of losses after the other. Returns how often an instance that may
 /// serve keys was looked at, and how often one that may not.
-async fn play(seed: u64) -> (u64, u64) {
+async fn run_schedule(seed: u64) -> (u64, u64) {
     let mut random = Pcg64::seed_from_u64(seed);
     let store = MemoryEvents::default();
     let mut versions = Versions::default();
@@ -84,19 +84,19 @@
     let began = Instant::now();
     let (mut next_loss, mut next_version) = (began, began);
     let (mut serving, mut not_serving) = (0, 0);
-    while began.elapsed() < SCHEDULE {
+    while began.elapsed() < SCHEDULE_LENGTH {
         let now = Instant::now();
         if now >= next_loss {
-            fail(&fleet, &losses_or_outage(&mut random));
+            apply_losses(&fleet, &losses_or_outage(&mut random));
             next_loss = now + Duration::from_millis(random.random_range(500..8_000));
         }
         if now >= next_version {
             versions.write(&store);
             next_version = now + Duration::from_millis(random.random_range(200..3_000));
         }
-        let due = versions.due(now);
+        let due = versions.required_revision(now);
         for (at, sink) in fleet.sinks.iter().enumerate() {
-            if !may_serve(&fleet, at) {
+            if !may_accept_keys(&fleet, at) {
                 not_serving += 1;
                 continue;
             }
@@ -104,7 +104,7 @@
             let known = sink.0.lock().map_or(0, |(revision, _)| revision);
             assert!(known >= due, "seed {seed}: instance {at} goes by {known}, {due} is due");
         }
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     (serving, not_serving)
 }
@@ -112,12 +112,12 @@
 /// Guards against a key that was taken away and is served on by an instance that is cut off, turned away
 /// or hears only from such.
 #[tokio::test(start_paused = true)]
-async fn whoever_fails_no_instance_serves_by_keys_that_were_taken_away() {
+async fn no_instance_accepts_revoked_keys_beyond_the_bound() {
     let given = std::env::var("SORRELWICK_SCHEDULES").ok();
-    let seeds = given.and_then(|text| text.parse().ok()).unwrap_or(SEEDS);
+    let seeds = given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT);
     let (mut serving, mut not_serving) = (0, 0);
     for seed in 0..seeds {
-        let (one, other) = play(seed).await;
+        let (one, other) = run_schedule(seed).await;
         serving += one;
         not_serving += other;
     }
@@ -128,21 +128,21 @@
 
 /// Guards against a watch whose connection went silent and that passes for proof that nothing changed.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_hangs_proves_nothing() {
+async fn hung_watch_does_not_refresh_the_proof() {
     let store = MemoryEvents::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, SMALL);
     tokio::time::sleep(SETTLE).await;
-    assert!((0..SMALL.instances).all(|at| may_serve(&fleet, at)));
-    fail(&fleet, &vec![Loss::Store(Fault::Hung); SMALL.instances]);
-    tokio::time::sleep(BOUND).await;
-    let serving = (0..SMALL.instances).filter(|at| may_serve(&fleet, *at)).count();
+    assert!((0..SMALL.instances).all(|at| may_accept_keys(&fleet, at)));
+    apply_losses(&fleet, &vec![Loss::Store(Fault::Hung); SMALL.instances]);
+    tokio::time::sleep(REVOCATION_BOUND).await;
+    let serving = (0..SMALL.instances).filter(|at| may_accept_keys(&fleet, *at)).count();
     assert_eq!(serving, 0);
 }
 
 /// Guards against keys that are not served in calm, and against proofs whose price grows with the fleet.
 #[tokio::test(start_paused = true)]
-async fn in_calm_proofs_stay_young_and_their_calls_do_not_grow_with_the_fleet() {
+async fn proof_calls_do_not_grow_with_fleet_size_without_faults() {
     const CALM: Duration = Duration::from_secs(10);
     let mut calls = Vec::new();
     for size in [SMALL, FleetSize { zones: 3, ..LARGE }, LARGE] {
@@ -150,16 +150,16 @@
         store.put("config", "1");
         let fleet = RelayFleet::start(&store, size);
         tokio::time::sleep(SETTLE).await;
-        let (before, began) = (paid(&fleet), Instant::now());
+        let (before, began) = (store_calls(&fleet), Instant::now());
         let mut oldest = Duration::ZERO;
         while began.elapsed() < CALM {
             let ages = fleet.net.mirrors.iter().map(|mirror| mirror.proof_age().expect("proved"));
             oldest = oldest.max(ages.max().expect("instances"));
-            tokio::time::sleep(TURN).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
-        calls.push(paid(&fleet) - before);
+        calls.push(store_calls(&fleet) - before);
         println!("{size:?}: {} calls, proofs of {oldest:?} at most", calls[calls.len() - 1]);
-        assert!(oldest < BOUND / 2, "{size:?}: {oldest:?}");
+        assert!(oldest < REVOCATION_BOUND / 2, "{size:?}: {oldest:?}");
     }
     // A watch each 4 s for each zone, and one proof each 0.8 s for all.
     assert!(calls[1] <= calls[0] + 2, "{calls:?}");
--- a/tests/quota_schedules.rs
+++ b/tests/quota_schedules.rs
@@ -18,14 +18,14 @@
 use sorrelwick::quota::Quotas;
 use sorrelwick::workspace::Workspace;
 
-const BOUND: QuotaTolerance = QuotaTolerance { window_s: 5.0, overage: 0.1, slack: 20.0 };
+const TOLERANCE: QuotaTolerance = QuotaTolerance { window_s: 5.0, overage: 0.1, slack: 20.0 };
 const WINDOW_MS: u64 = 5_000;
 /// Played in CI; `SORRELWICK_SCHEDULES` gives another number.
-const SEEDS: u64 = 24;
-const TURN_MS: u64 = 5;
+const DEFAULT_SEED_COUNT: u64 = 24;
+const STEP_MS: u64 = 5;
 /// Time from a loss, or its end, until an instance believes in it.
-const BELIEF_LAG_MS: std::ops::Range<u64> = 100..1_500;
-const END_MS: u64 = 30_000;
+const VIEW_LAG_MS: std::ops::Range<u64> = 100..1_500;
+const RUN_MS: u64 = 30_000;
 const ZONES: usize = 4;
 
 /// An instance as it is, and as it believes the others to be.
@@ -36,7 +36,7 @@
     /// Instances of the same group reach each other.
     group: usize,
     quotas: Quotas,
-    believes_at_ms: u64,
+    view_update_at_ms: u64,
 }
 
 /// The instances, and the callers of one workspace.
@@ -44,19 +44,19 @@
     instances: Vec<Instance>,
     homes_per_zone: usize,
     workspace: Workspace,
-    random: Pcg64,
+    rng: Pcg64,
     now_ms: u64,
     /// When requests were sent to a server.
-    sent_ms: Vec<u64>,
-    asked: u64,
-    lost_share: f64,
+    sent_at_ms: Vec<u64>,
+    received: u64,
+    message_loss: f64,
 }
 
 fn zone_name(zone: usize) -> Arc<str> {
     format!("z{zone}").into()
 }
 
-fn address(at: usize) -> SocketAddr {
+fn address_of_index(at: usize) -> SocketAddr {
     ([10, 0, (at >> 8) as u8, (at & 0xff) as u8], 7_000).into()
 }
 
@@ -67,8 +67,8 @@
             incarnation: at as u64 + 1,
             running: true,
             group: 0,
-            quotas: Quotas::new(BOUND),
-            believes_at_ms: 0,
+            quotas: Quotas::new(TOLERANCE),
+            view_update_at_ms: 0,
         };
         let workspace = Workspace {
             name: "mill".into(),
@@ -81,11 +81,11 @@
             instances: (0..count).map(instance).collect(),
             homes_per_zone,
             workspace,
-            random: Pcg64::seed_from_u64(seed),
+            rng: Pcg64::seed_from_u64(seed),
             now_ms: 1_000_000,
-            sent_ms: Vec::new(),
-            asked: 0,
-            lost_share: 0.0,
+            sent_at_ms: Vec::new(),
+            received: 0,
+            message_loss: 0.0,
         }
     }
 
@@ -103,21 +103,21 @@
     }
 
     /// The homes of a zone as an instance sees them.
-    fn homes(&self, seen_by: usize, zone: usize) -> Vec<usize> {
+    fn homes_seen_by(&self, seen_by: usize, zone: usize) -> Vec<usize> {
         let seen = self.in_zone(zone).filter(|at| self.reaches(seen_by, *at));
         seen.take(self.homes_per_zone).collect()
     }
 
     /// An instance takes in what there is; one that reaches nobody, and just started, knows nobody.
-    fn believe(&mut self, at: usize) {
+    fn update_view(&mut self, at: usize) {
         let zone = self.instances[at].zone;
         let seen = self.in_zone(zone).filter(|other| self.reaches(at, *other)).count();
         let of_zone = self.in_zone(zone).count();
-        let homes = (0..ZONES).flat_map(|zone| self.homes(at, zone));
+        let homes = (0..ZONES).flat_map(|zone| self.homes_seen_by(at, zone));
         let home = |at: usize| QuotaHome {
             zone: zone_name(at % ZONES),
             incarnation: self.instances[at].incarnation,
-            peer: address(at),
+            peer: address_of_index(at),
         };
         let share = QuotaPlacement {
             zones: (0..ZONES).map(zone_name).collect(),
@@ -128,13 +128,13 @@
         };
         let now_us = self.now_us();
         self.instances[at].quotas.set_placement(share, now_us);
-        self.instances[at].believes_at_ms = u64::MAX;
+        self.instances[at].view_update_at_ms = u64::MAX;
     }
 
-    fn all_will_believe(&mut self) {
+    fn schedule_view_updates(&mut self) {
         for at in 0..self.instances.len() {
-            let lag_ms = self.random.random_range(BELIEF_LAG_MS);
-            self.instances[at].believes_at_ms = self.now_ms + lag_ms;
+            let lag_ms = self.rng.random_range(VIEW_LAG_MS);
+            self.instances[at].view_update_at_ms = self.now_ms + lag_ms;
         }
     }
 
@@ -143,18 +143,18 @@
         let instance = &mut self.instances[at];
         instance.running = true;
         instance.incarnation += 1_000;
-        instance.quotas = Quotas::new(BOUND);
+        instance.quotas = Quotas::new(TOLERANCE);
     }
 
     /// A request comes to an instance.
-    fn request(&mut self, at: usize) {
-        self.asked += 1;
-        if self.instances[at].running && self.passes(at) {
-            self.sent_ms.push(self.now_ms);
+    fn receive_request(&mut self, at: usize) {
+        self.received += 1;
+        if self.instances[at].running && self.admit(at) {
+            self.sent_at_ms.push(self.now_ms);
         }
     }
 
-    fn passes(&mut self, at: usize) -> bool {
+    fn admit(&mut self, at: usize) -> bool {
         let now_us = self.now_us();
         let dry = match self.instances[at].quotas.take(&self.workspace, now_us) {
             Ok(()) => return true,
@@ -165,12 +165,12 @@
             let SocketAddr::V4(v4) = lender else { unreachable!("addresses are of that kind") };
             let [_, _, high, low] = v4.ip().octets();
             let lender = usize::from(high) << 8 | usize::from(low);
-            if !self.reaches(at, lender) || self.random.random_bool(self.lost_share) {
+            if !self.reaches(at, lender) || self.rng.random_bool(self.message_loss) {
                 continue;
             }
             let lent =
                 self.instances[lender].quotas.lend(&self.workspace, dry.tokens_wanted, now_us);
-            if lent <= 0.0 || self.random.random_bool(self.lost_share) {
+            if lent <= 0.0 || self.rng.random_bool(self.message_loss) {
                 continue;
             }
             let quotas = &self.instances[at].quotas;
@@ -186,37 +186,37 @@
     }
 
     /// The callers of these zones ask so many times a second, for a while.
-    fn play(&mut self, for_ms: u64, per_s: f64, zones: &[usize]) {
+    fn run_load(&mut self, for_ms: u64, per_s: f64, zones: &[usize]) {
         let end_ms = self.now_ms + for_ms;
         let mut due = 0.0;
         while self.now_ms < end_ms {
             for at in 0..self.instances.len() {
-                if self.now_ms >= self.instances[at].believes_at_ms {
-                    self.believe(at);
+                if self.now_ms >= self.instances[at].view_update_at_ms {
+                    self.update_view(at);
                 }
             }
-            due += per_s * TURN_MS as f64 / 1000.0;
+            due += per_s * STEP_MS as f64 / 1000.0;
             while due >= 1.0 {
                 due -= 1.0;
-                let zone = zones[self.random.random_range(0..zones.len())];
+                let zone = zones[self.rng.random_range(0..zones.len())];
                 // Some keep an old address; the others go to a home that some instance names.
                 let of_zone: Vec<usize> = self.in_zone(zone).collect();
-                let any = of_zone[self.random.random_range(0..of_zone.len())];
-                let homes = self.homes(any, zone);
-                let stale = homes.is_empty() || self.random.random_bool(0.02);
-                let at = if stale { any } else { homes[self.random.random_range(0..homes.len())] };
-                self.request(at);
+                let any = of_zone[self.rng.random_range(0..of_zone.len())];
+                let homes = self.homes_seen_by(any, zone);
+                let stale = homes.is_empty() || self.rng.random_bool(0.02);
+                let at = if stale { any } else { homes[self.rng.random_range(0..homes.len())] };
+                self.receive_request(at);
             }
-            self.now_ms += TURN_MS;
+            self.now_ms += STEP_MS;
         }
     }
 
     /// The most requests that were sent in any window.
-    fn most_in_window(&self) -> usize {
+    fn max_sent_in_window(&self) -> usize {
         let mut first = 0;
         let mut most = 0;
-        for (last, at_ms) in self.sent_ms.iter().enumerate() {
-            while self.sent_ms[first] + WINDOW_MS <= *at_ms {
+        for (last, at_ms) in self.sent_at_ms.iter().enumerate() {
+            while self.sent_at_ms[first] + WINDOW_MS <= *at_ms {
                 first += 1;
             }
             most = most.max(last + 1 - first);
@@ -224,37 +224,37 @@
         most
     }
 
-    fn allowed(&self) -> f64 {
-        let in_window = self.workspace.rate_per_s.mul_add(BOUND.window_s, self.workspace.burst);
-        in_window.mul_add(1.0 + BOUND.overage, BOUND.slack)
+    fn allowed_in_window(&self) -> f64 {
+        let in_window = self.workspace.rate_per_s.mul_add(TOLERANCE.window_s, self.workspace.burst);
+        in_window.mul_add(1.0 + TOLERANCE.overage, TOLERANCE.slack)
     }
 }
 
 /// Cuts, losses and restarts, drawn.
-fn fault(model: &mut Model) {
+fn inject_fault(model: &mut Model) {
     let count = model.instances.len();
-    match model.random.random_range(0..5) {
+    match model.rng.random_range(0..5) {
         0 => {
-            let cut = model.random.random_range(0..ZONES);
+            let cut = model.rng.random_range(0..ZONES);
             for instance in &mut model.instances {
                 instance.group = usize::from(instance.zone == cut);
             }
         }
         1 => {
             for at in 0..count {
-                if model.random.random_bool(0.3) {
+                if model.rng.random_bool(0.3) {
                     model.instances[at].running = false;
                 }
             }
         }
         2 => {
             // The home of one zone starts anew, as in a rolling restart.
-            let zone = model.random.random_range(0..ZONES);
-            if let Some(home) = model.homes(0, zone).first().copied() {
+            let zone = model.rng.random_range(0..ZONES);
+            if let Some(home) = model.homes_seen_by(0, zone).first().copied() {
                 model.restart(home);
             }
         }
-        3 => model.lost_share = model.random.random_range(0.0..0.5),
+        3 => model.message_loss = model.rng.random_range(0.0..0.5),
         _ => {
             for at in 0..count {
                 model.instances[at].group = 0;
@@ -264,35 +264,35 @@
             }
         }
     }
-    model.all_will_believe();
+    model.schedule_view_updates();
 }
 
-fn seeds() -> u64 {
+fn seed_count() -> u64 {
     let given = std::env::var("SORRELWICK_SCHEDULES").ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
+    given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT)
 }
 
 /// Guards against a customer who gets several times its quota while zones are parted, homes change or
 /// messages are lost.
 #[test]
-fn whatever_fails_no_workspace_gets_more_than_its_bound() {
-    for seed in 0..seeds() {
+fn faults_do_not_raise_a_workspace_above_its_bound() {
+    for seed in 0..seed_count() {
         let mut drawn = Pcg64::seed_from_u64(seed);
         let count = [8, 40, 140, 500][drawn.random_range(0..4)];
         let homes_per_zone = [1, 2, 8][drawn.random_range(0..3)];
         let rate_per_s = [1.5, 12.0, 160.0][drawn.random_range(0..3)];
         let mut model = Model::new(count, homes_per_zone, rate_per_s, seed);
-        (0..count).for_each(|at| model.believe(at));
-        let end_ms = model.now_ms + END_MS;
+        (0..count).for_each(|at| model.update_view(at));
+        let end_ms = model.now_ms + RUN_MS;
         while model.now_ms < end_ms {
             let for_ms = drawn.random_range(300..4_000);
             let usual = drawn.random_bool(0.3);
             let per_s = rate_per_s * if usual { 0.6 } else { 7.5 };
             let zones: &[usize] = if drawn.random_bool(0.5) { &[0, 1, 2, 3] } else { &[1] };
-            model.play(for_ms, per_s, zones);
-            fault(&mut model);
+            model.run_load(for_ms, per_s, zones);
+            inject_fault(&mut model);
         }
-        let (most, allowed) = (model.most_in_window(), model.allowed());
+        let (most, allowed) = (model.max_sent_in_window(), model.allowed_in_window());
         assert!(
             most as f64 <= allowed,
             "seed {seed}: {most} of {allowed} in a window; {count} instances, {homes_per_zone} homes, \
@@ -304,21 +304,21 @@
 /// Guards against callers who are refused within their quota, since it lies at instances that they do not
 /// ask.
 #[test]
-fn in_calm_the_whole_quota_can_be_used_from_one_zone_or_from_all() {
+fn whole_quota_is_usable_from_one_zone_or_all_without_faults() {
     for (rate_per_s, homes_per_zone) in [(12.0, 1), (160.0, 1), (160.0, 8), (12.0, 8), (1.5, 2)] {
         for zones in [&[0, 1, 2, 3][..], &[2]] {
             let mut model = Model::new(140, homes_per_zone, rate_per_s, 7);
-            (0..140).for_each(|at| model.believe(at));
-            model.play(5_000, rate_per_s * 0.6, zones);
-            let (asked, sent) = (model.asked, model.sent_ms.len());
+            (0..140).for_each(|at| model.update_view(at));
+            model.run_load(5_000, rate_per_s * 0.6, zones);
+            let (asked, sent) = (model.received, model.sent_at_ms.len());
             let share = sent as f64 / asked as f64;
             println!(
                 "{rate_per_s}/s, {homes_per_zone} homes, zones {zones:?}: {share:.3} below it"
             );
             assert!(share > 0.99, "{rate_per_s}/s, {homes_per_zone} homes, {zones:?}: {share}");
-            let before = model.sent_ms.len();
-            model.play(20_000, rate_per_s * 3.0, zones);
-            let used = (model.sent_ms.len() - before) as f64 / (20.0 * rate_per_s);
+            let before = model.sent_at_ms.len();
+            model.run_load(20_000, rate_per_s * 3.0, zones);
+            let used = (model.sent_at_ms.len() - before) as f64 / (20.0 * rate_per_s);
             println!("  {used:.3} of the limit used");
             assert!(used > 0.95, "{rate_per_s}/s, {homes_per_zone} homes, {zones:?}: {used}");
         }
@@ -327,9 +327,9 @@
 
 /// Guards against instances that start together, know nobody yet, and each give out the whole quota.
 #[test]
-fn five_hundred_that_know_nobody_give_out_nothing() {
+fn instances_without_known_members_grant_no_tokens() {
     let mut model = Model::new(500, 1, 12.0, 3);
-    model.instances.iter_mut().for_each(|one| one.believes_at_ms = u64::MAX);
-    model.play(1_000, 1_000.0, &[0, 1, 2, 3]);
-    assert_eq!(model.sent_ms.len(), 0);
+    model.instances.iter_mut().for_each(|one| one.view_update_at_ms = u64::MAX);
+    model.run_load(1_000, 1_000.0, &[0, 1, 2, 3]);
+    assert_eq!(model.sent_at_ms.len(), 0);
 }
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -26,7 +26,7 @@
 }
 
 /// One instance, with a server of the lookups.
-async fn bed(workspaces: &serde_json::Value) -> (RoutedBed, RawServer) {
+async fn start_bed(workspaces: &serde_json::Value) -> (RoutedBed, RawServer) {
     let bed = RoutedBed::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
     bed.store.put(CONFIG_KEY, &routes_with_workspaces(1, workspaces));
@@ -40,51 +40,51 @@
     (bed, parts)
 }
 
-fn head_of(server: &RawServer, id: &str) -> String {
+fn request_head(server: &RawServer, id: &str) -> String {
     let heads = server.heads();
     heads.into_iter().find(|head| head.contains(&format!("request-id: {id}\r"))).expect("it came")
 }
 
-fn read(document: &serde_json::Value, before: Option<&RouteTable>) -> RouteTable {
+fn read_routes(document: &serde_json::Value, before: Option<&RouteTable>) -> RouteTable {
     let sealed = redact_keys(document.to_string().into_bytes());
     RouteTable::read(&sealed, before).expect("a document").table
 }
 
-fn access(table: &RouteTable, key: &str) -> Option<KeyAccess> {
+fn key_access(table: &RouteTable, key: &str) -> Option<KeyAccess> {
     let workspaces = table.workspaces.as_ref().expect("keys are needed");
     workspaces.access(KeyHash::of(key.as_bytes())).cloned()
 }
 
-fn holds(table: &RouteTable, key: &str, name: &str) -> bool {
-    matches!(access(table, key), Some(KeyAccess::Granted(workspace)) if &*workspace.name == name)
+fn key_belongs_to(table: &RouteTable, key: &str, name: &str) -> bool {
+    matches!(key_access(table, key), Some(KeyAccess::Granted(workspace)) if &*workspace.name == name)
 }
 
 /// Guards against a customer who gets at the work of another by naming it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_is_told_the_workspace_of_the_key_whatever_the_caller_says() {
-    let (bed, parts) = bed(&two_workspaces()).await;
+async fn forwarded_workspace_comes_from_the_key_not_the_caller() {
+    let (bed, parts) = start_bed(&two_workspaces()).await;
     let fields = [("api-key", MILL_KEY), ("workspace", "farm")];
     assert_eq!(bed.call_with(0, "GET /look/a", "r1", &fields).await.status, 200);
-    let head = head_of(&parts, "r1");
+    let head = request_head(&parts, "r1");
     assert!(head.contains("workspace: mill\r"), "{head}");
     assert!(!head.contains("farm") && !head.contains(MILL_KEY), "{head}");
 }
 
 /// Guards against keys that a server gets on routes that need none.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_route_that_needs_no_key_passes_on_neither_key_nor_workspace() {
-    let (bed, parts) = bed(&two_workspaces()).await;
+async fn keyless_route_forwards_neither_key_nor_workspace() {
+    let (bed, parts) = start_bed(&two_workspaces()).await;
     let fields = [("api-key", MILL_KEY), ("workspace", "mill")];
     assert_eq!(bed.call_with(0, "GET /open/a", "r1", &fields).await.status, 200);
-    let head = head_of(&parts, "r1");
+    let head = request_head(&parts, "r1");
     assert!(!head.contains("mill"), "{head}");
 }
 
 /// Guards against requests of nobody that are served, and against bytes that are no key and crash or
 /// hang an instance.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_without_one_key_in_force_is_rejected_at_once() {
-    let (bed, parts) = bed(&two_workspaces()).await;
+async fn request_without_exactly_one_valid_key_is_rejected() {
+    let (bed, parts) = start_bed(&two_workspaces()).await;
     let long = "k".repeat(8_000);
     let cases: [&[(&str, &str)]; 6] = [
         &[],
@@ -104,7 +104,7 @@
 
 /// Guards against keys that travel between instances, or lie in their memory, as text.
 #[test]
-fn a_sealed_configuration_holds_no_key() {
+fn redacted_configuration_contains_no_key() {
     let misplaced = json!([
         { "name": "mill", "api_keys": [MILL_KEY], "api_key": FARM_KEY, "rate_per_s": FARM_KEY },
         { "name": "farm", "api_keys": FARM_KEY },
@@ -127,61 +127,61 @@
 
 /// Guards against one workspace that cannot be read and takes all others with it.
 #[test]
-fn a_workspace_that_cannot_be_read_costs_only_itself() {
+fn unreadable_workspace_does_not_affect_others() {
     let before: serde_json::Value =
         serde_json::from_str(&routes_with_workspaces(1, &two_workspaces())).expect("JSON");
-    let table = read(&before, None);
+    let table = read_routes(&before, None);
     let mut after = before.clone();
     after["workspaces"][0]["priority"] = "first".into();
     after["workspaces"][0]["api_keys"] = json!(["a new key"]);
-    let table = read(&after, Some(&table));
-    assert!(holds(&table, FARM_KEY, "farm"));
-    assert!(holds(&table, "a new key", "mill"), "its keys can be read, the rest is known");
-    assert_eq!(access(&table, MILL_KEY), None, "it was taken away");
+    let table = read_routes(&after, Some(&table));
+    assert!(key_belongs_to(&table, FARM_KEY, "farm"));
+    assert!(key_belongs_to(&table, "a new key", "mill"), "its keys can be read, the rest is known");
+    assert_eq!(key_access(&table, MILL_KEY), None, "it was taken away");
 }
 
 /// Guards against a key that the operators took away in a version whose list of keys cannot be read.
 #[test]
-fn keys_that_cannot_be_read_open_nothing_and_are_not_refused_for_good() {
+fn keys_of_an_unreadable_list_are_suspended() {
     let before: serde_json::Value =
         serde_json::from_str(&routes_with_workspaces(1, &two_workspaces())).expect("JSON");
-    let table = read(&before, None);
+    let table = read_routes(&before, None);
     let mut after = before;
     after["workspaces"][0]["api_keys"] = 7.into();
-    let table = read(&after, Some(&table));
-    assert_eq!(access(&table, MILL_KEY), Some(KeyAccess::Suspended));
-    assert!(holds(&table, FARM_KEY, "farm"));
+    let table = read_routes(&after, Some(&table));
+    assert_eq!(key_access(&table, MILL_KEY), Some(KeyAccess::Suspended));
+    assert!(key_belongs_to(&table, FARM_KEY, "farm"));
 }
 
 /// Guards against a fault in the list of workspaces that opens every route to everybody.
 #[test]
-fn a_list_of_workspaces_that_is_none_lets_nobody_in() {
+fn malformed_workspace_list_grants_no_access() {
     for wrong in [json!(null), json!("mill"), json!({ "mill": [MILL_KEY] }), json!(7)] {
         let document = serde_json::from_str(&routes_with_workspaces(1, &wrong)).expect("JSON");
-        let table = read(&document, None);
-        assert_eq!(access(&table, MILL_KEY), None, "{wrong}");
+        let table = read_routes(&document, None);
+        assert_eq!(key_access(&table, MILL_KEY), None, "{wrong}");
     }
 }
 
 /// Guards against work of one customer that is done in the name of another.
 #[test]
-fn a_key_of_two_workspaces_opens_neither() {
+fn key_shared_by_two_workspaces_is_suspended() {
     let workspaces = json!([
         { "name": "mill", "api_keys": [MILL_KEY] },
         { "name": "farm", "api_keys": [MILL_KEY, FARM_KEY] },
         { "name": "gin", "api_keys": [MILL_KEY] },
     ]);
     let document = serde_json::from_str(&routes_with_workspaces(1, &workspaces)).expect("JSON");
-    let table = read(&document, None);
-    assert_eq!(access(&table, MILL_KEY), Some(KeyAccess::Suspended));
-    assert!(holds(&table, FARM_KEY, "farm"));
+    let table = read_routes(&document, None);
+    assert_eq!(key_access(&table, MILL_KEY), Some(KeyAccess::Suspended));
+    assert!(key_belongs_to(&table, FARM_KEY, "farm"));
 }
 
 /// Guards against a new key that one instance of a fleet serves and another rejects for long, and an old
 /// one that goes on being served.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_change_with_the_configuration() {
-    let (bed, _parts) = bed(&two_workspaces()).await;
+async fn key_rotation_takes_effect_with_the_configuration() {
+    let (bed, _parts) = start_bed(&two_workspaces()).await;
     let rotated = json!([{ "name": "mill", "api_keys": ["new-key-of-the-mill"] }]);
     bed.store.put(CONFIG_KEY, &routes_with_workspaces(2, &rotated));
     let until = Instant::now() + WAIT;
