--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -24,23 +24,23 @@
 use crate::gateway::Admission;
 use crate::gateway::CallerHandler;
 use crate::gateway::CopyAge;
+use crate::gateway::CurrentRouteTable;
 use crate::gateway::Dialect;
 use crate::gateway::Dispatcher;
 use crate::gateway::Follower;
 use crate::gateway::Forwarder;
 use crate::gateway::HomePlanner;
 use crate::gateway::LoadShare;
-use crate::gateway::MemoryRoom;
+use crate::gateway::MemoryBudget;
 use crate::gateway::Mirror;
 use crate::gateway::OperatorSink;
-use crate::gateway::Patience;
 use crate::gateway::Prober;
-use crate::gateway::QuotaGate;
+use crate::gateway::QuotaLimiter;
 use crate::gateway::ReadinessHandler;
 use crate::gateway::Registry;
 use crate::gateway::ServerSink;
+use crate::gateway::SpentTimeEstimator;
 use crate::gateway::SuspectKeeper;
-use crate::gateway::TableInForce;
 use crate::gateway::run_store_check;
 use crate::listener::HttpListener;
 use crate::member::MemberState;
@@ -146,10 +146,10 @@
     store: &S,
     links: &Links,
     board: &Arc<Blackboard>,
-    table: &TableInForce,
+    table: &CurrentRouteTable,
     dispatcher: &Dispatcher,
 ) -> Copies<D> {
-    let keys = dialect.keys();
+    let keys = dialect.store_keys();
     let config_age = Arc::new(CopyAge::default());
     let operators = OperatorSink {
         dialect: dialect.clone(),
@@ -198,9 +198,9 @@
         let connections_max = u32::try_from(settings.requests.connections_max).unwrap_or(u32::MAX);
         let links = Links::new(&settings.peers.secret);
         let board = Arc::new(Blackboard::new(settings, rand::rng().random::<u64>()));
-        let table: TableInForce = Arc::new(ArcSwapOption::empty());
+        let table: CurrentRouteTable = Arc::new(ArcSwapOption::empty());
         let dispatcher = Dispatcher::new(&zone, allowance(&gateway));
-        dispatcher.share_among(homes_at_least(&gateway), true);
+        dispatcher.set_home_count(homes_at_least(&gateway), true);
 
         let mut tasks = JoinSet::new();
         let Copies { config_age, config, servers } =
@@ -248,7 +248,7 @@
             table: Arc::clone(&table),
             quotas: Arc::clone(&quotas),
         };
-        let quota_gate = QuotaGate {
+        let quota_gate = QuotaLimiter {
             board: Arc::clone(&board),
             links: links.clone(),
             table: Arc::clone(&table),
@@ -269,10 +269,10 @@
             board: Arc::clone(&board),
             dispatcher,
             admission: admission.clone(),
-            answer_room: Arc::new(MemoryRoom::new(memory_bytes / BODY_MEMORY_SHARE)),
+            response_memory: Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE)),
         };
-        let room = Arc::new(MemoryRoom::new(memory_bytes / BODY_MEMORY_SHARE));
-        let patience = Arc::new(Patience::default());
+        let room = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE));
+        let patience = Arc::new(SpentTimeEstimator::default());
         let callers = CallerHandler { forwarder, room, patience, quota_gate };
         let readiness =
             ReadinessHandler { dialect: dialect.clone(), board: Arc::clone(&board), table };
--- a/src/app/gateway_peers.rs
+++ b/src/app/gateway_peers.rs
@@ -14,7 +14,7 @@
 use crate::gateway::Dispatcher;
 use crate::gateway::Mirror;
 use crate::gateway::OperatorSink;
-use crate::gateway::QuotaGate;
+use crate::gateway::QuotaLimiter;
 use crate::gateway::ServerSink;
 use crate::member::answer_member;
 use crate::member::answer_ping_for;
@@ -40,7 +40,7 @@
     pub dispatcher: Dispatcher,
     pub config: Arc<Mirror<OperatorSink<D>>>,
     pub servers: Arc<Mirror<ServerSink<D>>>,
-    pub quota_gate: QuotaGate<Links>,
+    pub quota_gate: QuotaLimiter<Links>,
 }
 
 impl<D> Clone for GatewayPeers<D> {
@@ -64,7 +64,7 @@
                 answer_ping_for(&self.board, &self.links, target).await
             }
             PeerRequest::ServerLoads(loads) => {
-                self.dispatcher.hear_loads(&loads);
+                self.dispatcher.record_peer_loads(&loads);
                 PeerReply::Done
             }
             PeerRequest::Suspects { rows, all } => {
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -5,23 +5,23 @@
 
 use super::Caller;
 use super::RouteTable;
-use super::caller_handler::TableInForce;
+use super::caller_handler::CurrentRouteTable;
 use super::copy_age::CopyAge;
-use super::reply::OwnReply;
+use super::reply::LocalReply;
 use crate::conf::GatewaySettings;
 use crate::errors::Code;
 
 /// Part of the time for which a key that was taken away may be served: the rest is for clocks that differ.
-const KEYS_HOLD_PART: f64 = 0.9;
+const PROOF_AGE_REJECT_RATIO: f64 = 0.9;
 /// Part of it after which callers are sent to other instances.
-const KEYS_DOUBTED_PART: f64 = 0.6;
+const PROOF_AGE_UNREADY_RATIO: f64 = 0.6;
 /// When to come back: another instance, or this one a moment later, has asked the store.
-const UNPROVED_RETRY_MS: u64 = 200;
+const STALE_CONFIG_RETRY_MS: u64 = 200;
 
 /// The configuration in force, and how far it can be relied on; clones share.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    pub table: TableInForce,
+    pub table: CurrentRouteTable,
     age: Arc<CopyAge>,
     /// A version is in force everywhere within this.
     config_apply: Duration,
@@ -29,14 +29,14 @@
     key_revocation: Option<Duration>,
 }
 
-fn unproved() -> OwnReply {
-    OwnReply::not_run(Code::ConfigurationUnproved, UNPROVED_RETRY_MS)
+fn stale_config_reply() -> LocalReply {
+    LocalReply::not_run(Code::ConfigurationUnproved, STALE_CONFIG_RETRY_MS)
 }
 
 impl Admission {
     /// Relies on `table` as far as `age` and the bounds of the settings allow.
     #[must_use]
-    pub fn new(table: TableInForce, age: Arc<CopyAge>, settings: &GatewaySettings) -> Self {
+    pub fn new(table: CurrentRouteTable, age: Arc<CopyAge>, settings: &GatewaySettings) -> Self {
         Self {
             table,
             age,
@@ -45,48 +45,52 @@
         }
     }
 
-    fn proved_within(&self, part: f64) -> bool {
+    fn confirmed_within(&self, part: f64) -> bool {
         self.key_revocation
             .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(part)))
     }
 
     /// Whether callers should be sent here: keys will hold for a while.
     #[must_use]
-    pub fn relied_on(&self) -> bool {
+    pub fn accepts_callers(&self) -> bool {
         let any_keys = self.table.load().as_ref().is_some_and(|table| table.workspaces.is_some());
-        !any_keys || self.proved_within(KEYS_DOUBTED_PART)
+        !any_keys || self.confirmed_within(PROOF_AGE_UNREADY_RATIO)
     }
 
     /// Whether what is in force is proved to be new enough to serve anybody by a key.
     ///
     /// # Errors
     /// The final answer where it is not.
-    pub fn check_proof(&self) -> Result<(), OwnReply> {
-        if self.proved_within(KEYS_HOLD_PART) { Ok(()) } else { Err(unproved()) }
+    pub fn check_freshness(&self) -> Result<(), LocalReply> {
+        if self.confirmed_within(PROOF_AGE_REJECT_RATIO) {
+            Ok(())
+        } else {
+            Err(stale_config_reply())
+        }
     }
 
     /// Whether a caller who was admitted before may still be served.
     ///
     /// # Errors
     /// The final answer where the key opens nothing any more, or nobody knows.
-    pub fn check(&self, caller: Option<&Caller>) -> Result<(), OwnReply> {
+    pub fn check_caller(&self, caller: Option<&Caller>) -> Result<(), LocalReply> {
         let Some(caller) = caller else {
             return Ok(());
         };
-        self.check_proof()?;
+        self.check_freshness()?;
         let table = self.table.load();
-        if table.as_ref().is_some_and(|table| caller.still_admitted(table)) {
+        if table.as_ref().is_some_and(|table| caller.still_authenticated(table)) {
             return Ok(());
         }
-        Err(self.final_or_unproved(OwnReply::key_rejected()))
+        Err(self.reject_or_retry(LocalReply::key_rejected()))
     }
 
     /// A rejection for good, if the table that it goes by cannot be older than a version may take to be in
     /// force everywhere: a route or key that is missing may be new.
     #[must_use]
-    pub fn final_or_unproved(&self, rejection: OwnReply) -> OwnReply {
+    pub fn reject_or_retry(&self, rejection: LocalReply) -> LocalReply {
         if rejection.retry_after_ms.is_none() && self.age.age() > self.config_apply {
-            return unproved();
+            return stale_config_reply();
         }
         rejection
     }
@@ -95,8 +99,8 @@
     ///
     /// # Errors
     /// Without any configuration.
-    pub fn table(&self, retry_after_ms: u64) -> Result<Arc<RouteTable>, OwnReply> {
+    pub fn table(&self, retry_after_ms: u64) -> Result<Arc<RouteTable>, LocalReply> {
         let table = self.table.load_full();
-        table.ok_or_else(|| OwnReply::not_run(Code::NoConfiguration, retry_after_ms))
+        table.ok_or_else(|| LocalReply::not_run(Code::NoConfiguration, retry_after_ms))
     }
 }
--- a/src/gateway/declaration.rs
+++ b/src/gateway/declaration.rs
@@ -16,7 +16,7 @@
 use super::Route;
 use super::RouteKind;
 use super::RouteTable;
-use super::ServiceRule;
+use super::ServiceConfig;
 use crate::errors::Code;
 use crate::workspace::KeyHash;
 use crate::workspace::Workspace;
@@ -148,8 +148,8 @@
         }
     }
 
-    fn service(&mut self, part: &RawValue) -> Option<ServiceRule> {
-        match parse::<ServiceRule>(part) {
+    fn service(&mut self, part: &RawValue) -> Option<ServiceConfig> {
+        match parse::<ServiceConfig>(part) {
             Ok(rule) => Some(rule),
             Err(why) => {
                 let name = Stub::of(part).name;
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -13,7 +13,7 @@
 
 /// Header fields between callers, gateway and backend servers.
 #[derive(Clone, Debug)]
-pub struct FieldNames {
+pub struct HeaderNames {
     /// Identifies one attempt of a caller; echoed by backend servers.
     pub request_id: HeaderName,
     /// The key by which a caller's workspace is told; never sent on.
@@ -33,12 +33,12 @@
     /// Id of the backend server, on health answers.
     pub server_id: HeaderName,
     /// Milliseconds for which a backend server stays cold, on health answers of those that are.
-    pub cold_left_ms: HeaderName,
+    pub warmup_left_ms: HeaderName,
     /// Requests a second, as a decimal number, that a backend server takes from all instances together;
     /// present while it names such a limit.
     pub rate_limit: HeaderName,
     /// Present on all answers of a backend server that leaves.
-    pub leaving: HeaderName,
+    pub draining: HeaderName,
 }
 
 /// Where the platform's store keeps what the gateway reads and writes.
@@ -60,23 +60,23 @@
 
 /// Paths that the platform calls on an instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Paths {
+pub struct InstancePaths {
     pub addresses: &'static str,
     pub readiness: &'static str,
     /// Field of the query of `addresses` that names the caller's zone.
-    pub zone_query: &'static str,
+    pub zone_query_param: &'static str,
 }
 
 /// One platform's names and formats. It translates and decides nothing.
 pub trait Dialect: Clone + Send + Sync + 'static {
     /// Names of header fields.
-    fn fields(&self) -> &FieldNames;
+    fn header_names(&self) -> &HeaderNames;
 
     /// Keys of the store.
-    fn keys(&self) -> StoreKeys;
+    fn store_keys(&self) -> StoreKeys;
 
     /// Paths of an instance.
-    fn paths(&self) -> Paths;
+    fn instance_paths(&self) -> InstancePaths;
 
     /// A version of the operators' configuration, in the light of the one before; as the product
     /// writes it, unless a platform writes it otherwise.
@@ -93,7 +93,7 @@
 
     /// A version of the configuration with the hashes of keys in their place, as it is kept and handed
     /// on; read by [`Dialect::decode_config`].
-    fn seal_config(&self, value: Vec<u8>) -> Vec<u8> {
+    fn redact_config(&self, value: Vec<u8>) -> Vec<u8> {
         redact_keys(value)
     }
 
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 use super::address_claims::AddressClaims;
-use super::dispatcher_peers::PeersHeard;
+use super::dispatcher_peers::PeerLiveness;
 use super::grant::Grant;
 use super::server::Server;
 use super::server_starts::ServerStarts;
@@ -34,15 +34,15 @@
 
 /// How often queues are looked at, while somebody waits, for requests that became late and servers
 /// that came back.
-const TURN: Duration = Duration::from_millis(10);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time between two clean-ups of servers that are gone.
-const TIDY_INTERVAL: Duration = Duration::from_millis(500);
+const CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a waiting request is told.
-type Offer = Result<Box<Grant>, Refusal>;
+type QueueOutcome = Result<Box<Grant>, Refusal>;
 
 #[derive(Debug, Default)]
-pub(super) struct State {
+pub(super) struct DispatcherState {
     pub(super) pools: HashMap<Arc<str>, ServicePool>,
     pub(super) servers: HashMap<Arc<str>, Arc<Server>>,
     /// The same servers by the hash by which instances name them to each other.
@@ -51,20 +51,20 @@
     pub(super) claims: AddressClaims,
     pub(super) evacuations: Evacuations,
     /// By service.
-    pub(super) cold_rules: HashMap<Arc<str>, ColdRule>,
-    pub(super) home_share: Arc<HomeShare>,
-    pub(super) peers: PeersHeard,
+    pub(super) cold_policies: HashMap<Arc<str>, ColdRule>,
+    pub(super) home_set: Arc<HomeShare>,
+    pub(super) peers: PeerLiveness,
     pub(super) in_use: ServersInUse,
     /// Whether any server is unlisted and not forgotten yet.
     pub(super) any_unlisted: bool,
     /// Raised by each change of the list of servers.
     pub(super) list_version: u64,
-    waiting: HashMap<u64, oneshot::Sender<Offer>>,
+    waiters: HashMap<u64, oneshot::Sender<QueueOutcome>>,
 }
 
-impl State {
+impl DispatcherState {
     /// Services for which requests wait.
-    pub(super) fn waited_for(&self) -> Vec<Arc<str>> {
+    pub(super) fn services_with_queue(&self) -> Vec<Arc<str>> {
         let waited_for = self.pools.iter().filter(|(_, pool)| pool.waiting() > 0);
         waited_for.map(|(service, _)| Arc::clone(service)).collect()
     }
@@ -75,30 +75,30 @@
 pub struct Dispatcher {
     zone: Arc<str>,
     /// Of all instances together.
-    pub(super) allowance: RepeatAllowance,
+    pub(super) retry_allowance: RepeatAllowance,
     /// Instances that divide the slack of the repeat budget.
-    pub(super) sharers: Arc<AtomicUsize>,
-    tickets: Arc<AtomicU64>,
-    pub(super) state: Arc<Mutex<State>>,
+    pub(super) budget_sharers: Arc<AtomicUsize>,
+    next_ticket: Arc<AtomicU64>,
+    pub(super) state: Arc<Mutex<DispatcherState>>,
     /// Slots that are handed out now.
-    granted: Arc<AtomicUsize>,
+    granted_slots: Arc<AtomicUsize>,
     /// Told when the first slot is handed out after none was.
-    began: Arc<Notify>,
+    became_busy: Arc<Notify>,
     /// Told when a request begins to wait.
-    queued: Arc<Notify>,
+    enqueued: Arc<Notify>,
 }
 
 /// Takes a request out of the queue when its caller leaves.
-struct InQueue<'a> {
+struct QueueEntryGuard<'a> {
     dispatcher: &'a Dispatcher,
     service: &'a Arc<str>,
     ticket: u64,
 }
 
-impl Drop for InQueue<'_> {
+impl Drop for QueueEntryGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.dispatcher.state.lock();
-        if state.waiting.remove(&self.ticket).is_some()
+        if state.waiters.remove(&self.ticket).is_some()
             && let Some(pool) = state.pools.get_mut(self.service)
         {
             pool.cancel(self.ticket);
@@ -106,38 +106,44 @@
     }
 }
 
-fn random() -> f64 {
+fn random_unit() -> f64 {
     rand::rng().random_range(0.0..1.0)
 }
 
 impl Dispatcher {
     /// A dispatcher of an instance in `zone` that knows no server yet.
     #[must_use]
-    pub fn new(zone: &str, allowance: RepeatAllowance) -> Self {
+    pub fn new(zone: &str, retry_allowance: RepeatAllowance) -> Self {
         Self {
             zone: zone.into(),
-            allowance,
-            sharers: Arc::new(AtomicUsize::new(1)),
-            tickets: Arc::default(),
+            retry_allowance,
+            budget_sharers: Arc::new(AtomicUsize::new(1)),
+            next_ticket: Arc::default(),
             state: Arc::default(),
-            granted: Arc::default(),
-            began: Arc::default(),
-            queued: Arc::default(),
+            granted_slots: Arc::default(),
+            became_busy: Arc::default(),
+            enqueued: Arc::default(),
         }
     }
 
     fn ticket(&self) -> u64 {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+        self.next_ticket.fetch_add(1, Ordering::Relaxed)
     }
 
-    fn grant(&self, state: &mut State, choice: Choice, ticket: u64, ask: Ask) -> Option<Grant> {
+    fn grant_slot(
+        &self,
+        state: &mut DispatcherState,
+        choice: Choice,
+        ticket: u64,
+        ask: Ask,
+    ) -> Option<Grant> {
         let server = Arc::clone(state.servers.get(&choice.server)?);
-        state.in_use.note(&server);
+        state.in_use.record(&server);
         let dispatcher = self.clone();
-        if self.granted.fetch_add(1, Ordering::AcqRel) == 0 {
-            self.began.notify_waiters();
+        if self.granted_slots.fetch_add(1, Ordering::AcqRel) == 0 {
+            self.became_busy.notify_waiters();
         }
-        Some(Grant { server, choice, ticket, ask, end: SendEnd::Cancelled, dispatcher })
+        Some(Grant { server, choice, ticket, spec: ask, end: SendEnd::Cancelled, dispatcher })
     }
 
     /// All servers known now.
@@ -153,28 +159,28 @@
     }
 
     /// Takes note that connections of a server are used beside requests.
-    pub fn note_use(&self, server: &Arc<Server>) {
-        self.state.lock().in_use.note(server);
+    pub fn record_use(&self, server: &Arc<Server>) {
+        self.state.lock().in_use.record(server);
     }
 
     /// The usual time of such a request, in milliseconds.
     #[must_use]
-    pub fn usual_ms(&self, service: &str, ask: &Ask) -> f64 {
+    pub fn typical_ms(&self, service: &str, ask: &Ask) -> f64 {
         let state = self.state.lock();
         state.pools.get(service).map_or(ask.aim_ms, |pool| pool.typical_ms(ask))
     }
 
     /// A slot for a second send, only if one is free that nobody waits for.
     #[must_use]
-    pub fn spare(&self, service: &str, ask: &Ask) -> Option<Grant> {
+    pub fn try_acquire_spare(&self, service: &str, ask: &Ask) -> Option<Grant> {
         let mut state = self.state.lock();
         let pool = state.pools.get_mut(service)?;
         if pool.waiting() > 0 {
             return None;
         }
         let ticket = self.ticket();
-        let choice = pool.take(ticket, ask, &self.zone, now_us(), &mut random)?;
-        self.grant(&mut state, choice, ticket, ask.clone())
+        let choice = pool.take(ticket, ask, &self.zone, now_us(), &mut random_unit)?;
+        self.grant_slot(&mut state, choice, ticket, ask.clone())
     }
 
     /// A slot for a request, now or after some waiting.
@@ -189,20 +195,21 @@
             state.forget_silent_peers(now_us());
             let pool = state.pools.entry(Arc::clone(service)).or_default();
             if pool.waiting() == 0
-                && let Some(choice) = pool.take(ticket, &ask, &self.zone, now_us(), &mut random)
-                && let Some(grant) = self.grant(&mut state, choice, ticket, ask.clone())
+                && let Some(choice) =
+                    pool.take(ticket, &ask, &self.zone, now_us(), &mut random_unit)
+                && let Some(grant) = self.grant_slot(&mut state, choice, ticket, ask.clone())
             {
                 return Ok(grant);
             }
             let pool = state.pools.entry(Arc::clone(service)).or_default();
             pool.enqueue(ticket, ask, now_us())?;
             let (sender, offer) = oneshot::channel();
-            state.waiting.insert(ticket, sender);
-            self.queued.notify_one();
+            state.waiters.insert(ticket, sender);
+            self.enqueued.notify_one();
             self.serve_waiting(&mut state, service, &mut undelivered);
             offer
         };
-        let queued = InQueue { dispatcher: self, service, ticket };
+        let queued = QueueEntryGuard { dispatcher: self, service, ticket };
         let offered = offer.await;
         drop(queued);
         let refused = Refusal { no_server: true, ..Refusal::default() };
@@ -219,7 +226,7 @@
     }
 
     pub(super) fn finish(&self, server: &Server, ticket: u64, ask: &Ask, end: SendEnd) {
-        self.granted.fetch_sub(1, Ordering::AcqRel);
+        self.granted_slots.fetch_sub(1, Ordering::AcqRel);
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
         let ServerRow { id, service, slots, .. } = &server.row;
@@ -240,17 +247,17 @@
     }
 
     /// Does something with what is believed of a server; `None` for one that is forgotten.
-    fn with_track<T>(
+    fn with_tracked_server<T>(
         &self,
         server: &Server,
         work: impl FnOnce(&mut ServerTrack) -> T,
     ) -> Option<T> {
-        self.state.lock().track(server).map(work)
+        self.state.lock().tracked_server(server).map(work)
     }
 
     /// Takes in the answer to a health check, and for how long the server says that it is cold.
-    pub fn checked(&self, server: &Server, well: bool, cold_left_ms: Option<u64>) {
-        self.with_track(server, |track| {
+    pub fn record_health_check(&self, server: &Server, well: bool, cold_left_ms: Option<u64>) {
+        self.with_tracked_server(server, |track| {
             track.checked(well, now_us());
             track.hear_cold(cold_left_ms, now_us());
         });
@@ -258,7 +265,7 @@
 
     /// Whether any server of a service ever told its load.
     #[must_use]
-    pub fn service_tells_load(&self, service: &str) -> bool {
+    pub fn service_reports_load(&self, service: &str) -> bool {
         let state = self.state.lock();
         let told = |track: &ServerTrack| track.pace_age_us(now_us()).is_some();
         state.pools.get(service).is_some_and(|pool| pool.servers.iter().any(told))
@@ -266,34 +273,36 @@
 
     /// Whether a server ever told its load.
     #[must_use]
-    pub fn tells_load(&self, server: &Server) -> bool {
-        self.with_track(server, |track| track.pace_age_us(now_us()).is_some()).unwrap_or(false)
+    pub fn reports_load(&self, server: &Server) -> bool {
+        self.with_tracked_server(server, |track| track.pace_age_us(now_us()).is_some())
+            .unwrap_or(false)
     }
 
     /// Whether a server told its load after `since_us`.
     #[must_use]
-    pub fn heard_since(&self, server: &Server, since_us: u64) -> bool {
-        let age_us = self.with_track(server, |track| track.pace_age_us(now_us())).flatten();
+    pub fn reported_load_since(&self, server: &Server, since_us: u64) -> bool {
+        let age_us =
+            self.with_tracked_server(server, |track| track.pace_age_us(now_us())).flatten();
         age_us.is_some_and(|age_us| now_us().saturating_sub(age_us) > since_us)
     }
 
     /// Takes note that a server did not answer a health check.
-    pub fn unheard(&self, server: &Server) {
-        self.with_track(server, |track| track.unheard(now_us()));
+    pub fn record_check_timeout(&self, server: &Server) {
+        self.with_tracked_server(server, |track| track.unheard(now_us()));
     }
 
     /// Whether nothing of this instance runs anywhere.
     #[must_use]
-    pub fn idle(&self) -> bool {
-        self.granted.load(Ordering::Acquire) == 0
+    pub fn is_idle(&self) -> bool {
+        self.granted_slots.load(Ordering::Acquire) == 0
     }
 
     /// Returns at once while something runs, else as soon as something does.
-    pub async fn busy(&self) {
-        let began = self.began.notified();
+    pub async fn wait_until_busy(&self) {
+        let began = self.became_busy.notified();
         tokio::pin!(began);
         began.as_mut().enable();
-        if self.idle() {
+        if self.is_idle() {
             began.await;
         }
     }
@@ -301,7 +310,7 @@
     /// Whether a server is no place any more for a request that was given a slot of it, expecting an
     /// answer after `expected_ms`; see [`ServicePool::worse`].
     #[must_use]
-    pub fn worse(&self, server: &Server, ask: &Ask, expected_ms: f64) -> bool {
+    pub fn is_worse(&self, server: &Server, ask: &Ask, expected_ms: f64) -> bool {
         let state = self.state.lock();
         let pool = state.pools.get(&server.row.service);
         pool.is_some_and(|pool| pool.worse(&server.row.id, server.key, ask, expected_ms, now_us()))
@@ -309,7 +318,7 @@
 
     /// Whether requests wait for slots.
     #[must_use]
-    pub fn contended(&self) -> bool {
+    pub fn has_queue(&self) -> bool {
         self.state.lock().pools.values().any(|pool| pool.waiting() > 0)
     }
 
@@ -317,7 +326,7 @@
     /// `undelivered`, to be dropped once the lock is released: dropping takes it again.
     pub(super) fn serve_waiting(
         &self,
-        state: &mut State,
+        state: &mut DispatcherState,
         service: &str,
         undelivered: &mut Vec<Grant>,
     ) {
@@ -325,12 +334,13 @@
             let Some(pool) = state.pools.get_mut(service) else {
                 return;
             };
-            let Some((waiting, choice)) = pool.serve_waiting(&self.zone, now_us(), &mut random)
+            let Some((waiting, choice)) =
+                pool.serve_waiting(&self.zone, now_us(), &mut random_unit)
             else {
                 return;
             };
-            let sender = state.waiting.remove(&waiting.ticket);
-            let Some(grant) = self.grant(state, choice, waiting.ticket, waiting.ask) else {
+            let sender = state.waiters.remove(&waiting.ticket);
+            let Some(grant) = self.grant_slot(state, choice, waiting.ticket, waiting.ask) else {
                 continue;
             };
             if let Some(Err(Ok(grant))) = sender.map(|sender| sender.send(Ok(Box::new(grant)))) {
@@ -340,24 +350,24 @@
     }
 
     /// Refuses the waiting requests that became late, and serves those that can be.
-    fn turn(&self) {
+    fn process_queues(&self) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
         state.forget_silent_peers(now_us());
-        for service in state.waited_for() {
-            Self::refuse_late(&mut state, &service);
+        for service in state.services_with_queue() {
+            Self::refuse_expired(&mut state, &service);
             self.serve_waiting(&mut state, &service, &mut undelivered);
         }
         drop(state);
     }
 
-    fn refuse_late(state: &mut State, service: &str) {
+    fn refuse_expired(state: &mut DispatcherState, service: &str) {
         let Some(pool) = state.pools.get_mut(service) else {
             return;
         };
         let refusal = pool.refusal(now_us());
         for ticket in pool.expire(now_us()) {
-            if let Some(sender) = state.waiting.remove(&ticket) {
+            if let Some(sender) = state.waiters.remove(&ticket) {
                 // A caller that left meanwhile needs no refusal.
                 let _ = sender.send(Err(refusal));
             }
@@ -372,16 +382,16 @@
         let tidied = self.clone();
         let tidy = async move {
             loop {
-                tokio::time::sleep(TIDY_INTERVAL).await;
-                tidied.tidy();
+                tokio::time::sleep(CLEANUP_INTERVAL).await;
+                tidied.clean_up();
             }
         };
         let serve = async move {
             loop {
-                self.queued.notified().await;
-                while self.contended() {
-                    tokio::time::sleep(TURN).await;
-                    self.turn();
+                self.enqueued.notified().await;
+                while self.has_queue() {
+                    tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
+                    self.process_queues();
                 }
             }
         };
--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -17,38 +17,38 @@
 
 impl Dispatcher {
     /// Takes in what a server said of itself.
-    pub fn hear(&self, server: &Server, heard: Heard, notice: ServerNotice) {
+    pub fn record_notice(&self, server: &Server, heard: Heard, notice: ServerNotice) {
         let mut state = self.state.lock();
-        let Some(track) = state.track(server) else {
+        let Some(track) = state.tracked_server(server) else {
             return;
         };
         if let Some(load) = notice.load {
             track.report(load, now_us());
         }
-        match notice.limit {
-            Ok(limit) => hear_limit(track, heard, limit),
-            Err(_) => limit_unreadable(track, heard),
+        match notice.rate_limit {
+            Ok(limit) => record_rate_limit(track, heard, limit),
+            Err(_) => record_invalid_rate_limit(track, heard),
         }
-        match notice.rest {
-            Ok(Some(rest)) => hear_rest(track, heard, rest),
+        match notice.retry_after {
+            Ok(Some(rest)) => record_cooldown(track, heard, rest),
             Ok(None) => {}
-            Err(_) => rest_unreadable(track, heard),
+            Err(_) => warn_invalid_retry_after(track, heard),
         }
-        if notice.leaving {
-            hear_leaving(track, heard);
-            state.starts.said_to_leave(&server.row);
+        if notice.draining {
+            record_draining(track, heard);
+            state.starts.mark_draining(&server.row);
         }
     }
 
     /// Whether a server asked this instance for rest.
     #[must_use]
-    pub fn rests(&self, server: &Server) -> bool {
+    pub fn in_cooldown(&self, server: &Server) -> bool {
         let mut state = self.state.lock();
-        state.track(server).is_some_and(|track| track.bounds.rests(now_us()))
+        state.tracked_server(server).is_some_and(|track| track.bounds.rests(now_us()))
     }
 }
 
-fn hear_limit(track: &mut ServerTrack, heard: Heard, limit: Option<RateLimit>) {
+fn record_rate_limit(track: &mut ServerTrack, heard: Heard, limit: Option<RateLimit>) {
     let before = track.bounds.limit.limit();
     if !track.bounds.limit.hear(heard, limit, now_us()) {
         return;
@@ -61,7 +61,7 @@
     );
 }
 
-fn hear_leaving(track: &mut ServerTrack, heard: Heard) {
+fn record_draining(track: &mut ServerTrack, heard: Heard) {
     if !track.hear_leaving() {
         return;
     }
@@ -73,7 +73,7 @@
     );
 }
 
-fn hear_rest(track: &mut ServerTrack, heard: Heard, rest: Duration) {
+fn record_cooldown(track: &mut ServerTrack, heard: Heard, rest: Duration) {
     track.bounds.rest(rest, now_us());
     info!(
         event = "server-rests", server = &*track.row.id, service = &*track.row.service,
@@ -82,7 +82,7 @@
     );
 }
 
-fn rest_unreadable(track: &ServerTrack, heard: Heard) {
+fn warn_invalid_retry_after(track: &ServerTrack, heard: Heard) {
     warn!(
         event = "server-rest-unreadable", code = Code::ServerRestUnreadable.number(),
         server = &*track.row.id, service = &*track.row.service, heard = heard.name();
@@ -91,7 +91,7 @@
 }
 
 /// What the server said before stays in force.
-fn limit_unreadable(track: &mut ServerTrack, heard: Heard) {
+fn record_invalid_rate_limit(track: &mut ServerTrack, heard: Heard) {
     if !track.bounds.limit.hear_unreadable() {
         return;
     }
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -6,7 +6,7 @@
 use log::info;
 
 use super::dispatcher::Dispatcher;
-use super::dispatcher::State;
+use super::dispatcher::DispatcherState;
 use super::grant::Grant;
 use super::server::Server;
 use crate::balance::NearPart;
@@ -15,49 +15,49 @@
 use crate::model::ServerRow;
 
 /// Servers of a service that an instance which is no home knows.
-const SAMPLE_MAX: usize = 16;
+const SAMPLE_SERVERS_MAX: usize = 16;
 
-impl State {
+impl DispatcherState {
     /// What is believed of one start of a server; `None` once a later one is known.
-    pub(super) fn track(&mut self, server: &Server) -> Option<&mut ServerTrack> {
+    pub(super) fn tracked_server(&mut self, server: &Server) -> Option<&mut ServerTrack> {
         let track = self.pools.get_mut(&server.row.service)?.server(&server.row.id)?;
         (track.key == server.key).then_some(track)
     }
 
     /// Who of those that are listed at one address is used.
-    fn claim(&mut self, row: &ServerRow) {
+    fn claim_address(&mut self, row: &ServerRow) {
         if let Some(before) = self.claims.claim(row.address, &row.id) {
             info!(
                 event = "address-taken-over", server = &*row.id, before = &*before,
                 address = row.address.to_string().as_str();
                 "the one before is not used while both are listed"
             );
-            self.supersede(&before, true);
+            self.set_superseded(&before, true);
         }
-        self.supersede(&row.id, false);
+        self.set_superseded(&row.id, false);
     }
 
-    fn give_up(&mut self, row: &ServerRow) {
+    fn release_address(&mut self, row: &ServerRow) {
         if let Some(holder) = self.claims.give_up(row.address, &row.id) {
-            self.supersede(&holder, false);
+            self.set_superseded(&holder, false);
         }
     }
 
-    fn supersede(&mut self, id: &str, superseded: bool) {
+    fn set_superseded(&mut self, id: &str, superseded: bool) {
         if let Some(server) = self.servers.get(id).cloned()
-            && let Some(track) = self.track(&server)
+            && let Some(track) = self.tracked_server(&server)
         {
             track.supersede(superseded);
         }
     }
 
-    fn unlist(&mut self, server: &Server, grace: Duration) {
+    fn mark_unlisted(&mut self, server: &Server, grace: Duration) {
         let until_us = now_us() + u64::try_from(grace.as_micros()).unwrap_or(u64::MAX);
         self.any_unlisted = true;
         if grace.is_zero() {
-            self.give_up(&server.row);
+            self.release_address(&server.row);
         }
-        if let Some(track) = self.track(server) {
+        if let Some(track) = self.tracked_server(server) {
             track.unlist(until_us);
         }
     }
@@ -77,24 +77,24 @@
             let kept =
                 pools.get_mut(&server.row.service).is_some_and(|pool| pool.server(id).is_some());
             if !kept {
-                starts.gone(id, now_us);
+                starts.mark_gone(id, now_us);
                 by_key.remove(&server.key);
                 holders.extend(claims.give_up(server.row.address, id));
             }
             kept
         });
-        starts.forget(now_us);
+        starts.remove_expired(now_us);
         let mut tracks = pools.values().flat_map(|pool| &pool.servers);
         self.any_unlisted = tracks.any(ServerTrack::leaves);
         self.list_version += 1;
         for holder in holders {
-            self.supersede(&holder, false);
+            self.set_superseded(&holder, false);
         }
     }
 
     /// Takes note of a later start. The pool that it is listed in replaces what it believes; one of
     /// another service would keep it.
-    fn started_anew(&mut self, before: &Server, row: &ServerRow) {
+    fn forget_previous_start(&mut self, before: &Server, row: &ServerRow) {
         info!(
             event = "server-started-anew", server = &*row.id, service = &*before.row.service,
             before_ms = before.row.started_ms;
@@ -111,23 +111,28 @@
 impl Dispatcher {
     /// Lists a server, unless the row is of an earlier start, or an earlier report, than what is
     /// known already.
-    pub fn list(&self, row: ServerRow) {
+    pub fn list_server(&self, row: ServerRow) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
-        let Some(row) = state.starts.take(row, now_us()) else {
+        let Some(row) = state.starts.accept(row, now_us()) else {
             return;
         };
-        self.put_in_force(&mut state, &row, &mut undelivered);
+        self.apply_row(&mut state, &row, &mut undelivered);
     }
 
     /// A server that starts again holds and knows nothing of before, so neither do we: its
     /// connections, slots, pace and failures go with the start that they were of.
-    fn put_in_force(&self, state: &mut State, row: &ServerRow, undelivered: &mut Vec<Grant>) {
+    fn apply_row(
+        &self,
+        state: &mut DispatcherState,
+        row: &ServerRow,
+        undelivered: &mut Vec<Grant>,
+    ) {
         let before = state.servers.get(&row.id).cloned();
         if before.as_ref().is_none_or(|before| !before.row.same_start(row)) {
             if let Some(before) = before {
-                state.give_up(&before.row);
-                state.started_anew(&before, row);
+                state.release_address(&before.row);
+                state.forget_previous_start(&before, row);
                 state.by_key.remove(&before.key);
             }
             let server = Arc::new(Server::new(row.clone()));
@@ -137,9 +142,9 @@
         state.list_version += 1;
         let service = Arc::clone(&row.service);
         let evacuated = state.evacuations.covers(&row.zone);
-        let leaving = state.starts.leaves(row);
+        let leaving = state.starts.is_draining(row);
         if state.pools.get(&service).is_none_or(|pool| pool.servers.is_empty()) {
-            state.share_starts(&service);
+            state.update_start_limits(&service);
         }
         let pool = state.pools.entry(Arc::clone(&service)).or_default();
         let track = pool.list(row.clone(), now_us());
@@ -149,7 +154,7 @@
         if leaving {
             track.hear_leaving();
         }
-        state.claim(row);
+        state.claim_address(row);
         self.serve_waiting(state, &service, undelivered);
     }
 
@@ -158,7 +163,11 @@
     pub fn sample(&self, zone: u64) -> Vec<Arc<str>> {
         let state = self.state.lock();
         let now_us = now_us();
-        state.pools.values().flat_map(|pool| pool.sample(zone, SAMPLE_MAX, now_us)).collect()
+        state
+            .pools
+            .values()
+            .flat_map(|pool| pool.sample(zone, SAMPLE_SERVERS_MAX, now_us))
+            .collect()
     }
 
     /// The servers of this part, of each service those among which requests are given one first.
@@ -174,33 +183,33 @@
 
     /// Whether any server is listed here.
     #[must_use]
-    pub fn lists_any(&self) -> bool {
+    pub fn has_servers(&self) -> bool {
         !self.state.lock().servers.is_empty()
     }
 
     /// The platform no longer lists a server; it may be used for `grace` more.
-    pub fn unlist(&self, id: &str, grace: Duration) {
+    pub fn unlist_server(&self, id: &str, grace: Duration) {
         let mut state = self.state.lock();
-        state.starts.removed(id);
+        state.starts.drop_held(id);
         if let Some(server) = state.servers.get(id).cloned() {
-            state.unlist(&server, grace);
+            state.mark_unlisted(&server, grace);
         }
     }
 
     /// Another server has the address of this one now. A later start of it, which may have another
     /// address, is not concerned.
-    pub fn displaced(&self, server: &Server) {
-        self.state.lock().unlist(server, Duration::ZERO);
+    pub fn unlist_displaced(&self, server: &Server) {
+        self.state.lock().mark_unlisted(server, Duration::ZERO);
     }
 
     /// Clears away what is gone, and puts reports in force that nobody contradicted.
-    pub(super) fn tidy(&self) {
+    pub(super) fn clean_up(&self) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
-        for row in state.starts.due(now_us()) {
-            self.put_in_force(&mut state, &row, &mut undelivered);
+        for row in state.starts.take_due(now_us()) {
+            self.apply_row(&mut state, &row, &mut undelivered);
         }
-        state.in_use.tidy();
+        state.in_use.close_expired();
         state.forget_silent_peers(now_us());
         state.forget_unlisted();
     }
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use super::ServiceRule;
+use super::ServiceConfig;
 use super::dispatcher::Dispatcher;
-use super::dispatcher::State;
+use super::dispatcher::DispatcherState;
 use crate::balance::NearPart;
 use crate::balance::RepeatAllowance;
 use crate::balance::RepeatNeed;
@@ -21,22 +21,22 @@
     clippy::cast_sign_loss,
     reason = "a part of a whole number"
 )]
-fn own_connections(rule: &ServiceRule, part: f64) -> u32 {
+fn connection_share(rule: &ServiceConfig, part: f64) -> u32 {
     (f64::from(rule.connections_max) * part).max(1.0) as u32
 }
 
-impl State {
+impl DispatcherState {
     /// Tells the pool of a service what holds for its servers in need, and who shares that.
-    pub(super) fn share_starts(&mut self, service: &Arc<str>) {
-        let rule = self.cold_rules.get(service).copied().unwrap_or_default();
+    pub(super) fn update_start_limits(&mut self, service: &Arc<str>) {
+        let rule = self.cold_policies.get(service).copied().unwrap_or_default();
         let pool = self.pools.entry(Arc::clone(service)).or_default();
-        pool.share_starts(rule, &self.home_share);
+        pool.share_starts(rule, &self.home_set);
     }
 
-    fn share_all_starts(&mut self) {
+    fn update_all_start_limits(&mut self) {
         let services: Vec<Arc<str>> = self.pools.keys().cloned().collect();
         for service in services {
-            self.share_starts(&service);
+            self.update_start_limits(&service);
         }
     }
 }
@@ -46,15 +46,15 @@
     pub fn count_request(&self, service: &Arc<str>) {
         let mut state = self.state.lock();
         let pool = state.pools.entry(Arc::clone(service)).or_default();
-        pool.budget.request(&self.allowance, now_us());
+        pool.budget.request(&self.retry_allowance, now_us());
     }
 
     /// Divides the slack of the repeat budget among so many homes, and the slots of all servers if
     /// this instance is one of them.
     #[expect(clippy::cast_precision_loss, reason = "some homes")]
-    pub fn share_among(&self, homes: usize, own: bool) {
+    pub fn set_home_count(&self, homes: usize, own: bool) {
         let homes = homes.max(1);
-        self.sharers.store(homes, Ordering::Release);
+        self.budget_sharers.store(homes, Ordering::Release);
         let fair_share = if own { 1.0 / homes as f64 } else { 0.0 };
         for pool in self.state.lock().pools.values_mut() {
             pool.fair_share = fair_share;
@@ -62,18 +62,18 @@
     }
 
     /// Looks first at the servers of this part, as they are listed now.
-    pub fn look_near(&self, part: Option<&NearPart>) {
+    pub fn set_subset(&self, part: Option<&NearPart>) {
         for pool in self.state.lock().pools.values_mut() {
             pool.look_near(part);
         }
     }
 
     /// Keeps to a part of the connections that each server of these services accepts.
-    pub fn share_connections(&self, services: &HashMap<Arc<str>, ServiceRule>, part: f64) {
+    pub fn set_connection_share(&self, services: &HashMap<Arc<str>, ServiceConfig>, part: f64) {
         let mut state = self.state.lock();
-        let State { pools, servers, .. } = &mut *state;
+        let DispatcherState { pools, servers, .. } = &mut *state;
         let own_max = |service: &str| {
-            services.get(service).map_or(u32::MAX, |rule| own_connections(rule, part))
+            services.get(service).map_or(u32::MAX, |rule| connection_share(rule, part))
         };
         for (service, pool) in pools.iter_mut() {
             // One is left for health checks.
@@ -86,32 +86,32 @@
     }
 
     /// Takes over what holds for the cold servers of each service.
-    pub fn rule_cold_servers(&self, rules: HashMap<Arc<str>, ColdRule>) {
+    pub fn set_cold_policies(&self, rules: HashMap<Arc<str>, ColdRule>) {
         let mut state = self.state.lock();
-        state.cold_rules = rules;
-        state.share_all_starts();
+        state.cold_policies = rules;
+        state.update_all_start_limits();
     }
 
     /// Keeps to a part of what servers in need may get.
-    pub fn share_starts(&self, share: HomeShare) {
+    pub fn set_home_set(&self, share: HomeShare) {
         let mut state = self.state.lock();
-        if *state.home_share != share {
-            state.home_share = Arc::new(share);
-            state.share_all_starts();
+        if *state.home_set != share {
+            state.home_set = Arc::new(share);
+            state.update_all_start_limits();
         }
     }
 
     /// What this instance may repeat.
     #[expect(clippy::cast_precision_loss, reason = "a few homes")]
-    fn own_allowance(&self) -> RepeatAllowance {
-        let sharers = self.sharers.load(Ordering::Acquire) as f64;
-        RepeatAllowance { slack: self.allowance.slack / sharers, ..self.allowance }
+    fn own_retry_allowance(&self) -> RepeatAllowance {
+        let sharers = self.budget_sharers.load(Ordering::Acquire) as f64;
+        RepeatAllowance { slack: self.retry_allowance.slack / sharers, ..self.retry_allowance }
     }
 
     /// Slots of all servers of these services together. An entry may name a service that nobody
     /// declared; its server gets no requests.
     #[must_use]
-    pub fn slots(&self, services: &HashMap<Arc<str>, ServiceRule>) -> u32 {
+    pub fn total_slots(&self, services: &HashMap<Arc<str>, ServiceConfig>) -> u32 {
         let state = self.state.lock();
         let declared = state.pools.iter().filter(|(service, _)| services.contains_key(*service));
         let tracks = declared.flat_map(|(_, pool)| &pool.servers);
@@ -121,9 +121,9 @@
 
     /// Takes one repeat out of the budget of the service.
     #[must_use]
-    pub fn spend_repeat(&self, service: &str, need: RepeatNeed) -> bool {
+    pub fn spend_retry(&self, service: &str, need: RepeatNeed) -> bool {
         let mut state = self.state.lock();
-        let allowance = self.own_allowance();
+        let allowance = self.own_retry_allowance();
         let pool = state.pools.get_mut(service);
         pool.is_some_and(|pool| pool.budget.spend(&allowance, need, now_us()))
     }
--- a/src/gateway/dispatcher_zones.rs
+++ b/src/gateway/dispatcher_zones.rs
@@ -46,7 +46,7 @@
             change.servers += pool.readmit(zone, now_us);
         }
         change.lasted_us = now_us.saturating_sub(since_us);
-        for service in state.waited_for() {
+        for service in state.services_with_queue() {
             self.serve_waiting(&mut state, &service, &mut undelivered);
         }
         drop(state);
@@ -61,7 +61,7 @@
 
     /// Whether a zone is evacuated.
     #[must_use]
-    pub fn evacuated(&self, zone: &str) -> bool {
+    pub fn is_evacuated(&self, zone: &str) -> bool {
         self.state.lock().evacuations.covers(zone)
     }
 }
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -26,7 +26,7 @@
 use super::mirror::Sink;
 use super::prover::Prover;
 use super::relays::watches;
-use super::shunned::Shunned;
+use super::shunned::RelayCooldowns;
 use super::store_outage::StoreOutage;
 use crate::board::Blackboard;
 use crate::clock::boot_us;
@@ -83,7 +83,7 @@
     /// The store lost the history, so all keys are to be read.
     read_all: AtomicBool,
     /// Relays that are not asked for a while.
-    pub(super) shunned: Mutex<Shunned>,
+    pub(super) shunned: Mutex<RelayCooldowns>,
     /// When this instance last needed the copy.
     needed_us: AtomicU64,
     /// Proves that the copy is the newest, where that is asked of it.
--- a/src/gateway/follower_relays.rs
+++ b/src/gateway/follower_relays.rs
@@ -190,13 +190,13 @@
             }
             let after = self.mirror.revision();
             let Some(answer) = self.peers.ask(peer, feed, after, hold, within).await else {
-                self.shunned.lock().add(peer, SILENT_SHUN);
+                self.shunned.lock().start(peer, SILENT_SHUN);
                 return false;
             };
             if self.take_in(answer) {
                 return true;
             }
-            self.shunned.lock().add(peer, UNCERTAIN_SHUN);
+            self.shunned.lock().start(peer, UNCERTAIN_SHUN);
         }
         false
     }
@@ -206,7 +206,7 @@
     fn next_relay(&self) -> Option<SocketAddr> {
         let relays = relays(&self.board);
         let shunned = self.shunned.lock();
-        let open = relays.iter().copied().filter(|peer| !shunned.has(*peer));
+        let open = relays.iter().copied().filter(|peer| !shunned.is_active(*peer));
         let mut open: Peers = open.collect();
         if open.first() != relays.first() {
             open.shuffle(&mut rand::rng());
--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -10,8 +10,8 @@
 use http::Method;
 
 use super::Caller;
-use super::FieldNames;
-use super::QuotaTicket;
+use super::HeaderNames;
+use super::QuotaToken;
 use super::Route;
 use super::Server;
 use crate::balance::Ask;
@@ -29,14 +29,14 @@
     pub fingerprints: Fingerprints,
     pub method: Method,
     /// Path and query, byte for byte.
-    pub target: String,
+    pub path_and_query: String,
     pub headers: HeaderMap,
     pub body: Bytes,
     pub route: Arc<Route>,
     /// Whose request it is; `None` where no key is needed.
     pub caller: Option<Caller>,
     /// Its token of the workspace's quota.
-    pub quota: QuotaTicket,
+    pub quota: QuotaToken,
     pub service: Arc<str>,
     /// Where the servers of the service answer health checks.
     pub health_path: Option<String>,
@@ -57,14 +57,14 @@
 
     /// Milliseconds until the deadline.
     #[must_use]
-    pub fn left_ms(&self) -> u64 {
+    pub fn remaining_ms(&self) -> u64 {
         self.deadline_us.saturating_sub(now_us()) / 1000
     }
 
     /// Who repeats it if this instance does not. Callers come back once with what was refused, or
     /// with what is idempotent; the time spent before tells that this one did.
     #[must_use]
-    pub const fn repeat_need(&self) -> RepeatNeed {
+    pub const fn retry_need(&self) -> RepeatNeed {
         if self.spent_us == 0 { RepeatNeed::CallerCanReturn } else { RepeatNeed::LastChance }
     }
 
@@ -76,7 +76,7 @@
 
     /// A send of it to `server` that brought no whole answer.
     #[must_use]
-    pub fn unanswered(&self, server: &Server) -> FailedSend {
+    pub fn failed_send(&self, server: &Server) -> FailedSend {
         FailedSend {
             id: self.id_text().to_owned(),
             service: server.row.service.to_string(),
@@ -88,7 +88,7 @@
 
     /// What it needs of a backend server other than those in `tried`.
     #[must_use]
-    pub fn ask(&self, tried: &[Arc<str>]) -> Ask {
+    pub fn spec(&self, tried: &[Arc<str>]) -> Ask {
         #[expect(clippy::cast_precision_loss, reason = "an aim of some seconds")]
         let aim_ms = self.route.aim_ms as f64;
         Ask {
@@ -105,7 +105,7 @@
 
     /// The head as it is sent to the backend server `server_id`, with the time that is left now.
     #[must_use]
-    pub fn head(&self, fields: &FieldNames, server_id: &str) -> BytesMut {
+    pub fn encode_head(&self, fields: &HeaderNames, server_id: &str) -> BytesMut {
         let mut head = BytesMut::with_capacity(512);
         let mut line = |parts: &[&[u8]]| {
             for part in parts {
@@ -113,16 +113,21 @@
             }
             head.extend_from_slice(b"\r\n");
         };
-        line(&[self.method.as_str().as_bytes(), b" ", self.target.as_bytes(), b" HTTP/1.1"]);
-        let named = named_in_connection(&self.headers);
+        line(&[
+            self.method.as_str().as_bytes(),
+            b" ",
+            self.path_and_query.as_bytes(),
+            b" HTTP/1.1",
+        ]);
+        let named = connection_options(&self.headers);
         for (name, value) in &self.headers {
-            if !set_here(fields, name)
+            if !is_set_by_gateway(fields, name)
                 && !named.iter().any(|other| name.as_str().eq_ignore_ascii_case(other))
             {
                 line(&[name.as_str().as_bytes(), b": ", value.as_bytes()]);
             }
         }
-        let left = self.left_ms().to_string();
+        let left = self.remaining_ms().to_string();
         line(&[fields.timeout_ms.as_str().as_bytes(), b": ", left.as_bytes()]);
         if let Some(caller) = &self.caller {
             let name = caller.workspace.name.as_bytes();
@@ -140,7 +145,7 @@
 }
 
 /// Fields that this instance sets, and those that concern only the caller's connection.
-fn set_here(fields: &FieldNames, name: &HeaderName) -> bool {
+fn is_set_by_gateway(fields: &HeaderNames, name: &HeaderName) -> bool {
     *name == fields.timeout_ms
         || *name == fields.expected_server
         || *name == fields.api_key
@@ -151,7 +156,7 @@
 }
 
 /// Names that the `connection` field declares to be for one connection only.
-fn named_in_connection(headers: &HeaderMap) -> Vec<&str> {
+fn connection_options(headers: &HeaderMap) -> Vec<&str> {
     let values = headers.get_all(http::header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     texts.flat_map(|text| text.split(',')).map(str::trim).collect()
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -12,12 +12,12 @@
 use super::dispatcher::Dispatcher;
 use super::forward_request::ForwardRequest;
 use super::grant::Grant;
-use super::memory_room::MemoryRoom;
-use super::reply::OwnReply;
+use super::memory_room::MemoryBudget;
+use super::reply::LocalReply;
 use super::reply::Reply;
 use super::send::SendResult;
 use super::send::Sender;
-use super::send::ServerAnswer;
+use super::send::ServerResponse;
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::board::Latency;
@@ -29,21 +29,21 @@
 
 /// Servers that could not be reached before the request is given up; each costs a connect
 /// timeout.
-const UNREACHABLE_MAX: u32 = 4;
+const UNREACHABLE_SERVERS_MAX: u32 = 4;
 /// Servers that are asked how they are before one request; each takes some two milliseconds.
-const UNFIT_MAX: u32 = 4;
+const PREFLIGHT_CHECKS_MAX: u32 = 4;
 /// A send that still can answer within this part of the usual time is worth making.
-const WORTH_SENDING: f64 = 0.6;
+const RETRY_MIN_TIME_RATIO: f64 = 0.6;
 /// A second send goes out when the first would miss the aim if it had to start now, less this
 /// part of the usual time for its own way.
-const HEDGE_LEAD: f64 = 1.3;
+const HEDGE_LEAD_RATIO: f64 = 1.3;
 /// No second send before this part of the usual time: most answers are there by then.
-const HEDGE_MIN: f64 = 1.5;
+const HEDGE_MIN_DELAY_RATIO: f64 = 1.5;
 /// When to come back after a server refused: at once, but for the way. It refused without having
 /// worked, others may have room, and the caller's aim runs on.
 const REFUSED_RETRY_MS: u64 = 20;
 /// When to come back after no slot came free before the deadline.
-const BUSY_RETRY_MS: u64 = 150;
+const QUEUE_TIMEOUT_RETRY_MS: u64 = 150;
 
 /// Forwards requests; clones share.
 #[derive(Clone, Debug)]
@@ -53,12 +53,12 @@
     pub dispatcher: Dispatcher,
     pub admission: Admission,
     /// For answers that are held whole.
-    pub answer_room: Arc<MemoryRoom>,
+    pub response_memory: Arc<MemoryBudget>,
 }
 
 /// What has been tried for one request.
 #[derive(Debug, Default)]
-struct Tried {
+struct Attempts {
     servers: SmallVec<[Arc<str>; 4]>,
     /// Servers that the request was handed to.
     sends: u32,
@@ -72,20 +72,20 @@
     /// The final answer to a request.
     pub async fn forward(&self, request: &ForwardRequest) -> Reply {
         self.dispatcher.count_request(&request.service);
-        let mut tried = Tried::default();
+        let mut tried = Attempts::default();
         loop {
             if let Some(denial) = self.board.quarantine.denial(&request.fingerprints) {
-                return self.denied(request, &tried, denial).into();
+                return self.denied_reply(request, &tried, denial).into();
             }
             let grant = match self.acquire(request, &tried).await {
                 Ok(grant) => grant,
                 Err(own) => return own.into(),
             };
-            if let Err(own) = self.admission.check(request.caller.as_ref()) {
+            if let Err(own) = self.admission.check_caller(request.caller.as_ref()) {
                 return tried.rejected(own).into();
             }
             let result = self.send_hedged(request, grant, &mut tried).await;
-            match self.judge(request, result, &mut tried) {
+            match self.handle_result(request, result, &mut tried) {
                 Some(reply) => return reply,
                 None => self.board.counters.add(Counter::Retries),
             }
@@ -93,9 +93,13 @@
     }
 
     /// A slot, or the answer that there is none.
-    async fn acquire(&self, request: &ForwardRequest, tried: &Tried) -> Result<Grant, OwnReply> {
-        let left = Duration::from_millis(request.left_ms());
-        let acquire = self.dispatcher.acquire(&request.service, request.ask(&tried.servers));
+    async fn acquire(
+        &self,
+        request: &ForwardRequest,
+        tried: &Attempts,
+    ) -> Result<Grant, LocalReply> {
+        let left = Duration::from_millis(request.remaining_ms());
+        let acquire = self.dispatcher.acquire(&request.service, request.spec(&tried.servers));
         let began_us = now_us();
         let acquired = tokio::time::timeout(left, acquire).await;
         let waited = Duration::from_micros(now_us().saturating_sub(began_us));
@@ -104,7 +108,7 @@
         let refusal = match acquired {
             Ok(Ok(grant)) => return Ok(grant),
             Ok(Err(refusal)) => refusal,
-            Err(_) => self.dispatcher.refusal(&request.service, BUSY_RETRY_MS),
+            Err(_) => self.dispatcher.refusal(&request.service, QUEUE_TIMEOUT_RETRY_MS),
         };
         let code = if refusal.no_server { Code::NoServer } else { Code::QueueFull };
         info!(
@@ -116,24 +120,29 @@
             "no slot in time"
         );
         if tried.may_have_run {
-            return Err(OwnReply::unknown(Code::AnswerLost));
+            return Err(LocalReply::unknown(Code::AnswerLost));
         }
-        Err(OwnReply::not_run(code, refusal.retry_after_ms))
+        Err(LocalReply::not_run(code, refusal.retry_after_ms))
     }
 
     /// Whether another send is allowed: attempts, time, and the budget of repeats.
-    fn may_repeat(&self, request: &ForwardRequest, tried: &Tried) -> bool {
+    fn may_retry(&self, request: &ForwardRequest, tried: &Attempts) -> bool {
         if tried.sends >= request.route.attempts_max {
             return false;
         }
-        let usual_ms = self.dispatcher.usual_ms(&request.service, &request.ask(&tried.servers));
+        let usual_ms = self.dispatcher.typical_ms(&request.service, &request.spec(&tried.servers));
         #[expect(clippy::cast_precision_loss, reason = "milliseconds of a deadline")]
-        let enough = request.left_ms() as f64 > WORTH_SENDING * usual_ms;
-        enough && self.dispatcher.spend_repeat(&request.service, request.repeat_need())
+        let enough = request.remaining_ms() as f64 > RETRY_MIN_TIME_RATIO * usual_ms;
+        enough && self.dispatcher.spend_retry(&request.service, request.retry_need())
     }
 
     /// The answer to a request that is not sent on, since it may crash servers.
-    fn denied(&self, request: &ForwardRequest, tried: &Tried, denial: Denial) -> OwnReply {
+    fn denied_reply(
+        &self,
+        request: &ForwardRequest,
+        tried: &Attempts,
+        denial: Denial,
+    ) -> LocalReply {
         self.board.counters.add(Counter::Denied);
         let [exact, by_caller, content] = request.fingerprints.to_hex();
         info!(
@@ -147,24 +156,24 @@
     }
 
     /// The final answer, or `None` when the request is to be sent again.
-    fn judge(
+    fn handle_result(
         &self,
         request: &ForwardRequest,
         result: SendResult,
-        tried: &mut Tried,
+        tried: &mut Attempts,
     ) -> Option<Reply> {
         let idempotent = request.route.idempotent();
         match result {
             SendResult::Answered(answer) => {
                 let failed = answer.status.is_server_error();
-                if failed && idempotent && self.may_repeat(request, tried) {
+                if failed && idempotent && self.may_retry(request, tried) {
                     tried.may_have_run = true;
                     return None;
                 }
-                Some(passed(answer))
+                Some(server_reply(answer))
             }
             SendResult::Refused { status } => {
-                if status != StatusCode::BAD_REQUEST && self.may_repeat(request, tried) {
+                if status != StatusCode::BAD_REQUEST && self.may_retry(request, tried) {
                     return None;
                 }
                 Some(tried.not_run(Code::NoRepeatLeft, REFUSED_RETRY_MS).into())
@@ -180,19 +189,19 @@
             SendResult::NotSent => {
                 tried.sends -= 1;
                 tried.unreachable += 1;
-                if tried.unreachable < UNREACHABLE_MAX && request.left_ms() > 0 {
+                if tried.unreachable < UNREACHABLE_SERVERS_MAX && request.remaining_ms() > 0 {
                     return None;
                 }
                 Some(tried.not_run(Code::ConnectFailed, REFUSED_RETRY_MS).into())
             }
-            SendResult::Denied(denial) => Some(self.denied(request, tried, denial).into()),
-            SendResult::TimedOut => Some(OwnReply::unknown(Code::DeadlineAfterDispatch).into()),
-            SendResult::Lost(_) | SendResult::Unproved { .. } => {
+            SendResult::Denied(denial) => Some(self.denied_reply(request, tried, denial).into()),
+            SendResult::TimedOut => Some(LocalReply::unknown(Code::DeadlineAfterDispatch).into()),
+            SendResult::Lost(_) | SendResult::UnprovedRefusal { .. } => {
                 tried.may_have_run = true;
-                if idempotent && self.may_repeat(request, tried) {
+                if idempotent && self.may_retry(request, tried) {
                     return None;
                 }
-                Some(OwnReply::unknown(lost_code(&result)).into())
+                Some(LocalReply::unknown(lost_code(&result)).into())
             }
         }
     }
@@ -203,7 +212,7 @@
         &self,
         request: &ForwardRequest,
         grant: Grant,
-        tried: &mut Tried,
+        tried: &mut Attempts,
     ) -> SendResult {
         let hedge_at = self.hedge_after(request, tried);
         let first = self.send_once(request, grant, tried);
@@ -215,11 +224,11 @@
             result = &mut first => return result,
             () = tokio::time::sleep(hedge_after) => {}
         }
-        let ask = request.ask(&tried.servers);
-        let Some(spare) = self.dispatcher.spare(&request.service, &ask) else {
+        let ask = request.spec(&tried.servers);
+        let Some(spare) = self.dispatcher.try_acquire_spare(&request.service, &ask) else {
             return first.await;
         };
-        if !self.may_repeat(request, tried) {
+        if !self.may_retry(request, tried) {
             return first.await;
         }
         self.board.counters.add(Counter::Hedges);
@@ -228,8 +237,8 @@
         let second = self.send_once(request, spare, tried);
         tokio::pin!(second);
         tokio::select! {
-            result = &mut first => if conclusive(&result) { result } else { second.await },
-            result = &mut second => if conclusive(&result) { result } else { first.await },
+            result = &mut first => if is_conclusive(&result) { result } else { second.await },
+            result = &mut second => if is_conclusive(&result) { result } else { first.await },
         }
     }
 
@@ -240,15 +249,16 @@
         clippy::cast_sign_loss,
         reason = "milliseconds, kept above zero"
     )]
-    fn hedge_after(&self, request: &ForwardRequest, tried: &Tried) -> Option<Duration> {
+    fn hedge_after(&self, request: &ForwardRequest, tried: &Attempts) -> Option<Duration> {
         if !request.route.idempotent() || tried.sends + 1 >= request.route.attempts_max {
             return None;
         }
-        let usual_ms = self.dispatcher.usual_ms(&request.service, &request.ask(&[]));
+        let usual_ms = self.dispatcher.typical_ms(&request.service, &request.spec(&[]));
         let here_us = now_us().saturating_sub(request.arrived_us);
         let spent_ms = (here_us + request.spent_us) as f64 / 1000.0;
         let left_for_aim_ms = request.route.aim_ms as f64 - spent_ms;
-        let after_ms = (left_for_aim_ms - HEDGE_LEAD * usual_ms).max(HEDGE_MIN * usual_ms);
+        let after_ms =
+            (left_for_aim_ms - HEDGE_LEAD_RATIO * usual_ms).max(HEDGE_MIN_DELAY_RATIO * usual_ms);
         Some(Duration::from_millis(after_ms as u64))
     }
 
@@ -257,7 +267,7 @@
         &'a self,
         request: &'a ForwardRequest,
         grant: Grant,
-        tried: &mut Tried,
+        tried: &mut Attempts,
     ) -> impl Future<Output = SendResult> + use<'a, D> {
         let server = Arc::clone(&grant.server);
         tried.servers.push(Arc::clone(&server.row.id));
@@ -265,7 +275,8 @@
         let sends = tried.sends;
         self.board.counters.add(Counter::Attempts);
         // Bounded, so that a request is sent at last even if all servers look worse each time.
-        let health_path = (tried.unfit < UNFIT_MAX).then(|| request.health_path.clone()).flatten();
+        let health_path =
+            (tried.unfit < PREFLIGHT_CHECKS_MAX).then(|| request.health_path.clone()).flatten();
         async move {
             let trial = match self.board.quarantine.admit(&request.fingerprints, &request.service) {
                 Ok(trial) => Arc::new(trial),
@@ -276,8 +287,8 @@
             let sender = Sender {
                 dialect: &self.dialect,
                 dispatcher: &self.dispatcher,
-                answer_room: &self.answer_room,
-                trial: &trial,
+                response_memory: &self.response_memory,
+                admitted_send: &trial,
             };
             let result = sender.send(request, grant, health_path.as_deref()).await;
             let took = Duration::from_micros(now_us().saturating_sub(started_us));
@@ -293,15 +304,15 @@
             );
             if let SendResult::Refused { status: StatusCode::MISDIRECTED_REQUEST } = result {
                 // Another server has the address now; nothing more may be sent there.
-                self.dispatcher.displaced(&server);
+                self.dispatcher.unlist_displaced(&server);
             }
             // A full server that is silent to one request and answers others has not ended; asked
             // for a connection, it would only have more to do.
             let lives = matches!(result, SendResult::TimedOut)
-                && self.dispatcher.heard_since(&server, started_us);
-            if result.without_answer() && !lives {
-                let looked = request.unanswered(&server).check_server(trial);
-                let goes_on = request.route.idempotent() && request.left_ms() > 0;
+                && self.dispatcher.reported_load_since(&server, started_us);
+            if result.without_response() && !lives {
+                let looked = request.failed_send(&server).check_server(trial);
+                let goes_on = request.route.idempotent() && request.remaining_ms() > 0;
                 if goes_on {
                     // Still looking after that, it goes on by itself.
                     let _ = tokio::time::timeout(CRASH_CHECK_WAIT, looked).await;
@@ -312,21 +323,21 @@
     }
 }
 
-impl Tried {
+impl Attempts {
     /// An answer of this instance's own, unless an earlier send may have run.
-    fn rejected(&self, own: OwnReply) -> OwnReply {
-        if self.may_have_run { OwnReply::unknown(Code::AnswerLost) } else { own }
+    fn rejected(&self, own: LocalReply) -> LocalReply {
+        if self.may_have_run { LocalReply::unknown(Code::AnswerLost) } else { own }
     }
 
     /// A refusal, unless an earlier send may have run: that a later one did not run does not undo
     /// the earlier one.
-    fn not_run(&self, code: Code, retry_after_ms: u64) -> OwnReply {
-        self.rejected(OwnReply::not_run(code, retry_after_ms))
+    fn not_run(&self, code: Code, retry_after_ms: u64) -> LocalReply {
+        self.rejected(LocalReply::not_run(code, retry_after_ms))
     }
 }
 
 /// Whether a result settles the request, so that the other send is not needed.
-fn conclusive(result: &SendResult) -> bool {
+fn is_conclusive(result: &SendResult) -> bool {
     match result {
         SendResult::Answered(answer) => !answer.status.is_server_error(),
         SendResult::TimedOut => true,
@@ -334,8 +345,8 @@
     }
 }
 
-fn passed(answer: ServerAnswer) -> Reply {
-    let ServerAnswer { status, headers, body } = answer;
+fn server_reply(answer: ServerResponse) -> Reply {
+    let ServerResponse { status, headers, body } = answer;
     Reply { status, headers, body, code: Code::Ok }
 }
 
@@ -343,7 +354,7 @@
     match result {
         SendResult::Lost(super::server_conn::ExchangeError::Truncated) => Code::AnswerTruncated,
         SendResult::Lost(super::server_conn::ExchangeError::Garbled) => Code::AnswerGarbled,
-        SendResult::Unproved { .. } => Code::FailureUnproved,
+        SendResult::UnprovedRefusal { .. } => Code::FailureUnproved,
         _ => Code::AnswerLost,
     }
 }
--- a/src/gateway/framing.rs
+++ b/src/gateway/framing.rs
@@ -12,12 +12,12 @@
     Length(u64),
     Chunked,
     /// The server closes the connection in order.
-    Close,
+    UntilClose,
 }
 
 /// Bytes that are not what the protocol allows there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadFraming;
+pub struct InvalidFraming;
 
 impl Framing {
     /// The framing of an answer.
@@ -25,24 +25,28 @@
     /// # Errors
     /// When its header fields contradict each other: whoever believes the other field would take
     /// part of the body for the next answer.
-    pub fn of(status: StatusCode, headers: &HeaderMap) -> Result<Self, BadFraming> {
+    pub fn of(status: StatusCode, headers: &HeaderMap) -> Result<Self, InvalidFraming> {
         if status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED {
             return Ok(Self::Length(0));
         }
         let lengths: Vec<_> = headers.get_all("content-length").iter().collect();
         if let Some(coding) = headers.get("transfer-encoding") {
             let chunked = coding.as_bytes().eq_ignore_ascii_case(b"chunked");
-            return if chunked && lengths.is_empty() { Ok(Self::Chunked) } else { Err(BadFraming) };
+            return if chunked && lengths.is_empty() {
+                Ok(Self::Chunked)
+            } else {
+                Err(InvalidFraming)
+            };
         }
         match lengths.as_slice() {
-            [] => Ok(Self::Close),
+            [] => Ok(Self::UntilClose),
             [length] => {
-                let text = length.to_str().map_err(|_| BadFraming)?;
+                let text = length.to_str().map_err(|_| InvalidFraming)?;
                 let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
                 let length = text.parse().ok().filter(|_| digits);
-                length.map(Self::Length).ok_or(BadFraming)
+                length.map(Self::Length).ok_or(InvalidFraming)
             }
-            _ => Err(BadFraming),
+            _ => Err(InvalidFraming),
         }
     }
 }
@@ -51,17 +55,17 @@
 #[derive(Debug)]
 pub struct BodyDecoder {
     framing: Framing,
-    chunk: Chunk,
-    done: bool,
+    chunk: ChunkState,
+    complete: bool,
 }
 
 /// Where in a chunked body the decoder is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     Size,
     Data(u64),
     /// The line end behind a chunk.
-    End,
+    DataEnd,
     /// Fields behind the last chunk, up to an empty line.
     Trailer,
 }
@@ -73,72 +77,74 @@
     /// A decoder of one body.
     #[must_use]
     pub const fn new(framing: Framing) -> Self {
-        let done = matches!(framing, Framing::Length(0));
-        Self { framing, chunk: Chunk::Size, done }
+        let complete = matches!(framing, Framing::Length(0));
+        Self { framing, chunk: ChunkState::Size, complete }
     }
 
     /// Whether the body is whole.
     #[must_use]
-    pub const fn done(&self) -> bool {
-        self.done
+    pub const fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Takes note that the connection was closed in order; tells whether the body is whole.
-    pub const fn closed(&mut self) -> bool {
-        if matches!(self.framing, Framing::Close) {
-            self.done = true;
+    pub const fn finish_at_close(&mut self) -> bool {
+        if matches!(self.framing, Framing::UntilClose) {
+            self.complete = true;
         }
-        self.done
+        self.complete
     }
 
     /// The next content in `input`; `None` when more bytes are needed or the body is whole.
     ///
     /// # Errors
     /// When a chunk is not framed as the protocol says.
-    pub fn decode(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, BadFraming> {
-        if self.done || input.is_empty() {
+    pub fn decode(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, InvalidFraming> {
+        if self.complete || input.is_empty() {
             return Ok(None);
         }
         match &mut self.framing {
             Framing::Length(left) => {
                 let bytes = take(input, left);
-                self.done = *left == 0;
+                self.complete = *left == 0;
                 Ok(Some(bytes))
             }
-            Framing::Close => Ok(Some(input.split().freeze())),
+            Framing::UntilClose => Ok(Some(input.split().freeze())),
             Framing::Chunked => self.decode_chunked(input),
         }
     }
 
-    fn decode_chunked(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, BadFraming> {
+    fn decode_chunked(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, InvalidFraming> {
         loop {
             match self.chunk {
-                Chunk::Size => match httparse::parse_chunk_size(input) {
+                ChunkState::Size => match httparse::parse_chunk_size(input) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         input.advance(used);
-                        self.chunk = if size == 0 { Chunk::Trailer } else { Chunk::Data(size) };
+                        self.chunk =
+                            if size == 0 { ChunkState::Trailer } else { ChunkState::Data(size) };
                     }
                     Ok(httparse::Status::Partial) if input.len() <= LINE_MAX_BYTES => {
                         return Ok(None);
                     }
-                    _ => return Err(BadFraming),
+                    _ => return Err(InvalidFraming),
                 },
-                Chunk::Data(mut left) => {
+                ChunkState::Data(mut left) => {
                     if input.is_empty() {
                         return Ok(None);
                     }
                     let bytes = take(input, &mut left);
-                    self.chunk = if left == 0 { Chunk::End } else { Chunk::Data(left) };
+                    self.chunk =
+                        if left == 0 { ChunkState::DataEnd } else { ChunkState::Data(left) };
                     return Ok(Some(bytes));
                 }
-                Chunk::End => match line(input)? {
-                    Some(0) => self.chunk = Chunk::Size,
-                    Some(_) => return Err(BadFraming),
+                ChunkState::DataEnd => match take_line(input)? {
+                    Some(0) => self.chunk = ChunkState::Size,
+                    Some(_) => return Err(InvalidFraming),
                     None => return Ok(None),
                 },
-                Chunk::Trailer => match line(input)? {
+                ChunkState::Trailer => match take_line(input)? {
                     Some(0) => {
-                        self.done = true;
+                        self.complete = true;
                         return Ok(None);
                     }
                     Some(_) => {}
@@ -156,12 +162,12 @@
 }
 
 /// Takes one line and tells its length without the line end; `None` when it is not whole yet.
-fn line(input: &mut BytesMut) -> Result<Option<usize>, BadFraming> {
+fn take_line(input: &mut BytesMut) -> Result<Option<usize>, InvalidFraming> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-        return if input.len() > LINE_MAX_BYTES { Err(BadFraming) } else { Ok(None) };
+        return if input.len() > LINE_MAX_BYTES { Err(InvalidFraming) } else { Ok(None) };
     };
     if end == 0 || input[end - 1] != b'\r' {
-        return Err(BadFraming);
+        return Err(InvalidFraming);
     }
     input.advance(end + 1);
     Ok(Some(end - 1))
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -17,7 +17,7 @@
     /// What was believed of the server when it was chosen.
     pub choice: Choice,
     pub(super) ticket: u64,
-    pub(super) ask: Ask,
+    pub(super) spec: Ask,
     pub(super) end: SendEnd,
     pub(super) dispatcher: Dispatcher,
 }
@@ -30,19 +30,19 @@
 
     /// Whether the server looks much slower than when it was chosen, or turned out full.
     #[must_use]
-    pub fn worse(&self) -> bool {
-        self.dispatcher.worse(&self.server, &self.ask, self.choice.expected_ms)
+    pub fn server_is_worse(&self) -> bool {
+        self.dispatcher.is_worse(&self.server, &self.spec, self.choice.expected_ms)
     }
 
     /// Takes in what the server said of itself in its answer.
-    pub fn hear(&self, notice: ServerNotice) {
-        self.dispatcher.hear(&self.server, Heard::Answer, notice);
+    pub fn record_notice(&self, notice: ServerNotice) {
+        self.dispatcher.record_notice(&self.server, Heard::Answer, notice);
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
         let dispatcher = self.dispatcher.clone();
-        dispatcher.finish(&self.server, self.ticket, &self.ask, self.end);
+        dispatcher.finish(&self.server, self.ticket, &self.spec, self.end);
     }
 }
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -3,8 +3,8 @@
 use super::Dialect;
 use super::dispatcher::Dispatcher;
 use super::server::Server;
-use super::server_conn::Echo;
 use super::server_conn::ExchangeError;
+use super::server_conn::ResponseMatcher;
 use super::server_conn::ServerConn;
 use super::server_notice::ServerNotice;
 use super::server_notice::text;
@@ -15,30 +15,34 @@
 ///
 /// # Errors
 /// When no answer came, or that of another server which has the address now.
-pub async fn check<D: Dialect>(
+pub async fn check_health<D: Dialect>(
     dialect: &D,
     dispatcher: &Dispatcher,
     server: &Server,
     conn: &mut ServerConn,
     path: &str,
 ) -> Result<bool, ExchangeError> {
-    let fields = dialect.fields();
+    let fields = dialect.header_names();
     let head = format!("GET {path} HTTP/1.1\r\nhost: {}\r\n\r\n", server.conns.address());
-    let echo = Echo { field: &fields.request_id, id: None, refusal: &fields.not_run };
+    let echo = ResponseMatcher {
+        id_header: &fields.request_id,
+        id: None,
+        not_run_header: &fields.not_run,
+    };
     let answer = conn.exchange(head.as_bytes(), &[], echo).await?;
     let mut decoder = answer.decoder();
     while conn.read_body(&mut decoder).await?.is_some() {}
     let text = |name| text(&answer.headers, name);
     if text(&fields.server_id).is_some_and(|id| *id != *server.row.id) {
-        dispatcher.displaced(server);
+        dispatcher.unlist_displaced(server);
         return Err(ExchangeError::Garbled);
     }
-    dispatcher.hear(
+    dispatcher.record_notice(
         server,
         Heard::Check,
         ServerNotice::read(dialect, answer.status, &answer.headers),
     );
-    let cold_left_ms = text(&fields.cold_left_ms).and_then(|text| text.trim().parse().ok());
-    dispatcher.checked(server, answer.status.is_success(), cold_left_ms);
+    let cold_left_ms = text(&fields.warmup_left_ms).and_then(|text| text.trim().parse().ok());
+    dispatcher.record_health_check(server, answer.status.is_success(), cold_left_ms);
     Ok(conn.finish(&answer))
 }
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -5,7 +5,7 @@
 
 use log::info;
 
-use super::caller_handler::TableInForce;
+use super::caller_handler::CurrentRouteTable;
 use super::dispatcher::Dispatcher;
 use super::homes::HomesPlan;
 use super::homes::all_homes;
@@ -52,7 +52,7 @@
 pub struct HomePlanner {
     pub board: Arc<Blackboard>,
     pub dispatcher: Dispatcher,
-    pub table: TableInForce,
+    pub table: CurrentRouteTable,
     pub quotas: Arc<Quotas>,
 }
 
@@ -126,7 +126,7 @@
             return before;
         }
         let known_anew = (basis.table, basis.servers) != (before.table, before.servers);
-        if known_anew && self.dispatcher.lists_any() {
+        if known_anew && self.dispatcher.has_servers() {
             self.board.set_zone_demand_per_s(self.zone_demand_per_s());
         }
         let (basis, homes) = self.basis();
@@ -139,13 +139,13 @@
                 ""
             );
         }
-        self.dispatcher.share_starts(self.home_share(&basis));
+        self.dispatcher.set_home_set(self.home_share(&basis));
         let own = basis.homes.contains(&self.board.incarnation);
-        self.dispatcher.share_among(homes.len(), own);
-        self.dispatcher.look_near(near_part(&self.board).as_ref());
+        self.dispatcher.set_home_count(homes.len(), own);
+        self.dispatcher.set_subset(near_part(&self.board).as_ref());
         let part = connection_part(homes.len(), basis.others, own);
         if let Some(table) = self.table.load().as_ref() {
-            self.dispatcher.share_connections(&table.services, part);
+            self.dispatcher.set_connection_share(&table.services, part);
         }
         basis
     }
@@ -172,7 +172,7 @@
     )]
     fn zone_demand_per_s(&self) -> u32 {
         let table = self.table.load();
-        let slots = table.as_ref().map_or(0, |table| self.dispatcher.slots(&table.services));
+        let slots = table.as_ref().map_or(0, |table| self.dispatcher.total_slots(&table.services));
         let settings = self.board.settings.gateway.as_ref();
         let zones = settings.map_or(1, |gateway| gateway.zones.len().max(1)) as f64;
         (f64::from(slots) / zones * REQUESTS_PER_SLOT) as u32
--- a/src/gateway/load_share.rs
+++ b/src/gateway/load_share.rs
@@ -13,7 +13,7 @@
 use tokio::time::MissedTickBehavior;
 
 use super::dispatcher::Dispatcher;
-use super::dispatcher_peers::PEER_LIFE_US;
+use super::dispatcher_peers::PEER_TIMEOUT_US;
 use super::homes::HomesPlan;
 use super::homes::all_homes;
 use super::homes::is_home;
@@ -41,7 +41,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 /// A peer that was not spoken to for so long has forgotten everything, also where the last word
 /// reached it late.
-const FORGOTTEN_US: u64 = PEER_LIFE_US + 500_000;
+const FORGOTTEN_US: u64 = PEER_TIMEOUT_US + 500_000;
 /// Peers that are told at the full rate; with more of them each is told less often, as what
 /// instances may spend on telling each other does not grow with their number.
 const PEERS_AT_FULL_RATE: usize = 5;
@@ -86,14 +86,14 @@
         let mut calm_turns = 0;
         loop {
             // An instance that is no home has nothing to tell but its own requests, if any.
-            let speaks = self.is_home() || !self.dispatcher.idle();
+            let speaks = self.is_home() || !self.dispatcher.is_idle();
             calm_turns = if speaks { 0 } else { calm_turns + 1 };
             if calm_turns < CALM_TURNS {
                 self.tell_all(&mut told);
             } else {
                 told.clear();
             }
-            let wait = tokio::time::timeout(HOMES_INTERVAL, self.dispatcher.busy());
+            let wait = tokio::time::timeout(HOMES_INTERVAL, self.dispatcher.wait_until_busy());
             if speaks {
                 tokio::time::sleep(HOMES_INTERVAL).await;
             } else {
@@ -141,9 +141,9 @@
         let mut turns = tokio::time::interval(INTERVAL * stretch);
         turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            if self.dispatcher.idle() && told.nothing() && !self.is_home() {
+            if self.dispatcher.is_idle() && told.nothing() && !self.is_home() {
                 // An instance that is no home has nothing to tell but its own requests.
-                self.dispatcher.busy().await;
+                self.dispatcher.wait_until_busy().await;
             }
             turns.tick().await;
             if now_us().saturating_sub(spoke_us) >= FORGOTTEN_US {
@@ -157,10 +157,10 @@
             idle_intervals += 1;
             let idle_due = (IDLE_INTERVALS / stretch).max(CALM_INTERVALS);
             let due = if rows.is_empty() { idle_due } else { CALM_INTERVALS };
-            if idle_intervals < due && (rows.is_empty() || !self.dispatcher.contended()) {
+            if idle_intervals < due && (rows.is_empty() || !self.dispatcher.has_queue()) {
                 continue;
             }
-            if rows.is_empty() && self.dispatcher.idle() {
+            if rows.is_empty() && self.dispatcher.is_idle() {
                 continue;
             }
             idle_intervals = 0;
--- a/src/gateway/memory_room.rs
+++ b/src/gateway/memory_room.rs
@@ -6,19 +6,19 @@
 
 /// A bound on bytes held at the same time, over all connections.
 #[derive(Debug)]
-pub struct MemoryRoom {
+pub struct MemoryBudget {
     used: AtomicUsize,
     max_bytes: usize,
 }
 
 /// Part of a room, given back when dropped.
 #[derive(Debug)]
-pub struct RoomPart {
-    room: Arc<MemoryRoom>,
+pub struct MemoryReservation {
+    budget: Arc<MemoryBudget>,
     bytes: usize,
 }
 
-impl MemoryRoom {
+impl MemoryBudget {
     /// Room for `max_bytes`.
     #[must_use]
     pub const fn new(max_bytes: usize) -> Self {
@@ -33,18 +33,18 @@
 
     /// A part that holds nothing yet.
     #[must_use]
-    pub fn part(self: &Arc<Self>) -> RoomPart {
-        RoomPart { room: Arc::clone(self), bytes: 0 }
+    pub fn reservation(self: &Arc<Self>) -> MemoryReservation {
+        MemoryReservation { budget: Arc::clone(self), bytes: 0 }
     }
 }
 
-impl RoomPart {
+impl MemoryReservation {
     /// Takes more bytes; `false`, with nothing taken, when the room has not that many left.
     #[must_use]
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        let max_bytes = self.room.max_bytes;
+    pub fn try_grow(&mut self, bytes: usize) -> bool {
+        let max_bytes = self.budget.max_bytes;
         let add = |used: usize| used.checked_add(bytes).filter(|used| *used <= max_bytes);
-        let taken = self.room.used.try_update(Ordering::AcqRel, Ordering::Acquire, add).is_ok();
+        let taken = self.budget.used.try_update(Ordering::AcqRel, Ordering::Acquire, add).is_ok();
         if taken {
             self.bytes += bytes;
         }
@@ -52,8 +52,8 @@
     }
 }
 
-impl Drop for RoomPart {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.room.used.fetch_sub(self.bytes, Ordering::AcqRel);
+        self.budget.used.fetch_sub(self.bytes, Ordering::AcqRel);
     }
 }
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -14,7 +14,7 @@
 
 use super::Admission;
 use super::Dialect;
-use super::caller_handler::TableInForce;
+use super::caller_handler::CurrentRouteTable;
 use super::homes::HomesPlan;
 use super::homes::homes_of_zone;
 use crate::board::Blackboard;
@@ -44,14 +44,14 @@
 pub struct ReadinessHandler<D> {
     pub dialect: D,
     pub board: Arc<Blackboard>,
-    pub table: TableInForce,
+    pub table: CurrentRouteTable,
 }
 
 impl<D: Dialect> Handler for ReadinessHandler<D> {
     type Body = Full<Bytes>;
 
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        if request.uri().path() != self.dialect.paths().readiness {
+        if request.uri().path() != self.dialect.instance_paths().readiness {
             return respond(StatusCode::NOT_FOUND, Vec::new());
         }
         let ready = self.board.phase() == Phase::Running && self.table.load().is_some();
@@ -79,7 +79,7 @@
         let view = self.board.members_view();
         let homes = homes_of_zone(&view, zone, HomesPlan::of(&self.board));
         let keep = if view.serving() > 1 { ADDRESS_KEEP } else { ADDRESS_KEEP_ALONE };
-        let relied_on = self.admission.relied_on();
+        let relied_on = self.admission.accepts_callers();
         let named =
             homes.iter().filter(|row| relied_on || row.incarnation != self.board.incarnation);
         (named.map(|row| row.caller).collect(), keep.min(keep_max))
@@ -90,13 +90,14 @@
     type Body = Full<Bytes>;
 
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let paths = self.dialect.paths();
+        let paths = self.dialect.instance_paths();
         if request.uri().path() != paths.addresses {
             return respond(StatusCode::NOT_FOUND, Vec::new());
         }
         let pairs = request.uri().query().unwrap_or("").split('&');
         let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
-        let zone = pairs.find(|(name, _)| *name == paths.zone_query).map_or("", |(_, zone)| zone);
+        let zone =
+            pairs.find(|(name, _)| *name == paths.zone_query_param).map_or("", |(_, zone)| zone);
         let (addresses, keep) = self.addresses(zone);
         if addresses.is_empty() {
             return respond(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use super::Dialect;
-use super::caller_handler::TableInForce;
+use super::caller_handler::CurrentRouteTable;
 use super::dispatcher::Dispatcher;
-use super::health_check::check;
+use super::health_check::check_health;
 use super::home_planner::near_part;
 use super::server::Server;
 use crate::balance::NearPart;
@@ -83,7 +83,7 @@
     pub dialect: D,
     pub board: Arc<Blackboard>,
     pub dispatcher: Dispatcher,
-    pub table: TableInForce,
+    pub table: CurrentRouteTable,
     pub settings: GatewaySettings,
 }
 
@@ -107,7 +107,7 @@
             if let Some(part) = near_part(&self.board) {
                 own.refresh(&self.dispatcher, part);
                 let untold = turn % (rate * UNTOLD_INTERVAL_S) == 0;
-                if !self.dispatcher.evacuated(&self.board.settings.instance.zone) {
+                if !self.dispatcher.is_evacuated(&self.board.settings.instance.zone) {
                     self.probe_own(&own.servers, turn, untold, requests.per_s);
                 }
             }
@@ -119,10 +119,10 @@
     fn probe_own(&self, servers: &[Arc<Server>], turn: u32, untold: bool, requests_per_s: f64) {
         let turns = self.turns_of_one_check(servers.len(), requests_per_s);
         for server in servers {
-            let first = !server.asked.swap(true, Ordering::Relaxed);
+            let first = !server.health_checked.swap(true, Ordering::Relaxed);
             let due =
-                turn.wrapping_add(server.key) % turns == 0 && self.dispatcher.tells_load(server);
-            if (first || untold || due) && !self.dispatcher.rests(server) {
+                turn.wrapping_add(server.key) % turns == 0 && self.dispatcher.reports_load(server);
+            if (first || untold || due) && !self.dispatcher.in_cooldown(server) {
                 tokio::spawn(self.clone().probe(Arc::clone(server)));
             }
         }
@@ -152,23 +152,24 @@
             return;
         };
         self.board.counters.add(Counter::Probes);
-        self.dispatcher.note_use(&server);
+        self.dispatcher.record_use(&server);
         let checked = async {
             let mut conn = match server.conns.take(PROBE_TIMEOUT).await {
                 Ok(conn) => conn,
                 // All connections carry requests, whose answers tell as much.
                 Err(err) => return (err.kind() == ErrorKind::QuotaExceeded).then_some(()),
             };
-            let keep =
-                check(&self.dialect, &self.dispatcher, &server, &mut conn, path).await.ok()?;
+            let keep = check_health(&self.dialect, &self.dispatcher, &server, &mut conn, path)
+                .await
+                .ok()?;
             if keep {
                 server.conns.put_back(conn);
             }
             Some(())
         };
         let checked = tokio::time::timeout(PROBE_TIMEOUT, checked).await;
-        if !matches!(checked, Ok(Some(()))) && self.dispatcher.tells_load(&server) {
-            self.dispatcher.unheard(&server);
+        if !matches!(checked, Ok(Some(()))) && self.dispatcher.reports_load(&server) {
+            self.dispatcher.record_check_timeout(&server);
         }
     }
 }
--- a/src/gateway/quota_gate.rs
+++ b/src/gateway/quota_gate.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use super::Caller;
-use super::caller_handler::TableInForce;
-use super::reply::OwnReply;
+use super::caller_handler::CurrentRouteTable;
+use super::reply::LocalReply;
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::clock::now_us;
@@ -21,20 +21,20 @@
 use crate::workspace::Workspace;
 
 /// How long one instance is given to lend tokens, and all that are asked together.
-const LEND_TIMEOUT: Duration = Duration::from_millis(50);
+const LENDER_TIMEOUT: Duration = Duration::from_millis(50);
 const BORROW_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long a request waits for this instance to find the others, and how often it looks.
-const ALONE_MAX: Duration = Duration::from_millis(400);
-const ALONE_TURN: Duration = Duration::from_millis(20);
-const MILLI: f64 = 1000.0;
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(400);
+const PEER_DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MILLITOKENS_PER_TOKEN: f64 = 1000.0;
 
 /// A token of a workspace's quota; spent unless it is given back.
 #[derive(Debug, Default)]
-pub struct QuotaTicket(Option<(Arc<Quotas>, Arc<Workspace>)>);
+pub struct QuotaToken(Option<(Arc<Quotas>, Arc<Workspace>)>);
 
-impl QuotaTicket {
+impl QuotaToken {
     /// The request did not run.
-    pub fn give_back(&self) {
+    pub fn refund(&self) {
         if let Some((quotas, workspace)) = &self.0 {
             quotas.refund(workspace);
         }
@@ -43,10 +43,10 @@
 
 /// Gives out tokens of quotas, and borrows them from other instances.
 #[derive(Clone, Debug)]
-pub struct QuotaGate<L> {
+pub struct QuotaLimiter<L> {
     pub board: Arc<Blackboard>,
     pub links: L,
-    pub table: TableInForce,
+    pub table: CurrentRouteTable,
     pub quotas: Arc<Quotas>,
 }
 
@@ -55,29 +55,29 @@
     clippy::cast_sign_loss,
     reason = "rounded down, so that no token is made"
 )]
-fn to_milli(tokens: f64) -> u32 {
-    (tokens * MILLI).clamp(0.0, f64::from(u32::MAX)) as u32
+fn to_millitokens(tokens: f64) -> u32 {
+    (tokens * MILLITOKENS_PER_TOKEN).clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-impl<L: PeerCalls> QuotaGate<L> {
+impl<L: PeerCalls> QuotaLimiter<L> {
     /// A token for a request; where there is no quota, none is needed.
     ///
     /// # Errors
     /// The answer to a request above the quota.
-    pub async fn pass(&self, caller: Option<&Caller>) -> Result<QuotaTicket, OwnReply> {
+    pub async fn acquire(&self, caller: Option<&Caller>) -> Result<QuotaToken, LocalReply> {
         let Some(caller) = caller.filter(|caller| caller.workspace.is_limited()) else {
-            return Ok(QuotaTicket::default());
+            return Ok(QuotaToken::default());
         };
         let workspace = &caller.workspace;
-        self.others_known().await;
+        self.wait_for_placement().await;
         let dry = match self.quotas.take(workspace, now_us()) {
-            Ok(()) => return Ok(self.ticket(workspace)),
+            Ok(()) => return Ok(self.token(workspace)),
             Err(dry) => dry,
         };
         let asked = dry.lenders.len();
         let borrowed = tokio::time::timeout(BORROW_TIMEOUT, self.borrow(workspace, &dry)).await;
         if borrowed == Ok(true) {
-            return Ok(self.ticket(workspace));
+            return Ok(self.token(workspace));
         }
         if asked > 0 {
             self.quotas.note_no_lender(workspace, now_us());
@@ -88,26 +88,26 @@
             burst = workspace.burst, retry_after_ms = dry.retry_after_ms, asked = asked;
             "no token in time"
         );
-        Err(OwnReply::over_quota(dry.retry_after_ms))
+        Err(LocalReply::over_quota(dry.retry_after_ms))
     }
 
-    fn ticket(&self, workspace: &Arc<Workspace>) -> QuotaTicket {
-        QuotaTicket(Some((Arc::clone(&self.quotas), Arc::clone(workspace))))
+    fn token(&self, workspace: &Arc<Workspace>) -> QuotaToken {
+        QuotaToken(Some((Arc::clone(&self.quotas), Arc::clone(workspace))))
     }
 
     /// An instance that knows nobody may be one of hundreds that start: it holds no tokens until it knows
     /// who does.
-    async fn others_known(&self) {
+    async fn wait_for_placement(&self) {
         let began = Instant::now();
-        while !self.quotas.placement_known() && began.elapsed() < ALONE_MAX {
-            tokio::time::sleep(ALONE_TURN).await;
+        while !self.quotas.placement_known() && began.elapsed() < PEER_DISCOVERY_TIMEOUT {
+            tokio::time::sleep(PEER_DISCOVERY_POLL_INTERVAL).await;
         }
     }
 
     /// Asks those who hold tokens, one after the other, until one is there.
     async fn borrow(&self, workspace: &Workspace, dry: &OutOfTokens) -> bool {
         for lender in &dry.lenders {
-            let tokens = self.ask(*lender, workspace, dry.tokens_wanted).await;
+            let tokens = self.request_tokens(*lender, workspace, dry.tokens_wanted).await;
             if tokens <= 0.0 {
                 continue;
             }
@@ -120,12 +120,12 @@
     }
 
     /// Tokens that one instance lends.
-    async fn ask(&self, lender: SocketAddr, workspace: &Workspace, wanted: f64) -> f64 {
+    async fn request_tokens(&self, lender: SocketAddr, workspace: &Workspace, wanted: f64) -> f64 {
         let workspace = workspace.name.to_string();
-        let request = PeerRequest::QuotaTokens { workspace, wanted_milli: to_milli(wanted) };
+        let request = PeerRequest::QuotaTokens { workspace, wanted_milli: to_millitokens(wanted) };
         // One that does not answer lends nothing; the next is asked.
-        match self.links.call(lender, &request, LEND_TIMEOUT).await {
-            Ok(PeerReply::QuotaTokens(milli)) => f64::from(milli) / MILLI,
+        match self.links.call(lender, &request, LENDER_TIMEOUT).await {
+            Ok(PeerReply::QuotaTokens(milli)) => f64::from(milli) / MILLITOKENS_PER_TOKEN,
             _ => 0.0,
         }
     }
@@ -139,6 +139,10 @@
         else {
             return 0;
         };
-        to_milli(self.quotas.lend(workspace, f64::from(wanted_milli) / MILLI, now_us()))
+        to_millitokens(self.quotas.lend(
+            workspace,
+            f64::from(wanted_milli) / MILLITOKENS_PER_TOKEN,
+            now_us(),
+        ))
     }
 }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -35,7 +35,7 @@
 impl<D: Dialect, S: EventStore> Registry<D, S> {
     async fn enter(&self) -> Result<u64, StoreError> {
         let lease = self.store.open_lease(LEASE_TTL).await?;
-        let prefix = self.dialect.keys().instances_prefix;
+        let prefix = self.dialect.store_keys().instances_prefix;
         let key = format!("{prefix}{}", self.board.settings.instance.name);
         let address = self.board.settings.listen.peer.to_string();
         if self.store.write_leased(&key, address.as_bytes(), lease).await? {
@@ -83,7 +83,7 @@
         if self.board.members_view().serving() > 1 {
             return Ok(Vec::new());
         }
-        let prefix = self.dialect.keys().instances_prefix;
+        let prefix = self.dialect.store_keys().instances_prefix;
         let page = self.store.page(prefix, None, Freshness::Latest).await?;
         let listed = page.items.iter().filter_map(|item| {
             let address: SocketAddr = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -14,7 +14,7 @@
 use http_body::SizeHint;
 use tokio::sync::mpsc;
 
-use super::memory_room::RoomPart;
+use super::memory_room::MemoryReservation;
 use super::server_conn::ExchangeError;
 use crate::errors::Code;
 use crate::task::TaskGuard;
@@ -25,10 +25,10 @@
     /// An answer of this instance's own, which has no body.
     Empty,
     /// Held whole, and counted as held until the caller has taken it.
-    Whole { bytes: Option<Bytes>, _held: RoomPart },
+    Buffered { bytes: Option<Bytes>, _held: MemoryReservation },
     /// Too large to be held: passed on as it comes. An error ends the caller's connection, so that
     /// a body that was cut short never looks whole.
-    Live {
+    Streamed {
         chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
         bytes: Option<u64>,
         /// Reads from the backend server; ends with the body, which cancels the work there.
@@ -54,27 +54,27 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ExchangeError>>> {
         match &mut *self {
             Self::Empty => Poll::Ready(None),
-            Self::Whole { bytes, .. } => {
+            Self::Buffered { bytes, .. } => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            Self::Live { chunks, .. } => {
+            Self::Streamed { chunks, .. } => {
                 chunks.poll_recv(cx).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Empty | Self::Whole { bytes: None, .. })
+        matches!(self, Self::Empty | Self::Buffered { bytes: None, .. })
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Empty => SizeHint::with_exact(0),
-            Self::Whole { bytes, .. } => {
+            Self::Buffered { bytes, .. } => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Live { bytes: Some(bytes), .. } => SizeHint::with_exact(*bytes),
-            Self::Live { bytes: None, .. } => SizeHint::default(),
+            Self::Streamed { bytes: Some(bytes), .. } => SizeHint::with_exact(*bytes),
+            Self::Streamed { bytes: None, .. } => SizeHint::default(),
         }
     }
 }
@@ -90,7 +90,7 @@
 }
 
 /// Statuses by which a gateway promises that the request did not run and will not.
-pub const PROMISES: [StatusCode; 4] = [
+pub const NOT_RUN_STATUSES: [StatusCode; 4] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::MISDIRECTED_REQUEST,
     StatusCode::TOO_MANY_REQUESTS,
@@ -99,14 +99,14 @@
 
 /// An answer of this instance's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnReply {
+pub struct LocalReply {
     pub status: StatusCode,
     pub code: Code,
     /// When to come back, for a request that did not run.
     pub retry_after_ms: Option<u64>,
 }
 
-impl OwnReply {
+impl LocalReply {
     /// The request did not run and will not; when to come back.
     #[must_use]
     pub const fn not_run(code: Code, retry_after_ms: u64) -> Self {
@@ -142,8 +142,8 @@
     }
 }
 
-impl From<OwnReply> for Reply {
-    fn from(own: OwnReply) -> Self {
+impl From<LocalReply> for Reply {
+    fn from(own: LocalReply) -> Self {
         let mut headers = HeaderMap::new();
         let seconds = own.retry_after_ms.map(|ms| Duration::from_millis(ms).as_secs_f64());
         if let Some(value) = seconds.and_then(|seconds| format!("{seconds:.3}").parse().ok()) {
@@ -157,7 +157,7 @@
     /// Whether this instance says that the request did not run and will not.
     #[must_use]
     pub fn not_run(&self) -> bool {
-        self.code != Code::Ok && PROMISES.contains(&self.status)
+        self.code != Code::Ok && NOT_RUN_STATUSES.contains(&self.status)
     }
 
     /// As an HTTP response.
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -76,7 +76,7 @@
 
 /// What the operators say of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServiceRule {
+pub struct ServiceConfig {
     pub name: Arc<str>,
     pub health_path: String,
     /// Connections that a backend server of the service takes from everybody together.
@@ -90,7 +90,7 @@
     pub cold_per_s: Option<f64>,
 }
 
-impl ServiceRule {
+impl ServiceConfig {
     /// How long a backend server stays cold.
     #[must_use]
     pub fn warmup(&self) -> Duration {
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     pub version: u64,
-    pub services: HashMap<Arc<str>, ServiceRule>,
+    pub services: HashMap<Arc<str>, ServiceConfig>,
     pub limits: CallerLimits,
     /// `None` where requests need no key.
     pub workspaces: Option<WorkspaceTable>,
@@ -138,7 +138,7 @@
     pub fn new(
         version: u64,
         routes: Vec<Arc<Route>>,
-        services: Vec<ServiceRule>,
+        services: Vec<ServiceConfig>,
         limits: CallerLimits,
     ) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
@@ -161,7 +161,7 @@
 
     /// The route of the host with the longest prefix that begins the path.
     #[must_use]
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         let of_host = match self.routes.get(host) {
             Some(of_host) => of_host,
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -15,14 +15,14 @@
 use super::forward_request::ForwardRequest;
 use super::framing::BodyDecoder;
 use super::grant::Grant;
-use super::health_check::check;
-use super::memory_room::MemoryRoom;
-use super::memory_room::RoomPart;
-use super::reply::PROMISES;
+use super::health_check::check_health;
+use super::memory_room::MemoryBudget;
+use super::memory_room::MemoryReservation;
+use super::reply::NOT_RUN_STATUSES;
 use super::reply::ReplyBody;
-use super::server_conn::AnswerHead;
-use super::server_conn::Echo;
 use super::server_conn::ExchangeError;
+use super::server_conn::ResponseHead;
+use super::server_conn::ResponseMatcher;
 use super::server_conn::ServerConn;
 use super::server_notice::ServerNotice;
 use crate::balance::SendEnd;
@@ -37,18 +37,18 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// What was last heard of a server's pace is believed for this long: of shifts every 150 ms, three
 /// in a hundred fall into it.
-const FRESH_US: u64 = 5_000;
+const LOAD_FRESH_US: u64 = 5_000;
 /// A server in the same region answers a health check within some milliseconds.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(25);
+const PREFLIGHT_TIMEOUT: Duration = Duration::from_millis(25);
 /// Answers up to this size are held whole, so that one cut short is known in time to ask again.
-const HOLD_MAX_BYTES: usize = 256 << 10;
+const BUFFER_MAX_BYTES: usize = 256 << 10;
 /// Chunks of a larger answer that are read ahead of the caller: one is written while the next one
 /// comes. A caller that reads slowly holds no more than these, however large its answer is.
-const LIVE_CHUNKS: usize = 1;
+const STREAM_CHUNKS_AHEAD: usize = 1;
 
 /// A backend server's answer.
 #[derive(Debug)]
-pub struct ServerAnswer {
+pub struct ServerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: ReplyBody,
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub enum SendResult {
     /// The server's answer to this request.
-    Answered(ServerAnswer),
+    Answered(ServerResponse),
     /// The server said that it did not run the request.
     Refused { status: StatusCode },
     /// No connection: nothing was sent.
@@ -72,7 +72,7 @@
     /// It may crash servers: nothing was sent.
     Denied(Denial),
     /// As `Lost`: a status that promises that the request did not run, without the proof of it.
-    Unproved { status: StatusCode },
+    UnprovedRefusal { status: StatusCode },
 }
 
 impl SendResult {
@@ -88,17 +88,17 @@
             Self::Lost(error) => error.name(),
             Self::TimedOut => "timed-out",
             Self::Denied(_) => "denied",
-            Self::Unproved { .. } => "unproved-refusal",
+            Self::UnprovedRefusal { .. } => "unproved-refusal",
         }
     }
 
     /// Whether the server began on the request, as far as can be told, and gave no answer.
     #[must_use]
-    pub const fn without_answer(&self) -> bool {
+    pub const fn without_response(&self) -> bool {
         matches!(self, Self::Lost(_) | Self::TimedOut)
     }
 
-    const fn end(&self) -> SendEnd {
+    const fn send_end(&self) -> SendEnd {
         match self {
             Self::Answered(answer) => {
                 let failed = answer.status.as_u16() >= 500;
@@ -106,7 +106,7 @@
             }
             Self::Unfit { .. } | Self::Denied(_) => SendEnd::Unsent,
             Self::Refused { .. } => SendEnd::Refused,
-            Self::Unproved { .. } => SendEnd::Failed,
+            Self::UnprovedRefusal { .. } => SendEnd::Failed,
             Self::NotSent => SendEnd::Unreachable,
             Self::Lost(_) => SendEnd::Broken,
             Self::TimedOut => SendEnd::TimedOut,
@@ -120,16 +120,16 @@
     pub dialect: &'a D,
     pub dispatcher: &'a Dispatcher,
     /// For answers that are held whole.
-    pub answer_room: &'a Arc<MemoryRoom>,
+    pub response_memory: &'a Arc<MemoryBudget>,
     /// What the send shows of the request.
-    pub trial: &'a Arc<AdmittedSend>,
+    pub admitted_send: &'a Arc<AdmittedSend>,
 }
 
 /// The beginning of an answer: its head, and its body as far as it was held.
-struct Begun {
-    head: AnswerHead,
-    held: Bytes,
-    part: RoomPart,
+struct PartialResponse {
+    head: ResponseHead,
+    buffered: Bytes,
+    reservation: MemoryReservation,
     decoder: BodyDecoder,
 }
 
@@ -146,12 +146,12 @@
         grant: Grant,
         health_path: Option<&str>,
     ) -> SendResult {
-        let left = Duration::from_millis(request.left_ms());
+        let left = Duration::from_millis(request.remaining_ms());
         let mut conn = match grant.server.conns.take(CONNECT_TIMEOUT.min(left)).await {
             Ok(conn) => conn,
             // Its connections are all in use, which says nothing against the server.
             Err(err) if err.kind() == ErrorKind::QuotaExceeded => {
-                return ended(grant, SendResult::Unfit { silent: false });
+                return finish_send(grant, SendResult::Unfit { silent: false });
             }
             Err(_) => {
                 grant.end(SendEnd::Unreachable);
@@ -159,48 +159,52 @@
             }
         };
         if let Some(path) = health_path.filter(|_| self.pace_is_stale(&grant)) {
-            match self.fit(&grant, &mut conn, path, left).await {
-                Fitness::Fit => {}
-                Fitness::Worse => {
+            match self.preflight_check(&grant, &mut conn, path, left).await {
+                PreflightResult::Passed => {}
+                PreflightResult::Slower => {
                     grant.server.conns.put_back(conn);
-                    return ended(grant, SendResult::Unfit { silent: false });
+                    return finish_send(grant, SendResult::Unfit { silent: false });
+                }
+                PreflightResult::Disconnected => {
+                    return finish_send(grant, SendResult::Unfit { silent: false });
+                }
+                PreflightResult::TimedOut => {
+                    return finish_send(grant, SendResult::Unfit { silent: true });
                 }
-                Fitness::Gone => return ended(grant, SendResult::Unfit { silent: false }),
-                Fitness::Silent => return ended(grant, SendResult::Unfit { silent: true }),
             }
         }
-        let left = Duration::from_millis(request.left_ms());
+        let left = Duration::from_millis(request.remaining_ms());
         let exchanged = tokio::time::timeout(left, self.exchange(request, &grant, &mut conn)).await;
         match exchanged {
-            Err(_) => ended(grant, SendResult::TimedOut),
-            Ok(Err(error)) => ended(grant, SendResult::Lost(error)),
-            Ok(Ok(begun)) => self.answered(request, grant, conn, begun),
+            Err(_) => finish_send(grant, SendResult::TimedOut),
+            Ok(Err(error)) => finish_send(grant, SendResult::Lost(error)),
+            Ok(Ok(begun)) => self.evaluate_response(request, grant, conn, begun),
         }
     }
 
     fn pace_is_stale(&self, grant: &Grant) -> bool {
         match grant.choice.pace_age_us {
-            Some(age_us) => age_us > FRESH_US,
-            None => self.dispatcher.service_tells_load(&grant.server.row.service),
+            Some(age_us) => age_us > LOAD_FRESH_US,
+            None => self.dispatcher.service_reports_load(&grant.server.row.service),
         }
     }
 
     /// Asks a server how it is, just before a request is handed over.
-    async fn fit(
+    async fn preflight_check(
         &self,
         grant: &Grant,
         conn: &mut ServerConn,
         path: &str,
         left: Duration,
-    ) -> Fitness {
-        let checked = check(self.dialect, self.dispatcher, &grant.server, conn, path);
-        match tokio::time::timeout(CHECK_TIMEOUT.min(left), checked).await {
-            Ok(Ok(true)) if grant.worse() => Fitness::Worse,
-            Ok(Ok(true)) => Fitness::Fit,
-            Ok(_) => Fitness::Gone,
+    ) -> PreflightResult {
+        let checked = check_health(self.dialect, self.dispatcher, &grant.server, conn, path);
+        match tokio::time::timeout(PREFLIGHT_TIMEOUT.min(left), checked).await {
+            Ok(Ok(true)) if grant.server_is_worse() => PreflightResult::Slower,
+            Ok(Ok(true)) => PreflightResult::Passed,
+            Ok(_) => PreflightResult::Disconnected,
             Err(_) => {
-                self.dispatcher.unheard(&grant.server);
-                Fitness::Silent
+                self.dispatcher.record_check_timeout(&grant.server);
+                PreflightResult::TimedOut
             }
         }
     }
@@ -211,103 +215,114 @@
         request: &ForwardRequest,
         grant: &Grant,
         conn: &mut ServerConn,
-    ) -> Result<Begun, ExchangeError> {
-        let fields = self.dialect.fields();
-        let echo =
-            Echo { field: &fields.request_id, id: request.id.as_ref(), refusal: &fields.not_run };
-        let sent = request.head(fields, &grant.server.row.id);
+    ) -> Result<PartialResponse, ExchangeError> {
+        let fields = self.dialect.header_names();
+        let echo = ResponseMatcher {
+            id_header: &fields.request_id,
+            id: request.id.as_ref(),
+            not_run_header: &fields.not_run,
+        };
+        let sent = request.encode_head(fields, &grant.server.row.id);
         let head = conn.exchange(&sent, &request.body, echo).await?;
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            grant.hear(ServerNotice::read(self.dialect, head.status, &head.headers));
+            grant.record_notice(ServerNotice::read(self.dialect, head.status, &head.headers));
         }
         let mut decoder = head.decoder();
-        let mut part = self.answer_room.part();
+        let mut part = self.response_memory.reservation();
         let mut whole = BytesMut::new();
-        while whole.len() < HOLD_MAX_BYTES {
+        while whole.len() < BUFFER_MAX_BYTES {
             let Some(bytes) = conn.read_body(&mut decoder).await? else {
                 break;
             };
             whole.extend_from_slice(&bytes);
             // Without room the answer is passed on as it comes; cut short, it cannot be asked for
             // again then.
-            if !part.grow(bytes.len()) {
+            if !part.try_grow(bytes.len()) {
                 break;
             }
         }
-        Ok(Begun { head, held: whole.freeze(), part, decoder })
+        Ok(PartialResponse { head, buffered: whole.freeze(), reservation: part, decoder })
     }
 
     /// What an answer comes to whose beginning is there.
-    fn answered(
+    fn evaluate_response(
         &self,
         request: &ForwardRequest,
         grant: Grant,
         conn: ServerConn,
-        begun: Begun,
+        begun: PartialResponse,
     ) -> SendResult {
-        let Begun { head, held, part, decoder } = begun;
-        if let Some(result) = refusal(self.dialect, &head) {
-            keep(&grant, conn, &head, &decoder);
-            return ended(grant, result);
+        let PartialResponse { head, buffered: held, reservation: part, decoder } = begun;
+        if let Some(result) = refusal_result(self.dialect, &head) {
+            return_connection(&grant, conn, &head, &decoder);
+            return finish_send(grant, result);
         }
-        let (status, headers) = (head.status, passed_on(&head.headers));
-        if decoder.done() {
-            keep(&grant, conn, &head, &decoder);
+        let (status, headers) = (head.status, forwarded_headers(&head.headers));
+        if decoder.is_complete() {
+            return_connection(&grant, conn, &head, &decoder);
             if !status.is_server_error() {
-                self.trial.record_response();
+                self.admitted_send.record_response();
             }
             let bytes = Some(held).filter(|bytes| !bytes.is_empty());
-            let body = ReplyBody::Whole { bytes, _held: part };
-            return ended(grant, SendResult::Answered(ServerAnswer { status, headers, body }));
+            let body = ReplyBody::Buffered { bytes, _held: part };
+            return finish_send(
+                grant,
+                SendResult::Answered(ServerResponse { status, headers, body }),
+            );
         }
         let watch = PendingSend {
-            failed_send: request.unanswered(&grant.server),
-            send: Arc::clone(self.trial),
+            failed_send: request.failed_send(&grant.server),
+            send: Arc::clone(self.admitted_send),
         };
-        let body = live_body(grant, conn, head, held, decoder, watch);
-        SendResult::Answered(ServerAnswer { status, headers, body })
+        let body = stream_body(grant, conn, head, held, decoder, watch);
+        SendResult::Answered(ServerResponse { status, headers, body })
     }
 }
 
 /// What a server is found to be just before a request is handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fitness {
-    Fit,
+enum PreflightResult {
+    Passed,
     /// It works much slower than when it was chosen, or others fill its slots: sent there, the
     /// request would wait, and slow down what runs.
-    Worse,
+    Slower,
     /// Its connection cannot carry the request.
-    Gone,
-    Silent,
+    Disconnected,
+    TimedOut,
 }
 
-fn ended(grant: Grant, result: SendResult) -> SendResult {
-    grant.end(result.end());
+fn finish_send(grant: Grant, result: SendResult) -> SendResult {
+    grant.end(result.send_end());
     result
 }
 
 /// Whether the answer says that the request did not run, or seems to.
-fn refusal<D: Dialect>(dialect: &D, head: &AnswerHead) -> Option<SendResult> {
+fn refusal_result<D: Dialect>(dialect: &D, head: &ResponseHead) -> Option<SendResult> {
     let status = head.status;
-    let proved = head.headers.contains_key(&dialect.fields().not_run)
+    let proved = head.headers.contains_key(&dialect.header_names().not_run)
         || status == StatusCode::MISDIRECTED_REQUEST;
     if proved {
         return Some(SendResult::Refused { status });
     }
     // Passed on, this status would promise the caller what nobody proved.
-    PROMISES.contains(&status).then_some(SendResult::Unproved { status })
+    NOT_RUN_STATUSES.contains(&status).then_some(SendResult::UnprovedRefusal { status })
 }
 
 /// Keeps the connection if its answer is whole and the server keeps it open.
-fn keep(grant: &Grant, mut conn: ServerConn, head: &AnswerHead, decoder: &BodyDecoder) {
-    if decoder.done() && conn.finish(head) {
+fn return_connection(
+    grant: &Grant,
+    mut conn: ServerConn,
+    head: &ResponseHead,
+    decoder: &BodyDecoder,
+) {
+    if decoder.is_complete() && conn.finish(head) {
         grant.server.conns.put_back(conn);
     }
 }
 
 /// The header fields of an answer that are meant for the caller. A length is told anew by the
 /// body that is passed on.
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         if !hop_by_hop(name) && *name != http::header::CONTENT_LENGTH {
@@ -318,15 +333,15 @@
 }
 
 /// Passes a large answer on while it is read.
-fn live_body(
+fn stream_body(
     grant: Grant,
     mut conn: ServerConn,
-    head: AnswerHead,
+    head: ResponseHead,
     first: Bytes,
     mut decoder: BodyDecoder,
     watch: PendingSend,
 ) -> ReplyBody {
-    let (sender, chunks) = mpsc::channel(LIVE_CHUNKS);
+    let (sender, chunks) = mpsc::channel(STREAM_CHUNKS_AHEAD);
     let bytes = head.body_bytes();
     let reader = TaskGuard::spawn(async move {
         let mut chunk = Some(first);
@@ -345,11 +360,11 @@
                 }
             };
         }
-        keep(&grant, conn, &head, &decoder);
+        return_connection(&grant, conn, &head, &decoder);
         if !head.status.is_server_error() {
             watch.record_response();
         }
         grant.end(SendEnd::Answered);
     });
-    ReplyBody::Live { chunks, bytes, reader }
+    ReplyBody::Streamed { chunks, bytes, reader }
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::AtomicBool;
 
-use super::server_conns::ServerConns;
+use super::server_conns::ServerConnPool;
 use crate::balance::server_key;
 use crate::model::ServerRow;
 
@@ -13,16 +13,16 @@
     pub row: ServerRow,
     /// Hash by which instances name this start of the server to each other.
     pub key: u32,
-    pub conns: ServerConns,
+    pub conns: ServerConnPool,
     /// Whether it was ever asked for its health by this instance.
-    pub asked: AtomicBool,
+    pub health_checked: AtomicBool,
 }
 
 impl Server {
     /// A server without a connection.
     #[must_use]
     pub fn new(row: ServerRow) -> Self {
-        let conns = ServerConns::new(row.address);
-        Self { key: server_key(&row), conns, asked: AtomicBool::new(false), row }
+        let conns = ServerConnPool::new(row.address);
+        Self { key: server_key(&row), conns, health_checked: AtomicBool::new(false), row }
     }
 }
--- a/src/gateway/server_conn.rs
+++ b/src/gateway/server_conn.rs
@@ -22,15 +22,15 @@
 
 const READ_BYTES: usize = 16 << 10;
 /// Largest head of an answer.
-const HEAD_MAX_BYTES: usize = 64 << 10;
-const FIELDS_MAX: usize = 64;
+const RESPONSE_HEAD_MAX_BYTES: usize = 64 << 10;
+const RESPONSE_HEADERS_MAX: usize = 64;
 /// Answers of others that are passed over before the connection is given up.
-const STRAYS_MAX: u32 = 3;
+const STALE_RESPONSES_MAX: u32 = 3;
 /// A server that does not tell closes idle connections after some seconds at the soonest.
-const KEEP_DEFAULT: Duration = Duration::from_secs(4);
+const KEEP_ALIVE_DEFAULT: Duration = Duration::from_secs(4);
 /// Part of the time told by the server for which an idle connection is used again: the server
 /// counts from its last byte, and a request must not cross its close.
-const KEEP_SHARE_PERCENT: u32 = 75;
+const KEEP_ALIVE_USE_PERCENT: u32 = 75;
 
 /// Why an exchange brought no whole answer. The request may have run in each case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 
 /// The head of an answer.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     pub status: StatusCode,
     pub headers: HeaderMap,
     framing: Framing,
@@ -67,20 +67,20 @@
 
 /// Tells answers to our request from answers to others.
 #[derive(Clone, Copy, Debug)]
-pub struct Echo<'a> {
+pub struct ResponseMatcher<'a> {
     /// Field that servers copy from the request into the answer.
-    pub field: &'a HeaderName,
+    pub id_header: &'a HeaderName,
     pub id: Option<&'a HeaderValue>,
     /// Field of an answer that refuses; such an answer may lack the echo.
-    pub refusal: &'a HeaderName,
+    pub not_run_header: &'a HeaderName,
 }
 
-impl Echo<'_> {
-    fn matches(&self, head: &AnswerHead) -> bool {
-        match (self.id, head.headers.get(self.field)) {
+impl ResponseMatcher<'_> {
+    fn matches(&self, head: &ResponseHead) -> bool {
+        match (self.id, head.headers.get(self.id_header)) {
             (Some(id), Some(echoed)) => id == echoed,
             (Some(_), None) => {
-                head.headers.contains_key(self.refusal)
+                head.headers.contains_key(self.not_run_header)
                     || head.status == StatusCode::MISDIRECTED_REQUEST
             }
             // We sent no id: an answer that bears one is a late one to an earlier request, and
@@ -96,25 +96,25 @@
     stream: TcpStream,
     input: BytesMut,
     idle_since_us: u64,
-    keep: Duration,
-    _open: OpenCount,
+    keep_alive: Duration,
+    _open_guard: OpenConnGuard,
 }
 
 /// Counts a connection to a backend server while it is open.
 #[derive(Debug)]
-pub struct OpenCount(Arc<AtomicU32>);
+pub struct OpenConnGuard(Arc<AtomicU32>);
 
-impl OpenCount {
+impl OpenConnGuard {
     /// Counts one more, unless there are `most` already.
     #[must_use]
-    pub fn within(open: &Arc<AtomicU32>, most: u32) -> Option<Self> {
+    pub fn try_new(open: &Arc<AtomicU32>, most: u32) -> Option<Self> {
         let add = |now: u32| (now < most).then_some(now + 1);
         open.try_update(Ordering::AcqRel, Ordering::Acquire, add).ok()?;
         Some(Self(Arc::clone(open)))
     }
 }
 
-impl Drop for OpenCount {
+impl Drop for OpenConnGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -128,14 +128,20 @@
     pub async fn open(
         address: SocketAddr,
         within: Duration,
-        open: OpenCount,
+        open: OpenConnGuard,
     ) -> std::io::Result<Self> {
         let timed_out = |_| std::io::ErrorKind::TimedOut.into();
         let connected = tokio::time::timeout(within, TcpStream::connect(address)).await;
         let stream = connected.unwrap_or_else(|elapsed| Err(timed_out(elapsed)))?;
         stream.set_nodelay(true)?;
         let input = BytesMut::new();
-        Ok(Self { stream, input, idle_since_us: now_us(), keep: KEEP_DEFAULT, _open: open })
+        Ok(Self {
+            stream,
+            input,
+            idle_since_us: now_us(),
+            keep_alive: KEEP_ALIVE_DEFAULT,
+            _open_guard: open,
+        })
     }
 
     /// Whether an idle connection can carry another request.
@@ -143,9 +149,9 @@
     /// Bytes that came unasked belong to no request; with them, or after a close, the next answer
     /// could be taken for the wrong request, or the request be lost.
     #[must_use]
-    pub fn reusable(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let idle_us = now_us().saturating_sub(self.idle_since_us);
-        let keep = self.keep * KEEP_SHARE_PERCENT / 100;
+        let keep = self.keep_alive * KEEP_ALIVE_USE_PERCENT / 100;
         let fresh = u128::from(idle_us) < keep.as_micros();
         let mut probe = [0_u8; 1];
         let quiet = matches!(
@@ -164,8 +170,8 @@
         &mut self,
         head: &[u8],
         body: &[u8],
-        echo: Echo<'_>,
-    ) -> Result<AnswerHead, ExchangeError> {
+        echo: ResponseMatcher<'_>,
+    ) -> Result<ResponseHead, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let input = &mut self.input;
         let write = async {
@@ -199,13 +205,13 @@
         loop {
             match decoder.decode(&mut self.input) {
                 Ok(Some(bytes)) => return Ok(Some(bytes)),
-                Ok(None) if decoder.done() => return Ok(None),
+                Ok(None) if decoder.is_complete() => return Ok(None),
                 Ok(None) => {}
                 Err(_) => return Err(ExchangeError::Garbled),
             }
             self.input.reserve(READ_BYTES);
             match self.stream.read_buf(&mut self.input).await {
-                Ok(0) if decoder.closed() => return Ok(None),
+                Ok(0) if decoder.finish_at_close() => return Ok(None),
                 Ok(0) | Err(_) => return Err(ExchangeError::Truncated),
                 Ok(_) => {}
             }
@@ -213,14 +219,14 @@
     }
 
     /// Takes note that the exchange is over; tells whether the connection may be kept.
-    pub fn finish(&mut self, head: &AnswerHead) -> bool {
+    pub fn finish(&mut self, head: &ResponseHead) -> bool {
         self.idle_since_us = now_us();
-        self.keep = keep_alive(&head.headers).unwrap_or(KEEP_DEFAULT);
-        head.keeps_open && self.reusable()
+        self.keep_alive = keep_alive(&head.headers).unwrap_or(KEEP_ALIVE_DEFAULT);
+        head.keeps_open && self.is_reusable()
     }
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// A decoder of this answer's body.
     #[must_use]
     pub const fn decoder(&self) -> BodyDecoder {
@@ -232,7 +238,7 @@
     pub const fn body_bytes(&self) -> Option<u64> {
         match self.framing {
             Framing::Length(bytes) => Some(bytes),
-            Framing::Chunked | Framing::Close => None,
+            Framing::Chunked | Framing::UntilClose => None,
         }
     }
 }
@@ -252,9 +258,9 @@
 async fn read_matching_head(
     reader: &mut tokio::net::tcp::ReadHalf<'_>,
     input: &mut BytesMut,
-    echo: Echo<'_>,
-) -> Result<AnswerHead, ExchangeError> {
-    for _ in 0..=STRAYS_MAX {
+    echo: ResponseMatcher<'_>,
+) -> Result<ResponseHead, ExchangeError> {
+    for _ in 0..=STALE_RESPONSES_MAX {
         let head = read_head(reader, input).await?;
         if head.status.is_informational() {
             continue;
@@ -270,15 +276,15 @@
 async fn skip_body(
     reader: &mut tokio::net::tcp::ReadHalf<'_>,
     input: &mut BytesMut,
-    head: &AnswerHead,
+    head: &ResponseHead,
 ) -> Result<(), ExchangeError> {
-    if !head.keeps_open || head.framing == Framing::Close {
+    if !head.keeps_open || head.framing == Framing::UntilClose {
         return Err(ExchangeError::Garbled);
     }
     let mut decoder = head.decoder();
     loop {
         let content = decoder.decode(input).map_err(|_| ExchangeError::Garbled)?;
-        if decoder.done() {
+        if decoder.is_complete() {
             return Ok(());
         }
         if content.is_none() {
@@ -301,12 +307,12 @@
 async fn read_head(
     reader: &mut tokio::net::tcp::ReadHalf<'_>,
     input: &mut BytesMut,
-) -> Result<AnswerHead, ExchangeError> {
+) -> Result<ResponseHead, ExchangeError> {
     loop {
         if let Some(head) = parse_head(input)? {
             return Ok(head);
         }
-        if input.len() > HEAD_MAX_BYTES {
+        if input.len() > RESPONSE_HEAD_MAX_BYTES {
             return Err(ExchangeError::Garbled);
         }
         let empty = input.is_empty();
@@ -317,8 +323,8 @@
 }
 
 /// Takes a whole head out of `input`; `None` when more bytes are needed.
-fn parse_head(input: &mut BytesMut) -> Result<Option<AnswerHead>, ExchangeError> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MAX];
+fn parse_head(input: &mut BytesMut) -> Result<Option<ResponseHead>, ExchangeError> {
+    let mut fields = [httparse::EMPTY_HEADER; RESPONSE_HEADERS_MAX];
     let mut parsed = httparse::Response::new(&mut fields);
     let used = match parsed.parse(input) {
         Ok(httparse::Status::Complete(used)) => used,
@@ -343,7 +349,7 @@
         let mut words = value.as_bytes().split(|byte| *byte == b',');
         words.any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
     });
-    let keeps_open = http_1_1 && !closes && framing != Framing::Close;
+    let keeps_open = http_1_1 && !closes && framing != Framing::UntilClose;
     bytes::Buf::advance(input, used);
-    Ok(Some(AnswerHead { status, headers, framing, keeps_open }))
+    Ok(Some(ResponseHead { status, headers, framing, keeps_open }))
 }
--- a/src/gateway/server_conns.rs
+++ b/src/gateway/server_conns.rs
@@ -9,15 +9,15 @@
 
 use parking_lot::Mutex;
 
-use super::server_conn::OpenCount;
+use super::server_conn::OpenConnGuard;
 use super::server_conn::ServerConn;
 
 /// Idle connections kept to one server; more than its slots are of no use.
-const IDLE_MAX: usize = 8;
+const IDLE_CONNS_MAX: usize = 8;
 
 /// Connections to one backend server, the last used first.
 #[derive(Debug)]
-pub struct ServerConns {
+pub struct ServerConnPool {
     address: SocketAddr,
     idle: Mutex<Vec<ServerConn>>,
     /// Connections that are open, idle ones included.
@@ -26,7 +26,7 @@
     open_max: AtomicU32,
 }
 
-impl ServerConns {
+impl ServerConnPool {
     /// No connection yet.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
@@ -41,7 +41,7 @@
 
     /// Connections that are open now, idle ones included.
     #[must_use]
-    pub fn open_now(&self) -> u32 {
+    pub fn open_count(&self) -> u32 {
         self.open.load(Ordering::Acquire)
     }
 
@@ -53,10 +53,10 @@
 
     /// An idle connection that may be used again.
     #[must_use]
-    pub fn reuse(&self) -> Option<ServerConn> {
+    pub fn take_idle(&self) -> Option<ServerConn> {
         let mut idle = self.idle.lock();
         while let Some(conn) = idle.pop() {
-            if conn.reusable() {
+            if conn.is_reusable() {
                 return Some(conn);
             }
         }
@@ -69,11 +69,11 @@
     /// When none can be opened within `within`, or [`ErrorKind::QuotaExceeded`] when this instance
     /// has as many as it may.
     pub async fn take(&self, within: Duration) -> std::io::Result<ServerConn> {
-        if let Some(conn) = self.reuse() {
+        if let Some(conn) = self.take_idle() {
             return Ok(conn);
         }
         let open_max = self.open_max.load(Ordering::Acquire);
-        let Some(open) = OpenCount::within(&self.open, open_max) else {
+        let Some(open) = OpenConnGuard::try_new(&self.open, open_max) else {
             return Err(ErrorKind::QuotaExceeded.into());
         };
         ServerConn::open(self.address, within, open).await
@@ -82,14 +82,14 @@
     /// Keeps a connection for the next request.
     pub fn put_back(&self, conn: ServerConn) {
         let mut idle = self.idle.lock();
-        if idle.len() < IDLE_MAX {
+        if idle.len() < IDLE_CONNS_MAX {
             idle.push(conn);
         }
     }
 
     /// Closes connections that may not be used again.
-    pub fn tidy(&self) {
-        self.idle.lock().retain(ServerConn::reusable);
+    pub fn close_expired(&self) {
+        self.idle.lock().retain(ServerConn::is_reusable);
     }
 
     /// Closes all idle connections.
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -10,8 +10,8 @@
 use super::Dialect;
 use super::PartFault;
 use super::RouteTable;
-use super::ServiceRule;
-use super::caller_handler::TableInForce;
+use super::ServiceConfig;
+use super::caller_handler::CurrentRouteTable;
 use super::copy_age::CopyAge;
 use super::dispatcher::Dispatcher;
 use super::mirror::Sink;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct OperatorSink<D> {
     pub dialect: D,
-    pub table: TableInForce,
+    pub table: CurrentRouteTable,
     pub board: Arc<Blackboard>,
     pub dispatcher: Dispatcher,
     /// Of the copy that this is told from.
@@ -55,7 +55,7 @@
 impl<D: Dialect> OperatorSink<D> {
     /// The zone that a key evacuates.
     fn zone_of<'a>(&self, key: &'a str) -> Option<&'a str> {
-        key.strip_prefix(self.dialect.keys().evacuations_prefix)
+        key.strip_prefix(self.dialect.store_keys().evacuations_prefix)
     }
 
     /// The key alone is the operators' word; what its value may come to say does not take it back.
@@ -95,7 +95,7 @@
     fn cold_rules(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdRule> {
         let bounds = self.board.settings.gateway.as_ref();
         let (overage, slack) = bounds.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
-        let rule = |service: &ServiceRule| ColdRule {
+        let rule = |service: &ServiceConfig| ColdRule {
             bound: service.cold_per_s.map(|per_s| ColdBound { per_s, overage, slack }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
         };
@@ -130,7 +130,7 @@
             revision = item.revision;
             "configuration changed"
         );
-        self.dispatcher.rule_cold_servers(self.cold_rules(&read.table));
+        self.dispatcher.set_cold_policies(self.cold_rules(&read.table));
         self.table.store(Some(Arc::new(read.table)));
         self.board.counters.add(Counter::ConfigMerged);
     }
@@ -138,13 +138,13 @@
 
 impl<D: Dialect> Sink for OperatorSink<D> {
     fn seal(&self, item: &mut Item) {
-        if item.key == self.dialect.keys().config {
-            item.value = self.dialect.seal_config(std::mem::take(&mut item.value));
+        if item.key == self.dialect.store_keys().config {
+            item.value = self.dialect.redact_config(std::mem::take(&mut item.value));
         }
     }
 
     fn written(&mut self, item: &Item) {
-        if item.key == self.dialect.keys().config {
+        if item.key == self.dialect.store_keys().config {
             self.configure(item);
         } else if let Some(zone) = self.zone_of(&item.key) {
             self.evacuate(zone, item.revision);
@@ -201,7 +201,7 @@
     /// An entry may come from a writer that is no server, and says nothing that can be used. It
     /// names no server, also where one stood under this key before; the other entries hold.
     fn reject(&mut self, id: &str, why: String, revision: u64) {
-        self.dispatcher.unlist(id, Duration::ZERO);
+        self.dispatcher.unlist_server(id, Duration::ZERO);
         if self.unreadable.get(id) == Some(&why) {
             return;
         }
@@ -228,7 +228,8 @@
 
 impl<D: Dialect> Sink for ServerSink<D> {
     fn written(&mut self, item: &Item) {
-        let id = item.key.strip_prefix(self.dialect.keys().servers_prefix).unwrap_or(&item.key);
+        let id =
+            item.key.strip_prefix(self.dialect.store_keys().servers_prefix).unwrap_or(&item.key);
         let row = match self.read(id, &item.value) {
             Ok(row) => row,
             Err(why) => return self.reject(id, why, item.revision),
@@ -243,20 +244,20 @@
                 ""
             );
         }
-        self.dispatcher.list(row);
+        self.dispatcher.list_server(row);
     }
 
     fn removed(&mut self, key: &str, grace: Duration) {
-        let id = key.strip_prefix(self.dialect.keys().servers_prefix).unwrap_or(key);
+        let id = key.strip_prefix(self.dialect.store_keys().servers_prefix).unwrap_or(key);
         self.unreadable.remove(id);
         if self.count(0, 1) {
             info!(event = "server-unlisted", server = id, grace_ms = grace.as_millis(); "");
         }
-        self.dispatcher.unlist(id, grace);
+        self.dispatcher.unlist_server(id, grace);
     }
 
     fn sample(&self, zone: u64) -> Vec<String> {
-        let prefix = self.dialect.keys().servers_prefix;
+        let prefix = self.dialect.store_keys().servers_prefix;
         let ids = self.dispatcher.sample(zone);
         ids.iter().map(|id| format!("{prefix}{id}")).collect()
     }
--- a/src/gateway/suspect_keeper.rs
+++ b/src/gateway/suspect_keeper.rs
@@ -58,7 +58,7 @@
         let Some(first) = rows.first() else {
             return Ok(());
         };
-        let (prefix, name) = (self.dialect.keys().suspects_prefix, first.fingerprint);
+        let (prefix, name) = (self.dialect.store_keys().suspects_prefix, first.fingerprint);
         let value = serde_json::to_vec(rows).map_err(|err| StoreError::Refused(err.to_string()))?;
         let lease = self.store.open_lease(KEEP).await?;
         if self.store.write_leased(&format!("{prefix}{name}"), &value, lease).await? {
@@ -87,7 +87,7 @@
     }
 
     async fn read_once(&self) -> Result<Vec<SuspectRecord>, StoreError> {
-        let prefix = self.dialect.keys().suspects_prefix;
+        let prefix = self.dialect.store_keys().suspects_prefix;
         let mut rows = Vec::new();
         let mut after: Option<String> = None;
         loop {
--- a/standins/src/routed/plain_dialect.rs
+++ b/standins/src/routed/plain_dialect.rs
@@ -5,8 +5,8 @@
 
 use http::HeaderName;
 use sorrelwick::gateway::Dialect;
-use sorrelwick::gateway::FieldNames;
-use sorrelwick::gateway::Paths;
+use sorrelwick::gateway::HeaderNames;
+use sorrelwick::gateway::InstancePaths;
 use sorrelwick::gateway::StoreKeys;
 use sorrelwick::model::LoadReport;
 use sorrelwick::model::ServerRow;
@@ -18,13 +18,13 @@
 /// The stand-in's names: fields called what they hold, bodies as the product declares them.
 #[derive(Clone, Debug)]
 pub struct PlainDialect {
-    fields: FieldNames,
+    fields: HeaderNames,
 }
 
 impl Default for PlainDialect {
     fn default() -> Self {
         let name = HeaderName::from_static;
-        let fields = FieldNames {
+        let fields = HeaderNames {
             request_id: name("request-id"),
             api_key: name("api-key"),
             workspace: name("workspace"),
@@ -34,20 +34,20 @@
             load: name("load"),
             not_run: name("not-run"),
             server_id: name("server-id"),
-            cold_left_ms: name("cold-left-ms"),
+            warmup_left_ms: name("cold-left-ms"),
             rate_limit: name("rate-limit"),
-            leaving: name("leaving"),
+            draining: name("leaving"),
         };
         Self { fields }
     }
 }
 
 impl Dialect for PlainDialect {
-    fn fields(&self) -> &FieldNames {
+    fn header_names(&self) -> &HeaderNames {
         &self.fields
     }
 
-    fn keys(&self) -> StoreKeys {
+    fn store_keys(&self) -> StoreKeys {
         StoreKeys {
             operators_prefix: "operators/",
             config: CONFIG_KEY,
@@ -58,8 +58,8 @@
         }
     }
 
-    fn paths(&self) -> Paths {
-        Paths { addresses: "/addresses", readiness: "/ready", zone_query: "zone" }
+    fn instance_paths(&self) -> InstancePaths {
+        InstancePaths { addresses: "/addresses", readiness: "/ready", zone_query_param: "zone" }
     }
 
     fn decode_server(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
--- a/standins/src/routed/raw_server.rs
+++ b/standins/src/routed/raw_server.rs
@@ -10,7 +10,7 @@
 
 use parking_lot::Mutex;
 use sorrelwick::gateway::Dialect;
-use sorrelwick::gateway::FieldNames;
+use sorrelwick::gateway::HeaderNames;
 use sorrelwick::task::TaskGuard;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 struct Shared {
     id: String,
-    names: FieldNames,
+    names: HeaderNames,
     behaviour: Mutex<Behaviour>,
     crash_rule: Mutex<Option<CrashRule>>,
     crash: Notify,
@@ -113,14 +113,14 @@
     /// # Panics
     /// When no port is free.
     pub async fn spawn(id: &str) -> Self {
-        Self::spawn_named(id, PlainDialect::default().fields().clone()).await
+        Self::spawn_named(id, PlainDialect::default().header_names().clone()).await
     }
 
     /// Starts a server that knows a platform's names.
     ///
     /// # Panics
     /// When no port is free.
-    pub async fn spawn_named(id: &str, names: FieldNames) -> Self {
+    pub async fn spawn_named(id: &str, names: HeaderNames) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared {
@@ -309,7 +309,7 @@
 async fn read_head(
     stream: &mut TcpStream,
     input: &mut Vec<u8>,
-    names: &FieldNames,
+    names: &HeaderNames,
 ) -> Option<Head> {
     loop {
         if let Some(end) = input.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -374,7 +374,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let (id, load) = (&shared.id, load(shared));
-    let FieldNames { server_id, cold_left_ms, .. } = &shared.names;
+    let HeaderNames { server_id, warmup_left_ms: cold_left_ms, .. } = &shared.names;
     let left = shared.cold.lock().as_ref().and_then(ColdSpell::left);
     let cold =
         left.map_or_else(String::new, |left| format!("{cold_left_ms}: {}\r\n", left.as_millis()));
@@ -388,7 +388,7 @@
     let limit = shared.limit.lock().filter(|word| !check || word.in_checks);
     let limit = limit.map(|word| format!("{}: {}\r\n", names.rate_limit, word.per_s));
     let leaves = shared.leaving.load(Ordering::Relaxed);
-    let leaving = leaves.then(|| format!("{}: 1\r\n", names.leaving));
+    let leaving = leaves.then(|| format!("{}: 1\r\n", names.draining));
     limit.into_iter().chain(leaving).collect()
 }
 
@@ -442,7 +442,7 @@
         shared.crash.notify_one();
         std::future::pending::<()>().await;
     }
-    let FieldNames { request_id, signature, .. } = &shared.names;
+    let HeaderNames { request_id, signature, .. } = &shared.names;
     let (load, words) = (load(shared), words(shared, false));
     let fields = format!("{request_id}: {id}\r\n{signature}: s-{id}\r\n{load}{words}");
     let whole = format!("HTTP/1.1 200 OK\r\n{fields}content-length: {}\r\n\r\n{id}", id.len());
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -41,7 +41,7 @@
 fn dispatcher_with(servers: usize) -> Dispatcher {
     let dispatcher = Dispatcher::new("burnaby", ALLOWANCE);
     for number in 0..servers {
-        dispatcher.list(row(number, 4));
+        dispatcher.list_server(row(number, 4));
     }
     dispatcher
 }
@@ -77,7 +77,7 @@
         let every: Vec<_> = servers.iter().step_by(servers.len() / 100).collect();
         shortest(|| {
             for server in &every {
-                black_box(dispatcher.tells_load(server));
+                black_box(dispatcher.reports_load(server));
             }
         })
     };
@@ -96,7 +96,7 @@
             .map(|server| ServerLoadRow { server: server.key, in_flight: 1, pace_percent: 100 })
             .collect();
         let loads = ServerLoads { from: 7, rows };
-        shortest(|| dispatcher.hear_loads(&loads))
+        shortest(|| dispatcher.record_peer_loads(&loads))
     };
     let (few, many) = (hear(&dispatcher_with(400)), hear(&dispatcher_with(4_000)));
     assert!(many < few * 5, "{few:?} among 400 servers, {many:?} among 4,000");
--- a/tests/declaration.rs
+++ b/tests/declaration.rs
@@ -35,10 +35,10 @@
 fn a_kind_that_is_not_known_costs_no_route_and_is_not_repeated() {
     let text = changed(1, |document| document["routes"][0]["kind"] = "streamed".into());
     let ReadTable { table, faults } = read(&text, None);
-    let look = table.find(HOST, "/look/a").expect("the route is there");
+    let look = table.find_route(HOST, "/look/a").expect("the route is there");
     assert_eq!((look.kind, look.idempotent()), (RouteKind::Unknown, false));
     assert!(look.has_target());
-    assert!(table.find(HOST, "/order/a").expect("the other holds").has_target());
+    assert!(table.find_route(HOST, "/order/a").expect("the other holds").has_target());
     assert_eq!(codes(&faults), [(Code::RouteKindUnknown, false)]);
 }
 
@@ -46,7 +46,7 @@
 fn a_download_is_a_kind_of_its_own_and_may_be_repeated() {
     let text = changed(1, |document| document["routes"][0]["kind"] = "download".into());
     let ReadTable { table, faults } = read(&text, None);
-    let look = table.find(HOST, "/look/a").expect("a route");
+    let look = table.find_route(HOST, "/look/a").expect("a route");
     assert_eq!((look.kind, look.idempotent()), (RouteKind::Download, true));
     assert!(faults.is_empty(), "{faults:?}");
 }
@@ -62,8 +62,8 @@
     });
     let ReadTable { table, faults } = read(&text, Some(&before));
     assert_eq!(table.version, 2);
-    assert_eq!(table.find(HOST, "/look/a"), before.find(HOST, "/look/a"));
-    assert_eq!(table.find(HOST, "/order/a").map(|route| route.aim_ms), Some(333));
+    assert_eq!(table.find_route(HOST, "/look/a"), before.find_route(HOST, "/look/a"));
+    assert_eq!(table.find_route(HOST, "/order/a").map(|route| route.aim_ms), Some(333));
     assert_eq!(codes(&faults), [(Code::RouteUnreadable, true)]);
     assert!(faults[0].why.contains("timeout_ms") || faults[0].why.contains("soon"), "{faults:?}");
 }
@@ -74,9 +74,9 @@
 fn a_new_route_that_cannot_be_read_refuses_for_a_while() {
     let text = changed(1, |document| document["routes"][0]["timeout_ms"] = "soon".into());
     let ReadTable { table, faults } = read(&text, None);
-    let look = table.find(HOST, "/look/a").expect("it is known that there is one");
+    let look = table.find_route(HOST, "/look/a").expect("it is known that there is one");
     assert!(!look.has_target() && !look.idempotent());
-    assert!(table.find(HOST, "/order/a").expect("the other holds").has_target());
+    assert!(table.find_route(HOST, "/order/a").expect("the other holds").has_target());
     assert_eq!(codes(&faults), [(Code::RouteUnreadable, false)]);
 }
 
@@ -115,7 +115,7 @@
         });
         let table = read(&text, Some(&whole)).table;
         let (path, other) = if at == 0 { ("/order/a", "order") } else { ("/look/a", "look") };
-        let found = table.find(HOST, path).map(Arc::as_ref);
+        let found = table.find_route(HOST, path).map(Arc::as_ref);
         assert_eq!(found, whole.route_named(other).map(Arc::as_ref));
         Ok(())
     });
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -69,7 +69,7 @@
     let dispatcher = Dispatcher::new("a", ALLOWANCE);
     for zone in ZONES {
         for number in 0..2 {
-            dispatcher.list(row(&format!("{zone}{number}"), zone));
+            dispatcher.list_server(row(&format!("{zone}{number}"), zone));
         }
     }
     dispatcher
@@ -86,14 +86,14 @@
     let change = dispatcher.evacuate("a").expect("it was not evacuated");
     assert_eq!((change.servers, change.running), (2, 0));
     assert_eq!(dispatcher.evacuate("a"), None);
-    dispatcher.list(row("a0", "a"));
-    dispatcher.list(ServerRow { started_ms: 7, ..row("a1", "a") });
-    dispatcher.list(row("a2", "a"));
+    dispatcher.list_server(row("a0", "a"));
+    dispatcher.list_server(ServerRow { started_ms: 7, ..row("a1", "a") });
+    dispatcher.list_server(row("a2", "a"));
     let service = "parts".into();
     let mut grants = Vec::new();
     for _ in 0..4 {
         grants.push(dispatcher.acquire(&service, ask()).await.expect("a slot elsewhere"));
-        grants.extend(dispatcher.spare("parts", &ask()));
+        grants.extend(dispatcher.try_acquire_spare("parts", &ask()));
     }
     assert!(grants.iter().all(|grant| *grant.server.row.zone != *"a"));
     assert!(dispatcher.readmit("a").is_some_and(|change| change.servers == 3));
@@ -108,17 +108,17 @@
     let running = tokio::spawn(dispatcher.clone().run());
     let service: Arc<str> = "parts".into();
     let mut grants = Vec::new();
-    while let Some(grant) = dispatcher.spare("parts", &ask()) {
+    while let Some(grant) = dispatcher.try_acquire_spare("parts", &ask()) {
         grants.push(grant);
     }
     // A server may be given its last slot for a moment meanwhile.
     let waits = loop {
         let waiter = dispatcher.clone();
         let waits = tokio::spawn(async move { waiter.acquire(&"parts".into(), ask()).await });
-        while !dispatcher.contended() && !waits.is_finished() {
+        while !dispatcher.has_queue() && !waits.is_finished() {
             tokio::task::yield_now().await;
         }
-        if dispatcher.contended() {
+        if dispatcher.has_queue() {
             break waits;
         }
         grants.push(waits.await.expect("no panic").expect("a slot"));
@@ -198,7 +198,7 @@
         for dispatcher in [&first, &second] {
             let in_force = dispatcher.evacuated_zones();
             assert!(in_force.iter().map(|zone| &**zone).eq(written.iter().copied()));
-            while let Some(grant) = dispatcher.spare("parts", &ask()) {
+            while let Some(grant) = dispatcher.try_acquire_spare("parts", &ask()) {
                 assert!(!written.contains(&*grant.server.row.zone));
                 std::mem::forget(grant);
             }
--- a/tests/gateway_requests.rs
+++ b/tests/gateway_requests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use sorrelwick::gateway::MemoryRoom;
+use sorrelwick::gateway::MemoryBudget;
 use standins::routed::Behaviour;
 use standins::routed::CONFIG_KEY;
 use standins::routed::LARGE_BYTES;
@@ -437,10 +437,10 @@
 /// The memory set aside for held answers is full: answers are passed on as they come, whole.
 #[tokio::test]
 async fn a_full_room_for_answers_holds_no_more() {
-    let room = Arc::new(MemoryRoom::new(100));
-    let mut first = room.part();
-    let mut second = room.part();
-    assert!(first.grow(60) && !second.grow(50) && second.grow(40));
+    let room = Arc::new(MemoryBudget::new(100));
+    let mut first = room.reservation();
+    let mut second = room.reservation();
+    assert!(first.try_grow(60) && !second.try_grow(50) && second.try_grow(40));
     assert_eq!(room.used_bytes(), 100);
     drop(first);
     assert_eq!(room.used_bytes(), 40);
--- a/tests/load_words.rs
+++ b/tests/load_words.rs
@@ -117,23 +117,27 @@
     board.publish_members();
     let allowance = RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
     let dispatcher = Dispatcher::new("a", allowance);
-    (1..=SERVERS).for_each(|port| dispatcher.list(server(port)));
+    (1..=SERVERS).for_each(|port| dispatcher.list_server(server(port)));
     let servers = dispatcher.servers();
     let links = Recorder::default();
     let share = LoadShare { board, links: links.clone(), dispatcher: dispatcher.clone() };
     let running = tokio::spawn(share.run());
     // A request keeps the instance busy, as on a day.
     let ask = long_ask();
-    let grant = dispatcher.spare("parts", &ask).expect("a slot");
+    let grant = dispatcher.try_acquire_spare("parts", &ask).expect("a slot");
     for check in 0..SECONDS * CHECKS_PER_S {
         for (number, server) in servers.iter().enumerate() {
-            dispatcher.note_use(server);
+            dispatcher.record_use(server);
             let slow = (check + number as u64).is_multiple_of(3);
             let pace_percent = if slow { 500 } else { 100 };
             let load = LoadReport { running: 0, waiting: 0, pace_percent };
-            let notice =
-                ServerNotice { load: Some(load), limit: Ok(None), leaving: false, rest: Ok(None) };
-            dispatcher.hear(server, Heard::Check, notice);
+            let notice = ServerNotice {
+                load: Some(load),
+                rate_limit: Ok(None),
+                draining: false,
+                retry_after: Ok(None),
+            };
+            dispatcher.record_notice(server, Heard::Check, notice);
         }
         tokio::time::sleep(Duration::from_secs(1) / u32::try_from(CHECKS_PER_S).expect("few"))
             .await;
@@ -162,11 +166,11 @@
     board.publish_members();
     let allowance = RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
     let dispatcher = Dispatcher::new("a", allowance);
-    dispatcher.list(server(1));
+    dispatcher.list_server(server(1));
     let links = Recorder::default();
     let share = LoadShare { board, links: links.clone(), dispatcher: dispatcher.clone() };
     let running = tokio::spawn(share.run());
-    let grant = dispatcher.spare("parts", &long_ask()).expect("a slot");
+    let grant = dispatcher.try_acquire_spare("parts", &long_ask()).expect("a slot");
     tokio::time::sleep(Duration::from_secs(SECONDS)).await;
     running.abort();
     drop(grant);
--- a/tests/patience.rs
+++ b/tests/patience.rs
@@ -3,7 +3,7 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use sorrelwick::gateway::Patience;
+use sorrelwick::gateway::SpentTimeEstimator;
 
 /// A request as a caller sends it.
 struct Sent {
@@ -30,7 +30,7 @@
 /// Of first attempts, the share that is taken for one that came back; of returns after a fifth of
 /// the time or more, the mean error of the time spent, in milliseconds.
 fn judged(sent: &[Sent]) -> (f64, f64) {
-    let patience = Patience::default();
+    let patience = SpentTimeEstimator::default();
     let (mut first, mut mistaken, mut returns, mut error_ms) = (0.0, 0.0, 0.0, 0.0);
     for (number, request) in sent.iter().enumerate() {
         let spent_ms = patience.spent_ms("look", request.told_ms);
@@ -74,7 +74,7 @@
 /// One caller that waits for a minute must not make all others look late.
 #[test]
 fn one_patient_caller_changes_nothing_for_the_others() {
-    let patience = Patience::default();
+    let patience = SpentTimeEstimator::default();
     for _ in 0..60 {
         patience.spent_ms("look", 2_000);
     }
@@ -86,7 +86,7 @@
 /// Right after a start, only callers that came back are there, and then the first new ones.
 #[test]
 fn a_start_among_returns_is_got_over() {
-    let patience = Patience::default();
+    let patience = SpentTimeEstimator::default();
     for told_ms in (700..1_300).step_by(30) {
         patience.spent_ms("look", told_ms);
     }
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -58,7 +58,7 @@
             deadline_us: u64::MAX,
             avoid: smallvec::SmallVec::new(),
         };
-        self.dispatcher.spare("s", &ask)
+        self.dispatcher.try_acquire_spare("s", &ask)
     }
 
     /// All slots that are free now.
@@ -102,7 +102,7 @@
     let server = Arc::clone(&bed.slot().expect("a slot").server);
     assert_eq!(server.conns.address().port(), 82);
     // An answer that tells that another server has the old address says nothing of the new one.
-    bed.dispatcher.displaced(&before);
+    bed.dispatcher.unlist_displaced(&before);
     assert!(bed.slot().is_some());
 }
 
@@ -164,10 +164,10 @@
     let before = bed.slot().expect("a slot").server.key;
     let row = ServerLoadRow { server: before, in_flight: 4, pace_percent: 100 };
     let loads = ServerLoads { from: 7, rows: vec![row] };
-    bed.dispatcher.hear_loads(&loads);
+    bed.dispatcher.record_peer_loads(&loads);
     assert_eq!(bed.free(), 0);
     bed.write("a", &entry(2_000, 1, 81, "ready"));
-    bed.dispatcher.hear_loads(&loads);
+    bed.dispatcher.record_peer_loads(&loads);
     assert!(bed.free() >= 3);
 }
 
@@ -241,7 +241,7 @@
     drop(grants);
     // Its entry was of a stranger: the address answers under the first name.
     let server = bed.slot().map(|grant| Arc::clone(&grant.server)).expect("a slot");
-    bed.dispatcher.displaced(&server);
+    bed.dispatcher.unlist_displaced(&server);
     assert_eq!(&*bed.slot().expect("a slot").server.row.id, "before");
     bed.write("again", &entry(0, 1, 1, "ready"));
     bed.remove("again");
