--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -25,14 +25,14 @@
 use sorrelwick::member::MemberRow;
 use sorrelwick::model::Service;
 use sorrelwick::model::Versioned;
-use sorrelwick::outcome::Begin;
-use sorrelwick::outcome::Kept;
+use sorrelwick::outcome::KeyDecision;
 use sorrelwick::outcome::OutcomeTable;
-use sorrelwick::outcome::WholeAnswer;
+use sorrelwick::outcome::RecordedAnswer;
+use sorrelwick::outcome::RecordedOutcome;
 use sorrelwick::peer::PeerReply;
 use sorrelwick::peer::PeerRequest;
 use sorrelwick::peer::encode;
-use sorrelwick::route::refresh;
+use sorrelwick::route::rebuild_services;
 use standins::bed::BedPlan;
 use standins::bed::Fleet;
 use standins::caller::Caller;
@@ -148,7 +148,7 @@
         let before = resident_kb();
         let board = board();
         merge_rows(&board, (0..services).map(row).collect());
-        refresh(&board);
+        rebuild_services(&board);
         let json = serde_json::to_vec(&row(1).1).unwrap_or_default().len();
         let grown = resident_kb().saturating_sub(before);
         println!(
@@ -171,10 +171,10 @@
                 board.members.lock().merge(&member(incarnation * 7_919), 1_000);
             }
             board.publish_members();
-            refresh(&board);
+            rebuild_services(&board);
             let took = median_of(|| {
                 let start = Instant::now();
-                refresh(&board);
+                rebuild_services(&board);
                 start.elapsed()
             });
             println!(
@@ -194,10 +194,14 @@
         let start = Instant::now();
         for number in 0..rows {
             let key = format!("0000000000000001-0-order-{number:032}");
-            if let Begin::Run(guard) = table.begin(1, 0, "orders", &key) {
+            if let KeyDecision::Run(guard) = table.begin(1, 0, "orders", &key) {
                 let headers = vec![("content-type".to_owned(), b"application/json".to_vec())];
                 let body = bytes::Bytes::from(vec![7; 200]);
-                guard.finish(Kept::Answer(Arc::new(WholeAnswer { status: 200, headers, body })));
+                guard.finish(RecordedOutcome::Answer(Arc::new(RecordedAnswer {
+                    status: 200,
+                    headers,
+                    body,
+                })));
             }
         }
         let took = start.elapsed() / rows;
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -65,9 +65,9 @@
         tokio::time::sleep(TIDY).await;
         board.outcomes.expire(board.incarnation);
         for state in board.services().values() {
-            let servers = state.core.binder.servers().into_iter();
-            for server in servers.filter(|server| server.upstream.has_idle_or_use()) {
-                tokio::spawn(async move { server.upstream.tidy().await });
+            let servers = state.runtime.slot_queue.declared_servers().into_iter();
+            for server in servers.filter(|server| server.upstream.needs_maintenance()) {
+                tokio::spawn(async move { server.upstream.maintain().await });
             }
         }
     }
--- a/src/app/peer_answers.rs
+++ b/src/app/peer_answers.rs
@@ -12,8 +12,8 @@
 use crate::errors::Code;
 use crate::measure::Shard;
 use crate::measure::TokenBuckets;
-use crate::measure::grant;
-use crate::measure::mark_listed;
+use crate::measure::apply_platform_list;
+use crate::measure::grant_tokens;
 use crate::member::answer_member;
 use crate::member::answer_ping_for;
 use crate::outcome::OwnerSnapshot;
@@ -28,7 +28,7 @@
 use crate::route::CloseReason;
 use crate::route::ProxyRequest;
 use crate::route::Router;
-use crate::route::hear;
+use crate::route::handle_load_note;
 
 /// Serves the peer listener; clones share.
 #[derive(Clone, Debug)]
@@ -50,7 +50,9 @@
     fn load(&self, note: &LoadNote) -> PeerReply {
         let services = self.router.board.services();
         PeerReply::Free(
-            services.get(&note.service).map_or(0, |state| hear(&self.router.board, state, note)),
+            services
+                .get(&note.service)
+                .map_or(0, |state| handle_load_note(&self.router.board, state, note)),
         )
     }
 
@@ -59,7 +61,7 @@
         let Some(state) = board.services().get(service).cloned() else {
             return PeerReply::Done;
         };
-        if state.core.binder.close(server, CloseReason::Told, leaving) {
+        if state.runtime.slot_queue.set_closed(server, CloseReason::SelfReported, leaving) {
             board.note(EventKind::server_seen(service, server, leaving));
         }
         PeerReply::Done
@@ -103,11 +105,11 @@
                 self.leaving(&service, &server, leaving)
             }
             PeerRequest::Listed(leaving) => {
-                mark_listed(board, &leaving.into_iter().collect());
+                apply_platform_list(board, &leaving.into_iter().collect());
                 PeerReply::Done
             }
             PeerRequest::Grant(asked) => {
-                PeerReply::Granted(grant(board, &self.shard, &self.buckets, &asked))
+                PeerReply::Granted(grant_tokens(board, &self.shard, &self.buckets, &asked))
             }
             PeerRequest::Suspects { rows, all } => {
                 PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
@@ -124,10 +126,12 @@
         let board = &self.router.board;
         let service = head.service.clone();
         let in_flight = board.in_flight();
-        let answer = self.router.handle(ProxyRequest::passed(head, body)).await;
+        let answer = self.router.handle(ProxyRequest::from_peer(head, body)).await;
         drop(in_flight);
         let services = board.services();
-        let free = services.get(&service).map_or(0, |state| state.core.binder.free_and_waiting().0);
+        let free = services
+            .get(&service)
+            .map_or(0, |state| state.runtime.slot_queue.free_slots_and_waiting().0);
         (answer.reply_head(free), answer.body)
     }
 
--- a/src/app/stop.rs
+++ b/src/app/stop.rs
@@ -12,7 +12,7 @@
 use crate::member::MemberRow;
 use crate::member::MemberState;
 use crate::member::announce;
-use crate::outcome::KeptRow;
+use crate::outcome::HandoverRow;
 use crate::outcome::OwnerSnapshot;
 use crate::peer::Links;
 use crate::peer::PeerCalls;
@@ -75,7 +75,8 @@
 async fn send_snapshot(links: &Links, to: SocketAddr, record: &OwnerSnapshot) -> bool {
     let closed_ms = now_ms();
     // A row whose answer fits no message goes without it: what counts is that the key ran.
-    let rows: Vec<KeptRow> = record.rows.iter().map(KeptRow::bounded).collect();
+    let rows: Vec<HandoverRow> =
+        record.rows.iter().map(HandoverRow::without_oversized_answer).collect();
     let parts = parts(&rows).into_iter().map(|rows| (rows, false));
     for (rows, last) in parts.chain([(Vec::new(), true)]) {
         let uptime_ms = record.uptime_ms + now_ms().saturating_sub(closed_ms);
--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -19,7 +19,7 @@
 use crate::clock::now_us;
 use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
-use crate::route::hop_by_hop;
+use crate::route::is_hop_by_hop;
 
 /// Everything that every send of the request needs.
 #[derive(Debug)]
@@ -152,7 +152,7 @@
         || *name == fields.workspace
         || *name == http::header::CONTENT_LENGTH
         || *name == http::header::EXPECT
-        || hop_by_hop(name)
+        || is_hop_by_hop(name)
 }
 
 /// Names that the `connection` field declares to be for one connection only.
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -29,7 +29,7 @@
 use crate::quarantine::AdmittedSend;
 use crate::quarantine::Denial;
 use crate::quarantine::PendingSend;
-use crate::route::hop_by_hop;
+use crate::route::is_hop_by_hop;
 use crate::task::TaskGuard;
 
 /// A server in the same region that takes longer to accept is not reachable; the caller has no
@@ -325,7 +325,7 @@
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !hop_by_hop(name) && *name != http::header::CONTENT_LENGTH {
+        if !is_hop_by_hop(name) && *name != http::header::CONTENT_LENGTH {
             passed.append(name, value.clone());
         }
     }
--- a/src/measure/grants.rs
+++ b/src/measure/grants.rs
@@ -10,7 +10,7 @@
 /// Tokens granted for each service asked. None while the shard may end before the grant does:
 /// its next holder would spend the same tokens.
 #[must_use]
-pub fn grant(
+pub fn grant_tokens(
     board: &Blackboard,
     shard: &Shard,
     buckets: &TokenBuckets,
@@ -18,7 +18,7 @@
 ) -> Vec<u32> {
     let now = now_ms();
     let until_ms = now + board.settings.measuring.grant_ms;
-    let number = shard.current(now).filter(|_| shard.until_ms() >= until_ms);
+    let number = shard.current(now).filter(|_| shard.valid_until_ms() >= until_ms);
     let services = board.services();
     let granted = asked.services.iter().map(|name| {
         let (Some(number), Some(state)) = (number, services.get(name)) else {
@@ -26,7 +26,7 @@
         };
         let shards = board.settings.measuring.shards;
         let count = tokens_of_shard(state.spec.measuring_budget_per_s, number, shards);
-        let given = !state.am_home
+        let given = !state.is_home
             && count > 0
             && buckets.grant_own(name, board.incarnation, until_ms, now);
         if given { count } else { 0 }
--- a/src/measure/mod.rs
+++ b/src/measure/mod.rs
@@ -6,9 +6,9 @@
 mod shard;
 mod token_buckets;
 
-pub use grants::grant;
+pub use grants::grant_tokens;
 pub use prober::run_prober;
-pub use roster::mark_listed;
+pub use roster::apply_platform_list;
 pub use roster::run_roster;
 pub use shard::Shard;
 pub use shard::run_shard;
--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -25,28 +25,33 @@
 use crate::route::BACKEND_STATE;
 use crate::route::CloseReason;
 use crate::route::DRAINING;
-use crate::route::Need;
+use crate::route::Freshness;
 use crate::route::Router;
 use crate::route::ServiceState;
 
-const TURN: Duration = Duration::from_millis(50);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 const ANSWER_MAX_BYTES: usize = 64 << 10;
 /// What an answer told within this time needs no probe.
-const FRESH_US: u64 = 1_000_000;
+const FRESH_AGE_MAX_US: u64 = 1_000_000;
 
 /// The server whose state is least known: one that may be back comes first, then the stalest.
-fn most_useful(state: &ServiceState) -> Option<(String, Arc<crate::route::Upstream>)> {
-    let servers = state.core.binder.servers();
-    let kept = servers.into_iter().filter(|server| server.kept);
-    let useful = kept.filter(|s| s.told || (s.usable && s.silent_us > FRESH_US));
-    let best = useful.max_by_key(|server| (server.told, server.silent_us))?;
+fn choose_server_to_probe(state: &ServiceState) -> Option<(String, Arc<crate::route::Upstream>)> {
+    let servers = state.runtime.slot_queue.declared_servers();
+    let kept_servers = servers.into_iter().filter(|server| server.is_keeper);
+    let candidates = kept_servers
+        .filter(|s| s.self_reported_leaving || (s.usable && s.report_age_us > FRESH_AGE_MAX_US));
+    let best =
+        candidates.max_by_key(|server| (server.self_reported_leaving, server.report_age_us))?;
     Some((best.upstream.id.clone(), best.upstream))
 }
 
-async fn ask(path: &str, upstream: &Arc<crate::route::Upstream>) -> Option<(StatusCode, bool)> {
-    let mut conn = upstream.checkout(Need::Any).await?;
+async fn call_health_path(
+    path: &str,
+    upstream: &Arc<crate::route::Upstream>,
+) -> Option<(StatusCode, bool)> {
+    let mut conn = upstream.checkout(Freshness::Any).await?;
     let request = Request::get(path)
         .header("host", upstream.address.to_string())
         .body(Full::new(Bytes::new()))
@@ -56,7 +61,7 @@
     let leaving = state == Some(DRAINING);
     let status = response.status();
     Limited::new(response.into_body(), ANSWER_MAX_BYTES).collect().await.ok()?;
-    conn.give_back();
+    conn.return_to_pool();
     Some((status, leaving))
 }
 
@@ -68,74 +73,79 @@
     upstream: &Arc<crate::route::Upstream>,
 ) {
     router.board.counters.add(Counter::Probes);
-    let asked = ask(&state.spec.health_path, upstream);
+    let asked = call_health_path(&state.spec.health_path, upstream);
     let Ok(Some((status, leaving))) = tokio::time::timeout(PROBE_TIMEOUT, asked).await else {
         return;
     };
-    let binder = &state.core.binder;
+    let slot_queue = &state.runtime.slot_queue;
     let closed = leaving || !status.is_success();
-    if binder.close(id, CloseReason::Told, closed) {
+    if slot_queue.set_closed(id, CloseReason::SelfReported, closed) {
         router.board.note(EventKind::server_seen(&state.spec.name, id, closed));
-        router.tell_co_homes(state, id, closed);
+        router.notify_co_homes(state, id, closed);
     }
 }
 
-async fn probe_due(router: Router, state: Arc<ServiceState>, buckets: TokenBuckets, shard: Shard) {
+async fn probe_if_due(
+    router: Router,
+    state: Arc<ServiceState>,
+    buckets: TokenBuckets,
+    shard: Shard,
+) {
     let service = &state.spec.name;
-    let Some((id, upstream)) = most_useful(&state) else {
+    let Some((id, upstream)) = choose_server_to_probe(&state) else {
         return;
     };
     // Tokens of the own shard end with its lease; those of others with their grants.
     if shard.current(now_ms()).is_none() {
         buckets.drop_own(service, router.board.incarnation);
     }
-    let Some(spent) = buckets.spend(service, now_ms()) else {
+    let Some(spent) = buckets.try_take(service, now_ms()) else {
         return;
     };
     probe(&router, &state, &id, &upstream).await;
-    spent.done(now_ms());
+    spent.mark_sent(now_ms());
 }
 
-fn put_own(board: &Blackboard, state: &ServiceState, buckets: &TokenBuckets, shard: &Shard) {
+fn put_own_tokens(board: &Blackboard, state: &ServiceState, buckets: &TokenBuckets, shard: &Shard) {
     let now = now_ms();
     let service = &state.spec.name;
-    if buckets.granted(service, now) {
+    if buckets.own_granted(service, now) {
         return;
     }
     if let Some(number) = shard.current(now) {
         let shards = board.settings.measuring.shards;
         let count = tokens_of_shard(state.spec.measuring_budget_per_s, number, shards);
-        buckets.put(service, board.incarnation, count, shard.until_ms(), now);
+        buckets.put_tokens(service, board.incarnation, count, shard.valid_until_ms(), now);
     }
 }
 
 /// Asks another instance for its tokens of the services that this one is a home of.
-async fn ask_grant(
+async fn request_grant(
     router: &Router,
     services: &[String],
-    giver: &MemberRow,
+    grantor: &MemberRow,
     buckets: &TokenBuckets,
 ) {
     let asked_ms = now_ms();
     let from = router.board.incarnation;
     let request = PeerRequest::Grant(GrantRequest { from, services: services.to_vec() });
-    let reply = router.links.call(giver.peer, &request, GRANT_TIMEOUT).await;
+    let reply = router.links.call(grantor.peer, &request, GRANT_TIMEOUT).await;
     let Ok(PeerReply::Granted(counts)) = reply else {
         return;
     };
     let until_ms = asked_ms + router.board.settings.measuring.grant_ms;
     for (service, count) in services.iter().zip(counts) {
         if count > 0 {
-            buckets.put(service, giver.incarnation, count, until_ms, now_ms());
+            buckets.put_tokens(service, grantor.incarnation, count, until_ms, now_ms());
         }
     }
 }
 
-async fn ask_grants(router: &Router, buckets: &TokenBuckets) {
+async fn request_grants(router: &Router, buckets: &TokenBuckets) {
     let board = &router.board;
     let services = board.services();
     let homed =
-        services.values().filter(|state| state.am_home && state.spec.measuring_budget_per_s > 0);
+        services.values().filter(|state| state.is_home && state.spec.measuring_budget_per_s > 0);
     let names: Vec<String> = homed.map(|state| state.spec.name.clone()).collect();
     drop(services);
     if names.is_empty() {
@@ -146,32 +156,33 @@
         .rows
         .iter()
         .filter(|row| row.incarnation != board.incarnation && row.state.takes_work());
-    for giver in others {
-        ask_grant(router, &names, giver, buckets).await;
+    for grantor in others {
+        request_grant(router, &names, grantor, buckets).await;
     }
 }
 
 /// Collects grants for the services this instance is a home of.
-async fn run_grants(router: Router, buckets: TokenBuckets) {
+async fn run_grant_requests(router: Router, buckets: TokenBuckets) {
     let grant_ms = router.board.settings.measuring.grant_ms;
     loop {
-        ask_grants(&router, &buckets).await;
+        request_grants(&router, &buckets).await;
         tokio::time::sleep(Duration::from_millis(grant_ms)).await;
     }
 }
 
 /// Spends the tokens of this instance on the servers that it keeps.
 pub async fn run_prober(router: Router, buckets: TokenBuckets, shard: Shard) {
-    tokio::spawn(run_grants(router.clone(), buckets.clone()));
+    tokio::spawn(run_grant_requests(router.clone(), buckets.clone()));
     loop {
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         let services = router.board.services().clone();
         for state in services.values() {
-            if !state.am_home || state.spec.measuring_budget_per_s == 0 {
+            if !state.is_home || state.spec.measuring_budget_per_s == 0 {
                 continue;
             }
-            put_own(&router.board, state, &buckets, &shard);
-            let work = probe_due(router.clone(), Arc::clone(state), buckets.clone(), shard.clone());
+            put_own_tokens(&router.board, state, &buckets, &shard);
+            let work =
+                probe_if_due(router.clone(), Arc::clone(state), buckets.clone(), shard.clone());
             tokio::spawn(work);
         }
     }
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -17,17 +17,17 @@
 use crate::route::CloseReason;
 use crate::store::Roster;
 
-const TURN: Duration = Duration::from_secs(2);
-const TELL_TIMEOUT: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 /// Unchanged lists are told again after this many turns, for those that missed them.
-const REPEAT_TURNS: u32 = 5;
+const RESEND_POLLS: u32 = 5;
 
 /// Asks for the list and tells it on; a list that cannot be had changes nothing.
 pub async fn run_roster<R: Roster>(board: Arc<Blackboard>, roster: R, links: Links) {
-    let mut told: Option<BTreeSet<SocketAddr>> = None;
-    let mut turns = 0;
+    let mut sent: Option<BTreeSet<SocketAddr>> = None;
+    let mut polls = 0;
     loop {
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         if !watches(&board) {
             continue;
         }
@@ -38,17 +38,17 @@
         };
         let leaving: BTreeSet<SocketAddr> =
             listed.iter().filter(|row| row.leaving).map(|row| row.address).collect();
-        mark_listed(&board, &leaving);
-        turns += 1;
-        let first = told.is_none() && leaving.is_empty();
-        if !first && (told.as_ref() != Some(&leaving) || turns % REPEAT_TURNS == 0) {
-            tell_zone(&board, &links, &leaving);
+        apply_platform_list(&board, &leaving);
+        polls += 1;
+        let first = sent.is_none() && leaving.is_empty();
+        if !first && (sent.as_ref() != Some(&leaving) || polls % RESEND_POLLS == 0) {
+            send_to_zone(&board, &links, &leaving);
         }
-        told = Some(leaving);
+        sent = Some(leaving);
     }
 }
 
-fn tell_zone(board: &Blackboard, links: &Links, leaving: &BTreeSet<SocketAddr>) {
+fn send_to_zone(board: &Blackboard, links: &Links, leaving: &BTreeSet<SocketAddr>) {
     let request = PeerRequest::Listed(leaving.iter().copied().collect());
     let view = board.members_view();
     let zone = &board.settings.instance.zone;
@@ -57,16 +57,20 @@
     });
     for row in others {
         let (links, request, address) = (links.clone(), request.clone(), row.peer);
-        tokio::spawn(async move { links.call(address, &request, TELL_TIMEOUT).await });
+        tokio::spawn(async move { links.call(address, &request, SEND_TIMEOUT).await });
     }
 }
 
 /// Marks the servers listed as leaving, and unmarks those that are not any more.
-pub fn mark_listed(board: &Blackboard, leaving: &BTreeSet<SocketAddr>) {
+pub fn apply_platform_list(board: &Blackboard, leaving: &BTreeSet<SocketAddr>) {
     for (name, state) in board.services().iter() {
         for server in &state.spec.backend_servers {
             let leaves = leaving.contains(&server.address);
-            if !state.core.binder.close(&server.id, CloseReason::Listed, leaves) {
+            if !state.runtime.slot_queue.set_closed(
+                &server.id,
+                CloseReason::PlatformReported,
+                leaves,
+            ) {
                 continue;
             }
             let (service, id) = (name.clone(), server.id.clone());
@@ -74,7 +78,11 @@
                 EventKind::ServerLeaving { service, server: id }
             } else {
                 // The list saw it leave and come back, which outweighs its own older word.
-                let _ = state.core.binder.close(&server.id, CloseReason::Told, false);
+                let _ = state.runtime.slot_queue.set_closed(
+                    &server.id,
+                    CloseReason::SelfReported,
+                    false,
+                );
                 EventKind::ServerBack { service, server: id }
             });
         }
--- a/src/measure/token_buckets.rs
+++ b/src/measure/token_buckets.rs
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug)]
 struct Token {
     /// The right to spend ends then.
-    until_ms: u64,
+    expires_ms: u64,
     /// Not before then; set anew by each probe.
-    ready_ms: u64,
+    ready_at_ms: u64,
 }
 
 #[derive(Debug, Default)]
-struct Account {
+struct ServiceTokens {
     /// By giver; a giver's new grant takes the place of its old one.
     tokens: HashMap<u64, Vec<Token>>,
     /// Own tokens were granted away until then.
@@ -41,7 +41,7 @@
 /// All tokens of one instance, by service; clones share.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBuckets {
-    accounts: Arc<Mutex<HashMap<String, Account>>>,
+    by_service: Arc<Mutex<HashMap<String, ServiceTokens>>>,
 }
 
 /// A token that was taken out; it is ready again an interval after [`TakenToken::done`], or after it
@@ -50,18 +50,19 @@
 pub struct TakenToken {
     buckets: TokenBuckets,
     service: String,
-    giver: u64,
+    grantor: u64,
     at: usize,
 }
 
 impl TakenToken {
     /// Takes note that the probe was sent, now.
-    pub fn done(self, now_ms: u64) {
-        let mut accounts = self.buckets.accounts.lock();
-        let account = accounts.get_mut(&self.service);
-        let tokens = account.and_then(|account| account.tokens.get_mut(&self.giver));
+    pub fn mark_sent(self, now_ms: u64) {
+        let mut by_service = self.buckets.by_service.lock();
+        let service_tokens = by_service.get_mut(&self.service);
+        let tokens =
+            service_tokens.and_then(|service_tokens| service_tokens.tokens.get_mut(&self.grantor));
         if let Some(token) = tokens.and_then(|tokens| tokens.get_mut(self.at)) {
-            token.ready_ms = token.ready_ms.max(now_ms + TOKEN_INTERVAL_MS);
+            token.ready_at_ms = token.ready_at_ms.max(now_ms + TOKEN_INTERVAL_MS);
         }
     }
 }
@@ -69,17 +70,20 @@
 impl TokenBuckets {
     /// Puts `count` tokens of `giver` in, good until `until_ms`. Tokens that were there keep
     /// their pace, and fresh ones wait an interval: who had them before may just have spent them.
-    pub fn put(&self, service: &str, giver: u64, count: u32, until_ms: u64, now_ms: u64) {
-        let mut accounts = self.accounts.lock();
-        let account = accounts.entry(service.to_owned()).or_default();
-        let tokens = account.tokens.entry(giver).or_default();
-        let held_on = tokens.iter().all(|token| now_ms < token.until_ms);
-        if !held_on {
+    pub fn put_tokens(&self, service: &str, grantor: u64, count: u32, until_ms: u64, now_ms: u64) {
+        let mut by_service = self.by_service.lock();
+        let service_tokens = by_service.entry(service.to_owned()).or_default();
+        let tokens = service_tokens.tokens.entry(grantor).or_default();
+        let still_valid = tokens.iter().all(|token| now_ms < token.expires_ms);
+        if !still_valid {
             tokens.clear();
         }
-        tokens.resize(count as usize, Token { until_ms, ready_ms: now_ms + TOKEN_INTERVAL_MS });
+        tokens.resize(
+            count as usize,
+            Token { expires_ms: until_ms, ready_at_ms: now_ms + TOKEN_INTERVAL_MS },
+        );
         for token in tokens {
-            token.until_ms = until_ms;
+            token.expires_ms = until_ms;
         }
     }
 
@@ -87,34 +91,36 @@
     /// have not just been spent; tells whether they were granted.
     #[must_use]
     pub fn grant_own(&self, service: &str, own: u64, until_ms: u64, now_ms: u64) -> bool {
-        let mut accounts = self.accounts.lock();
-        let account = accounts.entry(service.to_owned()).or_default();
-        if now_ms < account.granted_until_ms {
+        let mut by_service = self.by_service.lock();
+        let service_tokens = by_service.entry(service.to_owned()).or_default();
+        if now_ms < service_tokens.granted_until_ms {
             return false;
         }
-        account.granted_until_ms = until_ms;
-        account.tokens.remove(&own);
+        service_tokens.granted_until_ms = until_ms;
+        service_tokens.tokens.remove(&own);
         true
     }
 
     /// Whether the own tokens are granted away.
     #[must_use]
-    pub fn granted(&self, service: &str, now_ms: u64) -> bool {
-        let accounts = self.accounts.lock();
-        accounts.get(service).is_some_and(|account| now_ms < account.granted_until_ms)
+    pub fn own_granted(&self, service: &str, now_ms: u64) -> bool {
+        let by_service = self.by_service.lock();
+        by_service
+            .get(service)
+            .is_some_and(|service_tokens| now_ms < service_tokens.granted_until_ms)
     }
 
     /// Takes a token out for one probe.
     #[must_use]
-    pub fn spend(&self, service: &str, now_ms: u64) -> Option<TakenToken> {
-        let mut accounts = self.accounts.lock();
-        let account = accounts.get_mut(service)?;
-        for (giver, tokens) in &mut account.tokens {
-            let ready = |token: &Token| token.ready_ms <= now_ms && now_ms < token.until_ms;
+    pub fn try_take(&self, service: &str, now_ms: u64) -> Option<TakenToken> {
+        let mut by_service = self.by_service.lock();
+        let service_tokens = by_service.get_mut(service)?;
+        for (grantor, tokens) in &mut service_tokens.tokens {
+            let ready = |token: &Token| token.ready_at_ms <= now_ms && now_ms < token.expires_ms;
             if let Some(at) = tokens.iter().position(ready) {
-                tokens[at].ready_ms = now_ms + TOKEN_INTERVAL_MS;
-                let (service, giver) = (service.to_owned(), *giver);
-                return Some(TakenToken { buckets: self.clone(), service, giver, at });
+                tokens[at].ready_at_ms = now_ms + TOKEN_INTERVAL_MS;
+                let (service, giver) = (service.to_owned(), *grantor);
+                return Some(TakenToken { buckets: self.clone(), service, grantor: giver, at });
             }
         }
         None
@@ -122,15 +128,15 @@
 
     /// Takes the own tokens out: the shard that they came with is lost.
     pub fn drop_own(&self, service: &str, own: u64) {
-        if let Some(account) = self.accounts.lock().get_mut(service) {
-            account.tokens.remove(&own);
+        if let Some(service_tokens) = self.by_service.lock().get_mut(service) {
+            service_tokens.tokens.remove(&own);
         }
     }
 
     /// Takes all tokens out: the shard that they came with is lost. Grants given stand.
     pub fn clear(&self) {
-        for account in self.accounts.lock().values_mut() {
-            account.tokens.clear();
+        for service_tokens in self.by_service.lock().values_mut() {
+            service_tokens.tokens.clear();
         }
     }
 }
--- a/src/outcome/claims.rs
+++ b/src/outcome/claims.rs
@@ -7,13 +7,13 @@
 use super::KeyPrefix;
 use crate::store::Store;
 
-const ROOT: &str = "sorrelwick/claims";
+const CLAIMS_PREFIX: &str = "sorrelwick/claims";
 /// Reads that resolve a lost answer before the claim counts as unavailable.
-const READ_BACKS: u32 = 3;
+const READ_BACK_ATTEMPTS: u32 = 3;
 const READ_BACK_PAUSE: Duration = Duration::from_millis(50);
 
 fn claim_key(service: &str, key: &str) -> String {
-    format!("{ROOT}/{service}/{:032x}", xxh3_128(key.as_bytes()))
+    format!("{CLAIMS_PREFIX}/{service}/{:032x}", xxh3_128(key.as_bytes()))
 }
 
 /// Binds a plain key to `own` unless it is bound already; returns whom it is bound to.
@@ -33,7 +33,7 @@
     if store.put_if(&path, value.as_bytes(), 0).await == Ok(true) {
         return Some(own);
     }
-    for turn in 0..READ_BACKS {
+    for turn in 0..READ_BACK_ATTEMPTS {
         if turn > 0 {
             tokio::time::sleep(READ_BACK_PAUSE).await;
         }
--- a/src/outcome/key.rs
+++ b/src/outcome/idempotency_key.rs
@@ -29,9 +29,9 @@
         let (incarnation, rest) = text.split_once('-')?;
         let (epoch, rest) = rest.split_once('-')?;
         let is_hex = |part: &str| part.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-        let sized = incarnation.len() == INCARNATION_DIGITS
+        let valid_lengths = incarnation.len() == INCARNATION_DIGITS
             && (1..=EPOCH_DIGITS_MAX).contains(&epoch.len());
-        if !sized || !is_hex(incarnation) || !is_hex(epoch) || rest.is_empty() {
+        if !valid_lengths || !is_hex(incarnation) || !is_hex(epoch) || rest.is_empty() {
             return None;
         }
         let incarnation = u64::from_str_radix(incarnation, 16).ok()?;
@@ -42,14 +42,14 @@
 
 /// An idempotency key as a caller sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct IdempotencyKey {
     /// `None` for a plain key, whose owner the platform's store tells.
     pub prefix: Option<KeyPrefix>,
     /// The whole key, prefix included.
     pub text: String,
 }
 
-impl Key {
+impl IdempotencyKey {
     /// Reads a key from its header.
     ///
     /// # Errors
--- a/src/outcome/mod.rs
+++ b/src/outcome/mod.rs
@@ -1,18 +1,18 @@
 //! At-most-once: idempotency keys, and the record of what became of them.
 
 mod claims;
-mod kept;
-mod key;
+mod idempotency_key;
+mod recorded_outcome;
 mod table;
 
 pub use claims::claim;
-pub use kept::Kept;
-pub use kept::KeptRow;
-pub use kept::OwnerSnapshot;
-pub use kept::WholeAnswer;
-pub use key::KEY_MAX_BYTES;
-pub use key::Key;
-pub use key::KeyPrefix;
-pub use table::Begin;
+pub use idempotency_key::IdempotencyKey;
+pub use idempotency_key::KEY_MAX_BYTES;
+pub use idempotency_key::KeyPrefix;
+pub use recorded_outcome::HandoverRow;
+pub use recorded_outcome::OwnerSnapshot;
+pub use recorded_outcome::RecordedAnswer;
+pub use recorded_outcome::RecordedOutcome;
+pub use table::KeyDecision;
 pub use table::OutcomeTable;
 pub use table::RunGuard;
--- a/src/outcome/kept.rs
+++ b/src/outcome/recorded_outcome.rs
@@ -10,13 +10,13 @@
 
 /// An answer kept for repeats, byte for byte.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WholeAnswer {
+pub struct RecordedAnswer {
     pub status: u16,
     pub headers: Vec<(String, Vec<u8>)>,
     pub body: Bytes,
 }
 
-impl WholeAnswer {
+impl RecordedAnswer {
     /// Approximate memory that it takes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
@@ -27,8 +27,8 @@
 
 /// What became of a keyed request that may have run; one that did not run leaves no row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kept {
-    Answer(Arc<WholeAnswer>),
+pub enum RecordedOutcome {
+    Answer(Arc<RecordedAnswer>),
     /// It ran; its answer was too large to keep.
     AnswerNotKept,
     /// It may have run, and will not run again.
@@ -37,25 +37,25 @@
 
 /// One finished row, as it is handed over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptRow {
+pub struct HandoverRow {
     /// Service and key.
     pub key: (String, String),
     pub epoch: u64,
-    pub kept: Kept,
+    pub outcome: RecordedOutcome,
 }
 
 /// Largest answer that is handed over.
-const HANDED_MAX_BYTES: usize = 512 << 10;
+const HANDOVER_ANSWER_MAX_BYTES: usize = 512 << 10;
 
-impl KeptRow {
+impl HandoverRow {
     /// The row, without its answer if that is too large to be handed over.
     #[must_use]
-    pub fn bounded(&self) -> Self {
+    pub fn without_oversized_answer(&self) -> Self {
         let mut row = self.clone();
-        if let Kept::Answer(answer) = &row.kept
-            && answer.size_bytes() > HANDED_MAX_BYTES
+        if let RecordedOutcome::Answer(answer) = &row.outcome
+            && answer.size_bytes() > HANDOVER_ANSWER_MAX_BYTES
         {
-            row.kept = Kept::AnswerNotKept;
+            row.outcome = RecordedOutcome::AnswerNotKept;
         }
         row
     }
@@ -70,5 +70,5 @@
     pub uptime_ms: u64,
     /// Epochs after which the sender refused a key.
     pub window_epochs: u64,
-    pub rows: Vec<KeptRow>,
+    pub rows: Vec<HandoverRow>,
 }
--- a/src/outcome/table.rs
+++ b/src/outcome/table.rs
@@ -10,9 +10,9 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use super::Kept;
-use super::KeptRow;
+use super::HandoverRow;
 use super::OwnerSnapshot;
+use super::RecordedOutcome;
 use crate::clock::now_ms;
 use crate::conf::OutcomeSettings;
 use crate::errors::Code;
@@ -20,27 +20,27 @@
 type RowKey = (String, String);
 
 #[derive(Debug)]
-enum Row {
+enum RowState {
     /// Followers wait for the result; `None` in the channel until it is there, and the channel
     /// closes without one when the request did not run.
-    Running(watch::Receiver<Option<Kept>>),
-    Done(Kept),
+    Running(watch::Receiver<Option<RecordedOutcome>>),
+    Done(RecordedOutcome),
 }
 
 #[derive(Debug)]
-struct Tracked {
-    row: Row,
+struct TrackedRow {
+    state: RowState,
     /// Of the key; decides when the row may go.
     epoch: u64,
 }
 
 #[derive(Debug)]
 struct OwnerRecord {
-    rows: HashMap<RowKey, Tracked>,
+    rows: HashMap<RowKey, TrackedRow>,
     /// Bytes of kept answers; at most `answers_max_bytes`.
     answers_bytes: usize,
     /// When the process whose keys these are started, by this process's clock.
-    born_ms: u64,
+    started_ms: u64,
     /// Epochs after which a key is refused.
     window_epochs: u64,
     /// Set when the rows were handed over: nothing runs here from then on.
@@ -49,13 +49,13 @@
 
 /// What to do with a keyed request that arrived.
 #[derive(Debug)]
-pub enum Begin {
+pub enum KeyDecision {
     /// Run it, and tell the guard how it ended.
     Run(RunGuard),
     /// It runs already; its result will be told, or the channel closes when it did not run.
-    Follow(watch::Receiver<Option<Kept>>),
+    Follow(watch::Receiver<Option<RecordedOutcome>>),
     /// It has ended.
-    Replay(Kept),
+    Replay(RecordedOutcome),
     /// The key is too old to tell.
     Expired,
     /// No room for another row.
@@ -84,8 +84,8 @@
 
     /// The epoch of a process that started at `born_ms`.
     #[must_use]
-    pub fn epoch_at(&self, born_ms: u64, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(born_ms) / self.settings.epoch_ms
+    pub fn epoch_since(&self, started_ms: u64, now_ms: u64) -> u64 {
+        now_ms.saturating_sub(started_ms) / self.settings.epoch_ms
     }
 
     /// The epoch of `incarnation`, if its keys are answered for here.
@@ -93,7 +93,7 @@
     pub fn epoch_of(&self, incarnation: u64) -> Option<u64> {
         let records = self.records.lock();
         let record = records.get(&incarnation)?;
-        Some(self.epoch_at(record.born_ms, now_ms()))
+        Some(self.epoch_since(record.started_ms, now_ms()))
     }
 
     /// Whether keys of `incarnation` may run here.
@@ -116,34 +116,36 @@
 
     /// Decides on a keyed request.
     #[must_use]
-    pub fn begin(&self, incarnation: u64, epoch: u64, service: &str, key: &str) -> Begin {
+    pub fn begin(&self, incarnation: u64, epoch: u64, service: &str, key: &str) -> KeyDecision {
         let mut records = self.records.lock();
         let held: usize = records.values().map(|record| record.rows.len()).sum();
         let Some(record) = records.get_mut(&incarnation) else {
-            return Begin::NotOwner;
+            return KeyDecision::NotOwner;
         };
         let row_key = (service.to_owned(), key.to_owned());
         if let Some(tracked) = record.rows.get(&row_key) {
-            return match &tracked.row {
-                Row::Running(result) => Begin::Follow(result.clone()),
-                Row::Done(kept) => Begin::Replay(kept.clone()),
+            return match &tracked.state {
+                RowState::Running(result) => KeyDecision::Follow(result.clone()),
+                RowState::Done(outcome) => KeyDecision::Replay(outcome.clone()),
             };
         }
         if record.closed {
-            return Begin::Closed;
+            return KeyDecision::Closed;
         }
-        let now_epoch = self.epoch_at(record.born_ms, now_ms());
+        let now_epoch = self.epoch_since(record.started_ms, now_ms());
         // An epoch of the future was never given out, and its row would outlive the window.
         if epoch + record.window_epochs < now_epoch || epoch > now_epoch + 1 {
-            return Begin::Expired;
+            return KeyDecision::Expired;
         }
         if held >= self.settings.rows_max {
-            return Begin::Full;
+            return KeyDecision::Full;
         }
         let (sender, receiver) = watch::channel(None);
-        record.rows.insert(row_key.clone(), Tracked { row: Row::Running(receiver), epoch });
+        record
+            .rows
+            .insert(row_key.clone(), TrackedRow { state: RowState::Running(receiver), epoch });
         drop(records);
-        Begin::Run(RunGuard {
+        KeyDecision::Run(RunGuard {
             table: self.clone(),
             incarnation,
             key: row_key,
@@ -152,18 +154,23 @@
         })
     }
 
-    fn finish(&self, incarnation: u64, key: &RowKey, kept: Option<Kept>) -> Option<Kept> {
+    fn finish(
+        &self,
+        incarnation: u64,
+        key: &RowKey,
+        outcome: Option<RecordedOutcome>,
+    ) -> Option<RecordedOutcome> {
         let mut records = self.records.lock();
         let record = records.get_mut(&incarnation)?;
-        let Some(kept) = kept else {
+        let Some(outcome) = outcome else {
             record.rows.remove(key);
             return None;
         };
-        let kept = record.bounded(kept, self.settings.answers_max_bytes);
+        let outcome = record.within_answers_limit(outcome, self.settings.answers_max_bytes);
         if let Some(tracked) = record.rows.get_mut(key) {
-            tracked.row = Row::Done(kept.clone());
+            tracked.state = RowState::Done(outcome.clone());
         }
-        Some(kept)
+        Some(outcome)
     }
 
     /// Drops rows whose keys are refused by now, and whole records without any use.
@@ -171,12 +178,12 @@
         let now = now_ms();
         let mut records = self.records.lock();
         for record in records.values_mut() {
-            let now_epoch = self.epoch_at(record.born_ms, now);
+            let now_epoch = self.epoch_since(record.started_ms, now);
             record.expire(now_epoch);
         }
         let window_ms = self.settings.epoch_ms * (self.settings.window_epochs + 2);
         records.retain(|incarnation, record| {
-            let idle = record.rows.is_empty() && now.saturating_sub(record.born_ms) > window_ms;
+            let idle = record.rows.is_empty() && now.saturating_sub(record.started_ms) > window_ms;
             *incarnation == own || !record.closed || !idle
         });
     }
@@ -191,9 +198,9 @@
             record.closed = true;
             OwnerSnapshot {
                 incarnation: *incarnation,
-                uptime_ms: now.saturating_sub(record.born_ms),
+                uptime_ms: now.saturating_sub(record.started_ms),
                 window_epochs: record.window_epochs,
-                rows: record.rows.iter().map(|(key, tracked)| tracked.given_out(key)).collect(),
+                rows: record.rows.iter().map(|(key, tracked)| tracked.to_handover(key)).collect(),
             }
         });
         closed.collect()
@@ -204,18 +211,18 @@
     ///
     /// The window is one epoch shorter than it was, because `born_ms` may be later than the true
     /// start by the time the message took.
-    pub fn adopt(&self, part: OwnerSnapshot, born_ms: u64, last: bool) {
+    pub fn adopt(&self, part: OwnerSnapshot, started_ms: u64, last: bool) {
         let mut records = self.records.lock();
         let window_epochs = part.window_epochs.saturating_sub(1);
         let record = records.entry(part.incarnation).or_insert_with(|| {
-            let mut record = OwnerRecord::new(born_ms, window_epochs);
+            let mut record = OwnerRecord::new(started_ms, window_epochs);
             record.closed = true;
             record
         });
-        record.born_ms = record.born_ms.min(born_ms);
-        for KeptRow { key, epoch, kept } in part.rows {
-            let kept = record.bounded(kept, self.settings.answers_max_bytes);
-            record.rows.insert(key, Tracked { row: Row::Done(kept), epoch });
+        record.started_ms = record.started_ms.min(started_ms);
+        for HandoverRow { key, epoch, outcome } in part.rows {
+            let outcome = record.within_answers_limit(outcome, self.settings.answers_max_bytes);
+            record.rows.insert(key, TrackedRow { state: RowState::Done(outcome), epoch });
         }
         if last {
             record.closed = false;
@@ -223,42 +230,48 @@
     }
 }
 
-impl Tracked {
-    fn given_out(&self, key: &RowKey) -> KeptRow {
-        let kept = match &self.row {
+impl TrackedRow {
+    fn to_handover(&self, key: &RowKey) -> HandoverRow {
+        let outcome = match &self.state {
             // Its end will not be known to the successor, which must not run it.
-            Row::Running(_) => Kept::Unknown(Code::PeerLost),
-            Row::Done(kept) => kept.clone(),
+            RowState::Running(_) => RecordedOutcome::Unknown(Code::PeerLost),
+            RowState::Done(outcome) => outcome.clone(),
         };
-        KeptRow { key: key.clone(), epoch: self.epoch, kept }
+        HandoverRow { key: key.clone(), epoch: self.epoch, outcome }
     }
 }
 
 impl OwnerRecord {
-    fn new(born_ms: u64, window_epochs: u64) -> Self {
-        Self { rows: HashMap::new(), answers_bytes: 0, born_ms, window_epochs, closed: false }
+    fn new(started_ms: u64, window_epochs: u64) -> Self {
+        Self { rows: HashMap::new(), answers_bytes: 0, started_ms, window_epochs, closed: false }
     }
 
     /// Keeps an answer only while all kept answers stay within `max_bytes`.
-    fn bounded(&mut self, kept: Kept, max_bytes: usize) -> Kept {
-        let Kept::Answer(answer) = &kept else {
-            return kept;
+    fn within_answers_limit(
+        &mut self,
+        outcome: RecordedOutcome,
+        max_bytes: usize,
+    ) -> RecordedOutcome {
+        let RecordedOutcome::Answer(answer) = &outcome else {
+            return outcome;
         };
         let size = answer.size_bytes();
         if self.answers_bytes + size > max_bytes {
-            return Kept::AnswerNotKept;
+            return RecordedOutcome::AnswerNotKept;
         }
         self.answers_bytes += size;
-        kept
+        outcome
     }
 
     fn expire(&mut self, now_epoch: u64) {
         let window = self.window_epochs;
         let mut freed = 0;
         self.rows.retain(|_, tracked| {
-            let stays =
-                tracked.epoch + window >= now_epoch || matches!(tracked.row, Row::Running(_));
-            if let (false, Row::Done(Kept::Answer(answer))) = (stays, &tracked.row) {
+            let stays = tracked.epoch + window >= now_epoch
+                || matches!(tracked.state, RowState::Running(_));
+            if let (false, RowState::Done(RecordedOutcome::Answer(answer))) =
+                (stays, &tracked.state)
+            {
                 freed += answer.size_bytes();
             }
             stays
@@ -276,14 +289,14 @@
     table: OutcomeTable,
     incarnation: u64,
     key: RowKey,
-    sender: watch::Sender<Option<Kept>>,
+    sender: watch::Sender<Option<RecordedOutcome>>,
     ended: bool,
 }
 
 impl RunGuard {
     /// Records what became of the request.
-    pub fn finish(mut self, kept: Kept) {
-        self.end(Some(kept));
+    pub fn finish(mut self, outcome: RecordedOutcome) {
+        self.end(Some(outcome));
     }
 
     /// Removes the row: the request did not run, and a repeat may.
@@ -293,11 +306,11 @@
 
     /// Followers hear a result exactly when the request may have run: a channel that closes
     /// without one tells them that it did not.
-    fn end(&mut self, kept: Option<Kept>) {
+    fn end(&mut self, outcome: Option<RecordedOutcome>) {
         self.ended = true;
-        let stored = self.table.finish(self.incarnation, &self.key, kept.clone());
-        if kept.is_some() {
-            self.sender.send_replace(stored.or(kept));
+        let stored = self.table.finish(self.incarnation, &self.key, outcome.clone());
+        if outcome.is_some() {
+            self.sender.send_replace(stored.or(outcome));
         }
     }
 }
@@ -305,7 +318,7 @@
 impl Drop for RunGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(Some(Kept::Unknown(Code::AnswerLost)));
+            self.end(Some(RecordedOutcome::Unknown(Code::AnswerLost)));
         }
     }
 }
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -19,13 +19,13 @@
 use serde::Serialize;
 use tokio::time::Sleep;
 
-use super::Conn;
+use super::PooledConn;
 use super::Slot;
 use super::fields;
 use crate::decide::Finish;
 use crate::errors::Code;
-use crate::outcome::Kept;
-use crate::outcome::WholeAnswer;
+use crate::outcome::RecordedAnswer;
+use crate::outcome::RecordedOutcome;
 use crate::peer::PassReply;
 use crate::peer::PeerError;
 use crate::peer::ReplyHead;
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub struct UpstreamBody {
     incoming: Incoming,
-    held: Option<(Slot, Conn, PendingSend)>,
+    resources: Option<(Slot, PooledConn, PendingSend)>,
     /// The request's deadline holds for its whole answer: without it a server that stops in the
     /// middle would keep its slot and its caller for ever.
     deadline: Pin<Box<Sleep>>,
@@ -90,22 +90,22 @@
     pub(super) fn new(
         incoming: Incoming,
         slot: Slot,
-        conn: Conn,
-        left: Duration,
+        conn: PooledConn,
+        remaining: Duration,
         watch: PendingSend,
     ) -> Self {
-        let deadline = Box::pin(tokio::time::sleep(left));
-        Self { incoming, held: Some((slot, conn, watch)), deadline }
+        let deadline = Box::pin(tokio::time::sleep(remaining));
+        Self { incoming, resources: Some((slot, conn, watch)), deadline }
     }
 
-    fn ended(&mut self, whole: bool) {
-        let Some((slot, conn, watch)) = self.held.take() else {
+    fn release(&mut self, whole: bool) {
+        let Some((slot, conn, watch)) = self.resources.take() else {
             return;
         };
         if whole {
-            conn.give_back();
+            conn.return_to_pool();
             watch.record_response();
-            let latency_us = slot.age_us();
+            let latency_us = slot.elapsed_us();
             slot.finish(Finish::Answered { latency_us });
         } else {
             slot.finish(Finish::Failed);
@@ -148,13 +148,13 @@
             Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             Self::Upstream(body) => {
                 if body.deadline.as_mut().poll(cx).is_ready() {
-                    body.ended(false);
+                    body.release(false);
                     return Poll::Ready(Some(Err(BodyError::Deadline)));
                 }
                 let polled = Pin::new(&mut body.incoming).poll_frame(cx);
                 match &polled {
-                    Poll::Ready(None) => body.ended(true),
-                    Poll::Ready(Some(Err(_))) => body.ended(false),
+                    Poll::Ready(None) => body.release(true),
+                    Poll::Ready(Some(Err(_))) => body.release(false),
                     _ => {}
                 }
                 polled.map_err(BodyError::Upstream)
@@ -216,7 +216,7 @@
 impl Answer {
     /// An answer of sorrelwick's own: no backend server's answer is passed on.
     #[must_use]
-    pub fn own(outcome: Outcome, code: Code, retry_after_ms: u64) -> Self {
+    pub fn generated(outcome: Outcome, code: Code, retry_after_ms: u64) -> Self {
         let text = format!(
             "{{\"outcome\":\"{}\",\"code\":{},\"name\":\"{}\"}}\n",
             outcome.name(),
@@ -238,20 +238,20 @@
     /// The request did not run.
     #[must_use]
     pub fn not_run(code: Code, retry_after_ms: u64) -> Self {
-        Self::own(Outcome::NotRun, code, retry_after_ms)
+        Self::generated(Outcome::NotRun, code, retry_after_ms)
     }
 
     /// A request that goes no further from here. With a key it may be the repeat of one that ran
     /// elsewhere, and `not-run` would be false of that.
     #[must_use]
-    pub fn refused(code: Code, keyed: bool) -> Self {
+    pub fn rejected(code: Code, keyed: bool) -> Self {
         if keyed { Self::unknown(code) } else { Self::not_run(code, 0) }
     }
 
     /// This answer as the last one of a request of which an earlier attempt may have run: that a
     /// later attempt did not run does not undo the earlier one.
     #[must_use]
-    pub fn after(self, may_have_run: bool) -> Self {
+    pub fn after_earlier_attempts(self, may_have_run: bool) -> Self {
         if may_have_run && self.outcome == Outcome::NotRun {
             let retry_after_ms = self.retry_after_ms;
             return Self { retry_after_ms, ..Self::unknown(Code::AnswerLost) };
@@ -262,7 +262,7 @@
     /// The request may have run.
     #[must_use]
     pub fn unknown(code: Code) -> Self {
-        Self::own(Outcome::Unknown, code, 0)
+        Self::generated(Outcome::Unknown, code, 0)
     }
 
     /// A backend server's answer.
@@ -273,31 +273,31 @@
 
     /// What is to be kept for repeats; `None` for a request that did not run.
     #[must_use]
-    pub fn kept(&self) -> Option<Kept> {
+    pub fn to_record(&self) -> Option<RecordedOutcome> {
         match (self.outcome, &self.body) {
             (Outcome::NotRun, _) => None,
-            (Outcome::Unknown, _) => Some(Kept::Unknown(self.code)),
+            (Outcome::Unknown, _) => Some(RecordedOutcome::Unknown(self.code)),
             (Outcome::Ran, AnswerBody::Whole(body)) => {
-                let headers = fields::travelling(&self.headers);
+                let headers = fields::end_to_end_headers(&self.headers);
                 let status = self.status.as_u16();
-                let whole = WholeAnswer { status, headers, body: body.clone() };
-                Some(Kept::Answer(Arc::new(whole)))
+                let whole = RecordedAnswer { status, headers, body: body.clone() };
+                Some(RecordedOutcome::Answer(Arc::new(whole)))
             }
-            (Outcome::Ran, _) => Some(Kept::AnswerNotKept),
+            (Outcome::Ran, _) => Some(RecordedOutcome::AnswerNotKept),
         }
     }
 
     /// The answer to a repeat.
     #[must_use]
-    pub fn replay(kept: &Kept) -> Self {
-        match kept {
-            Kept::Answer(whole) => {
+    pub fn replay(recorded: &RecordedOutcome) -> Self {
+        match recorded {
+            RecordedOutcome::Answer(whole) => {
                 let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
                 let headers = fields::header_map(&whole.headers);
                 Self::ran(status, headers, AnswerBody::Whole(whole.body.clone()))
             }
-            Kept::AnswerNotKept => Self::own(Outcome::Ran, Code::AnswerNotKept, 0),
-            Kept::Unknown(code) => Self::unknown(*code),
+            RecordedOutcome::AnswerNotKept => Self::generated(Outcome::Ran, Code::AnswerNotKept, 0),
+            RecordedOutcome::Unknown(code) => Self::unknown(*code),
         }
     }
 
@@ -309,7 +309,7 @@
             code: self.code.number(),
             retry_after_ms: self.retry_after_ms,
             status: self.status.as_u16(),
-            headers: fields::travelling(&self.headers),
+            headers: fields::end_to_end_headers(&self.headers),
             body_bytes: self.body.size_hint().exact(),
             free,
         }
@@ -320,7 +320,7 @@
     ///
     /// # Errors
     /// `Lost` when the body is cut short while it is taken.
-    pub async fn passed(reply: PassReply, buffer_bytes: usize) -> Result<Self, PeerError> {
+    pub async fn from_peer(reply: PassReply, buffer_bytes: usize) -> Result<Self, PeerError> {
         let head = reply.head;
         let small = head.body_bytes.filter(|bytes| *bytes <= buffer_bytes as u64);
         let streamed = AnswerBody::Peer { first: reply.first, rest: reply.rest };
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -17,8 +17,8 @@
 
 use super::Answer;
 use super::AnswerBody;
-use super::Conn;
-use super::Need;
+use super::Freshness;
+use super::PooledConn;
 use super::ProxyRequest;
 use super::Slot;
 use super::answer::UpstreamBody;
@@ -30,21 +30,21 @@
 use crate::quarantine::PendingSend;
 
 /// When to come back where the server tells nothing of it.
-const RETRY_SOON_MS: u64 = 100;
+const DEFAULT_RETRY_AFTER_MS: u64 = 100;
 /// When to come back to a server that takes no connection.
-const UNREACHABLE_RETRY_MS: u64 = 1_000;
+const UNREACHABLE_RETRY_AFTER_MS: u64 = 1_000;
 /// Most of a refusal's body that is read to keep its connection.
-const REFUSAL_MAX_BYTES: usize = 64 << 10;
+const REFUSAL_BODY_MAX_BYTES: usize = 64 << 10;
 
 /// What came of an attempt, and what its answer said of the backend server.
 #[derive(Debug)]
-pub struct Attempted {
+pub struct AttemptResult {
     pub answer: Answer,
     /// The server said that it is leaving.
     pub leaving: bool,
 }
 
-impl From<Answer> for Attempted {
+impl From<Answer> for AttemptResult {
     fn from(answer: Answer) -> Self {
         Self { answer, leaving: false }
     }
@@ -52,7 +52,7 @@
 
 /// Whether a status means that the server failed rather than answered.
 #[must_use]
-pub fn failure(status: StatusCode) -> bool {
+pub fn is_server_failure(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::INTERNAL_SERVER_ERROR
@@ -62,17 +62,17 @@
     )
 }
 
-fn build(proxy_request: &ProxyRequest) -> Option<Request<Full<Bytes>>> {
+fn build_request(proxy_request: &ProxyRequest) -> Option<Request<Full<Bytes>>> {
     let mut builder =
         Request::builder().method(proxy_request.method.as_str()).uri(proxy_request.target.as_str());
     let headers = builder.headers_mut()?;
     *headers = fields::header_map(&proxy_request.headers);
-    headers.insert(fields::TIMEOUT_MS, (proxy_request.left_us() / 1000).into());
+    headers.insert(fields::TIMEOUT_MS, (proxy_request.remaining_us() / 1000).into());
     builder.body(Full::new(proxy_request.body.clone())).ok()
 }
 
 /// Whether the end of the body can be told from a connection that breaks.
-fn end_is_marked(response: &Response<Incoming>, method: &str) -> bool {
+fn has_delimited_body(response: &Response<Incoming>, method: &str) -> bool {
     let bodiless = method == "HEAD"
         || response.status() == StatusCode::NO_CONTENT
         || response.status() == StatusCode::NOT_MODIFIED;
@@ -90,39 +90,40 @@
     spec: &Service,
     slot: Slot,
     buffer_bytes: usize,
-    trial: &Arc<AdmittedSend>,
-) -> Attempted {
-    let Some(request) = build(proxy_request) else {
+    admitted_send: &Arc<AdmittedSend>,
+) -> AttemptResult {
+    let Some(request) = build_request(proxy_request) else {
         return Answer::not_run(Code::BadRequest, 0).into();
     };
-    let left = Duration::from_micros(proxy_request.left_us());
-    let need = if proxy_request.idempotent { Need::Any } else { Need::Fresh };
+    let left = Duration::from_micros(proxy_request.remaining_us());
+    let need = if proxy_request.idempotent { Freshness::Any } else { Freshness::Recent };
     let upstream = Arc::clone(&slot.upstream);
     let conn = match tokio::time::timeout(left, upstream.checkout(need)).await {
         Ok(Some(conn)) => conn,
         Ok(None) => {
             slot.finish(Finish::Failed);
-            return Answer::not_run(Code::ConnectFailed, UNREACHABLE_RETRY_MS).into();
+            return Answer::not_run(Code::ConnectFailed, UNREACHABLE_RETRY_AFTER_MS).into();
         }
-        Err(_) => return Answer::not_run(Code::DeadlineInQueue, RETRY_SOON_MS).into(),
+        Err(_) => return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into(),
     };
-    let (unanswered, trial) = (proxy_request.unanswered(&upstream), Arc::clone(trial));
-    let watch = PendingSend { send: trial, failed_send: unanswered };
-    exchange(proxy_request, spec, slot, conn, request, buffer_bytes, watch).await
+    let (failed_send, admitted_send) =
+        (proxy_request.failed_send(&upstream), Arc::clone(admitted_send));
+    let watch = PendingSend { send: admitted_send, failed_send };
+    send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, watch).await
 }
 
-async fn exchange(
+async fn send_on_conn(
     proxy_request: &ProxyRequest,
     spec: &Service,
     slot: Slot,
-    mut conn: Conn,
+    mut conn: PooledConn,
     request: Request<Full<Bytes>>,
     buffer_bytes: usize,
     watch: PendingSend,
-) -> Attempted {
-    let left = Duration::from_micros(proxy_request.left_us());
+) -> AttemptResult {
+    let left = Duration::from_micros(proxy_request.remaining_us());
     if left.is_zero() {
-        return Answer::not_run(Code::DeadlineInQueue, RETRY_SOON_MS).into();
+        return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into();
     }
     let response = match tokio::time::timeout(left, conn.sender.try_send_request(request)).await {
         Ok(Ok(response)) => response,
@@ -131,66 +132,71 @@
             // hyper gives the message back only if none of it was written.
             let untouched = err.take_message().is_some();
             return if untouched {
-                Answer::not_run(Code::ConnectFailed, RETRY_SOON_MS).into()
+                Answer::not_run(Code::ConnectFailed, DEFAULT_RETRY_AFTER_MS).into()
             } else {
                 Answer::unknown(Code::AnswerLost).into()
             };
         }
         Err(_) => return Answer::unknown(Code::DeadlineAfterDispatch).into(),
     };
-    let told = Told::read(response.headers());
-    told.note(&slot);
-    let leaving = told.leaving;
+    let report = ServerReport::parse(response.headers());
+    report.apply(&slot);
+    let leaving = report.leaving;
     if spec.refusal_statuses.contains(&response.status().as_u16()) {
-        let answer = refused(response, slot, conn).await;
-        return Attempted { answer, leaving };
+        let answer = handle_refusal(response, slot, conn).await;
+        return AttemptResult { answer, leaving };
     }
-    if !end_is_marked(&response, &proxy_request.method) {
+    if !has_delimited_body(&response, &proxy_request.method) {
         slot.finish(Finish::Failed);
-        return Attempted { answer: Answer::unknown(Code::AnswerTruncated), leaving };
+        return AttemptResult { answer: Answer::unknown(Code::AnswerTruncated), leaving };
     }
-    let answer = take(proxy_request, response, slot, conn, buffer_bytes, watch).await;
-    Attempted { answer, leaving }
+    let answer = receive_answer(proxy_request, response, slot, conn, buffer_bytes, watch).await;
+    AttemptResult { answer, leaving }
 }
 
 /// What an answer told of its server, at no cost.
-struct Told {
+struct ServerReport {
     leaving: bool,
     in_flight: Option<u32>,
 }
 
-impl Told {
-    fn read(headers: &HeaderMap) -> Self {
-        let leaving = fields::text(headers, fields::BACKEND_STATE) == Some(fields::DRAINING);
-        let load = fields::text(headers, fields::BACKEND_LOAD);
+impl ServerReport {
+    fn parse(headers: &HeaderMap) -> Self {
+        let leaving = fields::header_text(headers, fields::BACKEND_STATE) == Some(fields::DRAINING);
+        let load = fields::header_text(headers, fields::BACKEND_LOAD);
         Self { leaving, in_flight: load.and_then(|text| text.parse().ok()) }
     }
 
-    fn note(&self, slot: &Slot) {
+    fn apply(&self, slot: &Slot) {
         if let Some(in_flight) = self.in_flight {
-            slot.report(in_flight);
+            slot.record_load(in_flight);
         }
     }
 }
 
 /// The server declared by its status that it did not run the request.
-async fn refused(response: Response<Incoming>, slot: Slot, conn: Conn) -> Answer {
-    let asked = rest(response.headers(), &slot.upstream.id);
+async fn handle_refusal(response: Response<Incoming>, slot: Slot, conn: PooledConn) -> Answer {
+    let cooldown = parse_retry_after(response.headers(), &slot.upstream.id);
     // The rest of a refusal is of no use, but the connection is only once it is read.
-    let rest = http_body_util::Limited::new(response.into_body(), REFUSAL_MAX_BYTES);
-    if rest.collect().await.is_ok() {
-        conn.give_back();
+    let body = http_body_util::Limited::new(response.into_body(), REFUSAL_BODY_MAX_BYTES);
+    if body.collect().await.is_ok() {
+        conn.return_to_pool();
     }
-    let finish = asked.map_or(Finish::Refused, |rest| Finish::Resting { rest_us: micros(rest) });
+    let finish = cooldown
+        .map_or(Finish::Refused, |cooldown| Finish::Resting { rest_us: duration_us(cooldown) });
     slot.finish(finish);
-    Answer::not_run(Code::Refused, asked.map_or(RETRY_SOON_MS, |rest| micros(rest) / 1000))
+    Answer::not_run(
+        Code::Refused,
+        cooldown.map_or(DEFAULT_RETRY_AFTER_MS, |cooldown| duration_us(cooldown) / 1000),
+    )
 }
 
 /// The time in seconds that a refusal asks to be left alone, if it names one.
-fn rest(headers: &HeaderMap, server: &str) -> Option<Duration> {
-    let text = fields::text(headers, "retry-after")?;
+fn parse_retry_after(headers: &HeaderMap, server: &str) -> Option<Duration> {
+    let text = fields::header_text(headers, "retry-after")?;
     let seconds = text.trim().parse().ok();
-    let Some(rest) = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()) else {
+    let Some(cooldown) = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
+    else {
         warn!(
             event = "server-rest-unreadable", server = server, text = text,
             code = Code::ServerRestUnreadable.number();
@@ -199,28 +205,28 @@
         return None;
     };
     info!(
-        event = "server-rests", server = server, rest_ms = rest.as_millis();
+        event = "server-rests", server = server, rest_ms = cooldown.as_millis();
         "it turned a request away and asks for rest"
     );
-    Some(rest)
+    Some(cooldown)
 }
 
-fn micros(time: Duration) -> u64 {
+fn duration_us(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-async fn take(
+async fn receive_answer(
     proxy_request: &ProxyRequest,
     response: Response<Incoming>,
     slot: Slot,
-    conn: Conn,
+    conn: PooledConn,
     buffer_bytes: usize,
     watch: PendingSend,
 ) -> Answer {
     let (parts, incoming) = response.into_parts();
-    let headers = fields::header_map(&fields::travelling(&parts.headers));
+    let headers = fields::header_map(&fields::end_to_end_headers(&parts.headers));
     let size = incoming.size_hint().exact();
-    let left = Duration::from_micros(proxy_request.left_us());
+    let left = Duration::from_micros(proxy_request.remaining_us());
     if size.is_none_or(|size| size > buffer_bytes as u64) {
         let body = UpstreamBody::new(incoming, slot, conn, left, watch);
         return Answer::ran(parts.status, headers, AnswerBody::Upstream(Box::new(body)));
@@ -232,9 +238,9 @@
         slot.finish(Finish::Failed);
         return Answer::unknown(Code::AnswerTruncated);
     };
-    conn.give_back();
-    let latency_us = slot.age_us();
-    let failed = failure(parts.status);
+    conn.return_to_pool();
+    let latency_us = slot.elapsed_us();
+    let failed = is_server_failure(parts.status);
     if !failed {
         watch.record_response();
     }
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -29,7 +29,7 @@
 use crate::listener::Handler;
 use crate::listener::HttpListener;
 use crate::member::MemberRow;
-use crate::outcome::Key;
+use crate::outcome::IdempotencyKey;
 use crate::outcome::KeyPrefix;
 use crate::peer::Stage;
 use crate::quarantine::Fingerprints;
@@ -52,7 +52,7 @@
     type Body = AnswerBody;
 
     async fn handle(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        serve(&self.0, request).await
+        handle_request(&self.0, request).await
     }
 
     fn limits(&self) -> ConnLimits {
@@ -62,7 +62,7 @@
 
 /// One address of an address answer.
 #[derive(Debug, Serialize)]
-struct NamedAddress {
+struct AddressEntry {
     address: String,
     zone: String,
     /// Begins every idempotency key that is sent to this address.
@@ -71,10 +71,10 @@
 
 /// The answer to "which address".
 #[derive(Debug, Serialize)]
-struct AddressAnswer {
+struct AddressList {
     service: String,
     keep_ms: u64,
-    addresses: Vec<NamedAddress>,
+    addresses: Vec<AddressEntry>,
 }
 
 impl CallerListener {
@@ -93,21 +93,21 @@
     }
 }
 
-async fn serve(router: &Router, request: Request<Incoming>) -> Response<AnswerBody> {
+async fn handle_request(router: &Router, request: Request<Incoming>) -> Response<AnswerBody> {
     router.board.counters.add(Counter::Requests);
     if request.uri().path() == fields::ADDRESSES_PATH {
-        return name_addresses(router, &request);
+        return answer_addresses(router, &request);
     }
     let in_flight = router.board.in_flight();
-    let answer = match read(router, request).await {
+    let answer = match read_request(router, request).await {
         Ok(proxy_request) => router.handle(proxy_request).await,
         Err(answer) => answer,
     };
     drop(in_flight);
-    respond(router, answer)
+    build_response(router, answer)
 }
 
-fn respond(router: &Router, answer: Answer) -> Response<AnswerBody> {
+fn build_response(router: &Router, answer: Answer) -> Response<AnswerBody> {
     let mut response = Response::new(answer.body);
     *response.status_mut() = answer.status;
     *response.headers_mut() = answer.headers;
@@ -126,7 +126,7 @@
 }
 
 /// Reads a request whole, or tells why not; nothing of it has been sent on then.
-async fn read(router: &Router, request: Request<Incoming>) -> Result<ProxyRequest, Answer> {
+async fn read_request(router: &Router, request: Request<Incoming>) -> Result<ProxyRequest, Answer> {
     let settings = &router.board.settings.requests;
     let refuse = |err: &Coded| Answer::not_run(err.code, 0);
     let (parts, incoming) = request.into_parts();
@@ -135,7 +135,7 @@
     let key = match headers.get(fields::IDEMPOTENCY_KEY) {
         Some(value) => {
             let text = value.to_str().unwrap_or("");
-            Some(Key::parse(text).map_err(|err| refuse(&err))?)
+            Some(IdempotencyKey::parse(text).map_err(|err| refuse(&err))?)
         }
         None => None,
     };
@@ -144,7 +144,7 @@
     let timeout_ms = match headers.get(fields::TIMEOUT_MS) {
         Some(value) => {
             let parsed = value.to_str().ok().and_then(|text| text.parse::<u64>().ok());
-            parsed.ok_or_else(|| Answer::refused(Code::BadRequest, keyed))?
+            parsed.ok_or_else(|| Answer::rejected(Code::BadRequest, keyed))?
         }
         None => default_ms,
     };
@@ -152,9 +152,9 @@
     let body = match Limited::new(incoming, settings.body_limit_bytes).collect().await {
         Ok(body) => body.to_bytes(),
         Err(err) if err.is::<http_body_util::LengthLimitError>() => {
-            return Err(Answer::refused(Code::BodyTooLarge, keyed));
+            return Err(Answer::rejected(Code::BodyTooLarge, keyed));
         }
-        Err(_) => return Err(Answer::refused(Code::BodyIncomplete, keyed)),
+        Err(_) => return Err(Answer::rejected(Code::BodyIncomplete, keyed)),
     };
     let target = parts.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
     let caller = CallerAddress::of(&parts);
@@ -164,7 +164,7 @@
         service,
         method: method.to_owned(),
         target: target.to_owned(),
-        headers: fields::travelling(headers),
+        headers: fields::end_to_end_headers(headers),
         body,
         key,
         idempotent: true,
@@ -179,28 +179,28 @@
     let named = if let Some(value) = parts.headers.get(fields::SERVICE) {
         value.to_str().ok()?
     } else {
-        let field = fields::text(&parts.headers, "host");
+        let field = fields::header_text(&parts.headers, "host");
         parts.uri.host().or(field)?.split(':').next()?
     };
     (!named.is_empty()).then(|| named.to_owned())
 }
 
-fn query<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
+fn query_param<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&');
     let named = pairs.filter_map(|pair| pair.split_once('='));
     named.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-fn name_addresses(router: &Router, request: &Request<Incoming>) -> Response<AnswerBody> {
+fn answer_addresses(router: &Router, request: &Request<Incoming>) -> Response<AnswerBody> {
     if request.method() != Method::GET {
-        return respond(router, Answer::not_run(Code::BadRequest, 0));
+        return build_response(router, Answer::not_run(Code::BadRequest, 0));
     }
     let board = &router.board;
-    let zone = query(request, "zone").unwrap_or(&board.settings.instance.zone);
-    let service = query(request, "service").unwrap_or("");
-    let addresses = addresses_for(router, service, zone);
+    let zone = query_param(request, "zone").unwrap_or(&board.settings.instance.zone);
+    let service = query_param(request, "service").unwrap_or("");
+    let addresses = list_addresses(router, service, zone);
     let keep_ms = board.settings.requests.address_keep_ms;
-    let answer = AddressAnswer { service: service.into(), keep_ms, addresses };
+    let answer = AddressList { service: service.into(), keep_ms, addresses };
     let text = serde_json::to_vec(&answer).unwrap_or_default();
     let mut response = Response::new(AnswerBody::Whole(text.into()));
     let json = http::HeaderValue::from_static("application/json");
@@ -209,7 +209,7 @@
 }
 
 /// The homes of the service, those of the zone first, then other instances of the zone.
-fn addresses_for(router: &Router, service: &str, zone: &str) -> Vec<NamedAddress> {
+fn list_addresses(router: &Router, service: &str, zone: &str) -> Vec<AddressEntry> {
     let board = &router.board;
     let view = board.members_view();
     let mut named: Vec<Arc<MemberRow>> = Vec::new();
@@ -226,15 +226,15 @@
         }
     }
     named.truncate(ADDRESSES_MAX);
-    named.iter().map(|row| named_address(router, row)).collect()
+    named.iter().map(|row| address_entry(router, row)).collect()
 }
 
-fn named_address(router: &Router, row: &MemberRow) -> NamedAddress {
+fn address_entry(router: &Router, row: &MemberRow) -> AddressEntry {
     let board = &router.board;
-    let born_ms = board.members.lock().born_ms(row.incarnation).unwrap_or_else(now_ms);
-    let epoch = board.outcomes.epoch_at(born_ms, now_ms());
+    let started_ms = board.members.lock().born_ms(row.incarnation).unwrap_or_else(now_ms);
+    let epoch = board.outcomes.epoch_since(started_ms, now_ms());
     let prefix = KeyPrefix { incarnation: row.incarnation, epoch };
-    NamedAddress {
+    AddressEntry {
         address: row.caller.to_string(),
         zone: row.zone.clone(),
         key_prefix: prefix.to_string(),
--- a/src/route/fields.rs
+++ b/src/route/fields.rs
@@ -39,27 +39,27 @@
 
 /// Whether a field concerns one connection only.
 #[must_use]
-pub fn hop_by_hop(name: &HeaderName) -> bool {
+pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP.contains(&name.as_str())
 }
 
 /// Whether a field is for the next end only, or one of ours that nobody else may set.
-fn stays(name: &HeaderName) -> bool {
-    hop_by_hop(name) || name.as_str().starts_with(OWN_PREFIX)
+fn is_not_forwarded(name: &HeaderName) -> bool {
+    is_hop_by_hop(name) || name.as_str().starts_with(OWN_PREFIX)
 }
 
 /// The fields that travel on, as pairs for messages between instances.
 #[must_use]
-pub fn travelling(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
-    let named: Vec<String> = listed_in_connection(headers);
-    let travel = headers
-        .iter()
-        .filter(|(name, _)| !stays(name) && !named.iter().any(|other| other == name.as_str()));
+pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
+    let named: Vec<String> = connection_options(headers);
+    let travel = headers.iter().filter(|(name, _)| {
+        !is_not_forwarded(name) && !named.iter().any(|other| other == name.as_str())
+    });
     travel.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
 }
 
 /// Fields that the `connection` field declares to be for the next end only.
-fn listed_in_connection(headers: &HeaderMap) -> Vec<String> {
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
     let names = values.flat_map(|value| value.split(','));
     names.map(|name| name.trim().to_ascii_lowercase()).collect()
@@ -80,6 +80,6 @@
 
 /// A field's text, if it is there and readable.
 #[must_use]
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -12,19 +12,19 @@
 use super::ServiceState;
 use crate::board::Counter;
 use crate::errors::Code;
-use crate::outcome::Begin;
-use crate::outcome::Kept;
-use crate::outcome::Key;
+use crate::outcome::IdempotencyKey;
+use crate::outcome::KeyDecision;
 use crate::outcome::KeyPrefix;
+use crate::outcome::RecordedOutcome;
 use crate::outcome::RunGuard;
 use crate::outcome::claim;
 use crate::peer::Stage;
 
-const FULL_RETRY_MS: u64 = 1_000;
-const OWNER_RETRY_MS: u64 = 1_000;
+const TABLE_FULL_RETRY_AFTER_MS: u64 = 1_000;
+const OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
-fn unreachable_owner() -> Answer {
-    Answer { retry_after_ms: OWNER_RETRY_MS, ..Answer::unknown(Code::KeyOwnerUnreachable) }
+fn owner_unreachable() -> Answer {
+    Answer { retry_after_ms: OWNER_RETRY_AFTER_MS, ..Answer::unknown(Code::KeyOwnerUnreachable) }
 }
 
 impl Router {
@@ -33,69 +33,73 @@
         &self,
         state: &Arc<ServiceState>,
         proxy_request: ProxyRequest,
-        key: Key,
+        key: IdempotencyKey,
     ) -> Answer {
         let prefix = match key.prefix {
             Some(prefix) => Some(prefix),
-            None => self.claim(&proxy_request, &key).await,
+            None => self.claim_key(&proxy_request, &key).await,
         };
         let Some(prefix) = prefix else {
             // The key may have run before, so this is not told to be not-run.
             let answer = Answer::unknown(Code::ClaimUnavailable);
-            return Answer { retry_after_ms: OWNER_RETRY_MS, ..answer };
+            return Answer { retry_after_ms: OWNER_RETRY_AFTER_MS, ..answer };
         };
         if self.board.outcomes.owns(prefix.incarnation) {
-            return self.run_owned(state, proxy_request, &key, prefix).await;
+            return self.run_as_owner(state, proxy_request, &key, prefix).await;
         }
-        self.pass_to_owner(&proxy_request, prefix.incarnation).await
+        self.forward_to_owner(&proxy_request, prefix.incarnation).await
     }
 
-    async fn claim(&self, proxy_request: &ProxyRequest, key: &Key) -> Option<KeyPrefix> {
+    async fn claim_key(
+        &self,
+        proxy_request: &ProxyRequest,
+        key: &IdempotencyKey,
+    ) -> Option<KeyPrefix> {
         let incarnation = self.board.incarnation;
         let epoch = self.board.outcomes.epoch_of(incarnation)?;
         let own = KeyPrefix { incarnation, epoch };
-        let within = Duration::from_micros(proxy_request.left_us());
+        let within = Duration::from_micros(proxy_request.remaining_us());
         let claimed = claim(&self.store, &proxy_request.service, &key.text, own);
         tokio::time::timeout(within, claimed).await.ok().flatten()
     }
 
-    async fn pass_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
+    async fn forward_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
         if proxy_request.stage >= Stage::Owner {
             // Whoever passed it held this instance to be the owner or its successor.
-            return unreachable_owner();
+            return owner_unreachable();
         }
         let view = self.board.members_view();
         let Some(owner) = view.answering_for(incarnation) else {
             self.board.counters.add(Counter::OwnerUnreachable);
-            return unreachable_owner();
+            return owner_unreachable();
         };
-        if let Ok(answer) = self.pass(&owner, proxy_request, Stage::Owner).await {
+        if let Ok(answer) = self.forward(&owner, proxy_request, Stage::Owner).await {
             answer
         } else {
             self.board.counters.add(Counter::OwnerUnreachable);
-            unreachable_owner()
+            owner_unreachable()
         }
     }
 
-    async fn run_owned(
+    async fn run_as_owner(
         &self,
         state: &Arc<ServiceState>,
         proxy_request: ProxyRequest,
-        key: &Key,
+        key: &IdempotencyKey,
         prefix: KeyPrefix,
     ) -> Answer {
         let outcomes = &self.board.outcomes;
         match outcomes.begin(prefix.incarnation, prefix.epoch, &proxy_request.service, &key.text) {
-            Begin::Run(guard) => self.run_guarded(state, proxy_request, guard).await,
-            Begin::Follow(result) => self.follow(&proxy_request, result).await,
-            Begin::Replay(kept) => {
+            KeyDecision::Run(guard) => self.run_guarded(state, proxy_request, guard).await,
+            KeyDecision::Follow(result) => self.wait_for_first_run(&proxy_request, result).await,
+            KeyDecision::Replay(outcome) => {
                 self.board.counters.add(Counter::Replayed);
-                Answer::replay(&kept)
+                Answer::replay(&outcome)
             }
-            Begin::Expired => Answer::unknown(Code::KeyExpired),
-            Begin::Full => Answer::not_run(Code::OutcomesFull, FULL_RETRY_MS),
-            Begin::Closed | Begin::NotOwner => {
-                self.pass_to_owner(&proxy_request, prefix.incarnation).await
+            KeyDecision::Expired => Answer::unknown(Code::KeyExpired),
+            KeyDecision::Full => Answer::not_run(Code::OutcomesFull, TABLE_FULL_RETRY_AFTER_MS),
+            KeyDecision::Closed | KeyDecision::NotOwner => {
+                self.forward_to_owner(&proxy_request, prefix.incarnation).await
             }
         }
     }
@@ -115,8 +119,8 @@
         let in_flight = self.board.in_flight();
         tokio::spawn(async move {
             let answer = router.run(&state, &proxy_request).await;
-            match answer.kept() {
-                Some(kept) => guard.finish(kept),
+            match answer.to_record() {
+                Some(outcome) => guard.finish(outcome),
                 None => guard.not_run(),
             }
             drop(in_flight);
@@ -126,18 +130,18 @@
         receiver.await.unwrap_or_else(|_| Answer::unknown(Code::AnswerLost))
     }
 
-    async fn follow(
+    async fn wait_for_first_run(
         &self,
         proxy_request: &ProxyRequest,
-        mut result: watch::Receiver<Option<Kept>>,
+        mut result: watch::Receiver<Option<RecordedOutcome>>,
     ) -> Answer {
         self.board.counters.add(Counter::Followed);
-        let within = Duration::from_micros(proxy_request.left_us());
+        let within = Duration::from_micros(proxy_request.remaining_us());
         let ended = tokio::time::timeout(within, result.wait_for(Option::is_some)).await;
         match ended {
-            Ok(Ok(kept)) => {
-                kept.as_ref().map_or_else(|| Answer::unknown(Code::KeyInProgress), Answer::replay)
-            }
+            Ok(Ok(outcome)) => outcome
+                .as_ref()
+                .map_or_else(|| Answer::unknown(Code::KeyInProgress), Answer::replay),
             // The channel closed without a result: the first request did not run.
             Ok(Err(_)) => Answer::not_run(Code::Refused, 100),
             Err(_) => Answer::unknown(Code::KeyInProgress),
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 
 use super::ServiceState;
-use super::service_state::ServiceCore;
+use super::service_state::ServiceRuntime;
 use crate::board::Blackboard;
 use crate::board::MembersView;
 use crate::board::ServiceMap;
@@ -22,16 +22,16 @@
     /// Those of the asking zone first.
     pub homes: SmallVec<[Arc<MemberRow>; 4]>,
     /// For each backend server, whether this instance keeps it.
-    pub kept: Vec<bool>,
+    pub is_keeper: Vec<bool>,
 }
 
 impl Placement {
     /// Decides the homes of `service` among `members`, as seen by the instance `own` in `zone`.
     #[must_use]
     pub fn decide(service: &Service, members: &[Arc<MemberRow>], own: u64, zone: &str) -> Self {
-        let takers: Vec<&Arc<MemberRow>> =
+        let available: Vec<&Arc<MemberRow>> =
             members.iter().filter(|row| row.state.takes_work()).collect();
-        let candidates: Vec<Candidate<'_>> = takers
+        let candidates: Vec<Candidate<'_>> = available
             .iter()
             .map(|row| Candidate { incarnation: row.incarnation, zone: &row.zone })
             .collect();
@@ -45,17 +45,17 @@
             .collect();
         let keepers = keepers_of(&servers, &home_candidates);
         let keeps = |keeper: &usize| home_candidates[*keeper].incarnation == own;
-        let mut kept: Vec<bool> = keepers.iter().map(keeps).collect();
-        kept.resize(service.backend_servers.len(), false);
+        let mut is_keeper: Vec<bool> = keepers.iter().map(keeps).collect();
+        is_keeper.resize(service.backend_servers.len(), false);
         let mut homes: SmallVec<[Arc<MemberRow>; 4]> =
-            picked.iter().map(|&at| Arc::clone(takers[at])).collect();
+            picked.iter().map(|&at| Arc::clone(available[at])).collect();
         homes.sort_by_key(|home| home.zone != zone);
-        Self { homes, kept }
+        Self { homes, is_keeper }
     }
 }
 
 /// Builds the snapshot of all services anew, keeping what lasts of those it had.
-pub fn refresh(board: &Blackboard) {
+pub fn rebuild_services(board: &Blackboard) {
     let members = board.members_view();
     let before = board.services();
     let rows = board.catalog.lock().live();
@@ -64,13 +64,13 @@
         let Some(spec) = versioned.service else {
             continue;
         };
-        let state = state_of(board, &members, before.get(&name), versioned.revision, spec);
+        let state = build_state(board, &members, before.get(&name), versioned.revision, spec);
         services.insert(name, Arc::new(state));
     }
     board.set_services(services);
 }
 
-fn state_of(
+fn build_state(
     board: &Blackboard,
     members: &MembersView,
     before: Option<&Arc<ServiceState>>,
@@ -80,13 +80,19 @@
     let zone = &board.settings.instance.zone;
     let placement = Placement::decide(&spec, &members.rows, board.incarnation, zone);
     let core = before.map_or_else(
-        || ServiceCore::new(board.settings.requests.queue_max, board.incarnation),
-        |state| state.core.clone(),
+        || ServiceRuntime::new(board.settings.requests.queue_max, board.incarnation),
+        |state| state.runtime.clone(),
     );
     let share = u32::try_from(members.serving()).unwrap_or(u32::MAX);
-    core.binder.apply(&spec, &placement.kept, share);
+    core.slot_queue.apply(&spec, &placement.is_keeper, share);
     let am_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
-    ServiceState { revision, spec: Arc::new(spec), homes: placement.homes, am_home, core }
+    ServiceState {
+        revision,
+        spec: Arc::new(spec),
+        homes: placement.homes,
+        is_home: am_home,
+        runtime: core,
+    }
 }
 
 /// Keeps the request path up to date with configuration and membership.
@@ -94,7 +100,7 @@
     let mut changes = board.changes();
     loop {
         changes.mark_unchanged();
-        refresh(&board);
+        rebuild_services(&board);
         if changes.changed().await.is_err() {
             return;
         }
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -7,7 +7,7 @@
 use super::Upstream;
 use super::fields;
 use crate::clock::now_us;
-use crate::outcome::Key;
+use crate::outcome::IdempotencyKey;
 use crate::peer::PassHead;
 use crate::peer::Stage;
 use crate::quarantine::FailedSend;
@@ -25,7 +25,7 @@
     /// Without fields that do not travel on.
     pub headers: Vec<(String, Vec<u8>)>,
     pub body: Bytes,
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     /// Whether every instance so far held it to be idempotent.
     pub idempotent: bool,
     pub stage: Stage,
@@ -36,7 +36,7 @@
 impl ProxyRequest {
     /// Time until the deadline.
     #[must_use]
-    pub fn left_us(&self) -> u64 {
+    pub fn remaining_us(&self) -> u64 {
         self.deadline_us.saturating_sub(now_us())
     }
 
@@ -55,12 +55,12 @@
 
     /// A send of it to `upstream` that brought no whole answer.
     #[must_use]
-    pub fn unanswered(&self, upstream: &Upstream) -> FailedSend {
+    pub fn failed_send(&self, upstream: &Upstream) -> FailedSend {
         FailedSend {
             id: self.id().into_owned(),
             service: self.service.clone(),
             server: upstream.id.clone(),
-            server_hash: upstream.key,
+            server_hash: upstream.id_hash,
             address: upstream.address,
         }
     }
@@ -77,14 +77,14 @@
             key: self.key.as_ref().map(|key| key.text.clone()),
             idempotent: self.idempotent,
             stage,
-            left_us: self.left_us(),
+            left_us: self.remaining_us(),
         }
     }
 
     /// A request that another instance passed here.
     #[must_use]
-    pub fn passed(head: PassHead, body: Bytes) -> Self {
-        let key = head.key.as_deref().and_then(|text| Key::parse(text).ok());
+    pub fn from_peer(head: PassHead, body: Bytes) -> Self {
+        let key = head.key.as_deref().and_then(|text| IdempotencyKey::parse(text).ok());
         Self {
             service: head.service,
             fingerprints: head.fingerprints,
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -16,92 +16,92 @@
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
-const TURN: Duration = Duration::from_millis(5);
-const TELL_TIMEOUT: Duration = Duration::from_millis(200);
+const QUEUE_INTERVAL: Duration = Duration::from_millis(5);
+const SEND_TIMEOUT: Duration = Duration::from_millis(200);
 /// Words a second, over all services: at about 90 bytes each, 3.6 KB of the 5 KB a second.
 const MESSAGES_PER_S: f64 = 40.0;
 /// Words that an instance may have saved.
-const MESSAGES_SAVED_MAX: f64 = 40.0;
+const MESSAGES_BURST_MAX: f64 = 40.0;
 
 /// Words left to this instance.
 struct TokenBucket {
-    left: f64,
-    at_ms: u64,
+    tokens: f64,
+    refilled_ms: u64,
 }
 
 impl TokenBucket {
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = now_ms();
         #[expect(clippy::cast_precision_loss, reason = "milliseconds since the last turn")]
-        let earned = (now - self.at_ms) as f64 / 1000.0 * MESSAGES_PER_S;
-        self.left = (self.left + earned).min(MESSAGES_SAVED_MAX);
-        self.at_ms = now;
-        let has = self.left >= 1.0;
-        if has {
-            self.left -= 1.0;
+        let refill = (now - self.refilled_ms) as f64 / 1000.0 * MESSAGES_PER_S;
+        self.tokens = (self.tokens + refill).min(MESSAGES_BURST_MAX);
+        self.refilled_ms = now;
+        let has_token = self.tokens >= 1.0;
+        if has_token {
+            self.tokens -= 1.0;
         }
-        has
+        has_token
     }
 }
 
-async fn tell(router: Router, name: String, home: MemberRow, free: u32, waiting: u32) {
+async fn send_load(router: Router, name: String, home: MemberRow, free: u32, waiting: u32) {
     let from = router.board.incarnation;
     let note = PeerRequest::Load(LoadNote { service: name.clone(), from, free, waiting });
-    let told = router.links.call(home.peer, &note, TELL_TIMEOUT).await;
-    if let Ok(PeerReply::Free(free)) = told
+    let reply = router.links.call(home.peer, &note, SEND_TIMEOUT).await;
+    if let Ok(PeerReply::Free(free)) = reply
         && let Some(state) = router.board.services().get(&name)
     {
-        state.core.note_free(home.incarnation, free);
-        state.core.binder.offer_moves(free);
+        state.runtime.record_free_slots(home.incarnation, free);
+        state.runtime.slot_queue.redirect_waiters(free);
     }
 }
 
-fn tell_others(router: &Router, state: &ServiceState, allowance: &mut TokenBucket) {
-    let (free, waiting) = state.core.binder.free_and_waiting();
+fn send_load_to_co_homes(router: &Router, state: &ServiceState, budget: &mut TokenBucket) {
+    let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
     if free == 0 && waiting == 0 {
         return;
     }
     for home in &state.homes {
         if home.incarnation == router.board.incarnation
-            || !state.core.should_tell(home.incarnation, waiting > 0)
-            || !allowance.take()
+            || !state.runtime.should_send_load(home.incarnation, waiting > 0)
+            || !budget.try_take()
         {
             continue;
         }
         let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
         let name = state.spec.name.clone();
-        tokio::spawn(tell(router.clone(), name, MemberRow::clone(home), free, waiting));
+        tokio::spawn(send_load(router.clone(), name, MemberRow::clone(home), free, waiting));
     }
 }
 
 /// Takes another home's word in, and answers with the own free slots.
 #[must_use]
-pub fn hear(board: &Blackboard, state: &ServiceState, note: &LoadNote) -> u32 {
-    let (free, waiting) = state.core.binder.free_and_waiting();
+pub fn handle_load_note(board: &Blackboard, state: &ServiceState, note: &LoadNote) -> u32 {
+    let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
     if note.waiting > 0 {
-        state.core.note_waiting(note.from);
+        state.runtime.record_queue(note.from);
         board.queue_formed.notify_one();
     }
-    state.core.note_free(note.from, note.free);
+    state.runtime.record_free_slots(note.from, note.free);
     if waiting > 0 {
-        state.core.binder.offer_moves(note.free);
+        state.runtime.slot_queue.redirect_waiters(note.free);
     }
     free
 }
 
 /// One turn over all services; tells whether requests wait for any of them, here or elsewhere.
-fn serve_queues(router: &Router, allowance: &mut TokenBucket) -> bool {
+fn serve_queues(router: &Router, budget: &mut TokenBucket) -> bool {
     let mut waiting = false;
     let services = router.board.services().clone();
     for state in services.values() {
-        let queued_here = state.core.binder.tick();
-        let co_home_waits = state.am_home && state.core.co_home_waits();
-        if !queued_here && !co_home_waits {
+        let queued_here = state.runtime.slot_queue.dispatch_waiting();
+        let co_home_queued = state.is_home && state.runtime.co_home_has_queue();
+        if !queued_here && !co_home_queued {
             continue;
         }
         waiting = true;
-        if state.am_home && state.homes.len() > 1 {
-            tell_others(router, state, allowance);
+        if state.is_home && state.homes.len() > 1 {
+            send_load_to_co_homes(router, state, budget);
         }
     }
     waiting
@@ -110,11 +110,11 @@
 /// Serves the queues of this instance while there are any: slots that came free by time alone are
 /// offered, and the other homes are told what would help. Without queues it sleeps.
 pub async fn run_queues(router: Router) {
-    let mut allowance = TokenBucket { left: MESSAGES_SAVED_MAX, at_ms: now_ms() };
+    let mut budget = TokenBucket { tokens: MESSAGES_BURST_MAX, refilled_ms: now_ms() };
     loop {
         router.board.queue_formed.notified().await;
-        while serve_queues(&router, &mut allowance) {
-            tokio::time::sleep(TURN).await;
+        while serve_queues(&router, &mut budget) {
+            tokio::time::sleep(QUEUE_INTERVAL).await;
         }
     }
 }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -24,7 +24,7 @@
     /// Gives a request its final answer.
     pub async fn handle(&self, mut proxy_request: ProxyRequest) -> Answer {
         let Some(state) = self.board.services().get(&proxy_request.service).cloned() else {
-            return Answer::refused(Code::UnknownService, proxy_request.key.is_some());
+            return Answer::rejected(Code::UnknownService, proxy_request.key.is_some());
         };
         let kind = state.spec.kind_of(&proxy_request.method, proxy_request.path());
         // Two instances may have different revisions in force for a moment: a request is
@@ -54,9 +54,9 @@
         // At a home the key has been settled by its owner, unless the sender, on an older
         // revision, held the request to be idempotent and so went past the owner: run here, it
         // could run once more there.
-        let settled = proxy_request.stage >= Stage::Home && !passed_as_idempotent;
+        let key_resolved = proxy_request.stage >= Stage::Home && !passed_as_idempotent;
         match proxy_request.key.clone() {
-            Some(key) if !settled => self.run_keyed(state, proxy_request, key).await,
+            Some(key) if !key_resolved => self.run_keyed(state, proxy_request, key).await,
             _ => self.run_detached(state, proxy_request).await,
         }
     }
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -12,12 +12,12 @@
 use super::Router;
 use super::ServiceState;
 use super::Slot;
-use super::attempt::Attempted;
+use super::attempt::AttemptResult;
 use super::attempt::attempt;
-use super::attempt::failure;
-use super::binder::Order;
-use super::binder::Wait;
+use super::attempt::is_server_failure;
 use super::slot::Offer;
+use super::slot_queue::EnqueueResult;
+use super::slot_queue::QueuePosition;
 use crate::board::Counter;
 use crate::board::EventKind;
 use crate::decide::Admission;
@@ -35,44 +35,44 @@
 
 /// Added to the deadline of a passed request, so that the final answer of the other instance is
 /// heard rather than replaced by our own guess.
-const PASS_GRACE: Duration = Duration::from_millis(20);
-const TELL_TIMEOUT: Duration = Duration::from_millis(500);
+const FORWARD_GRACE: Duration = Duration::from_millis(20);
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 /// When to come back after a refusal that tells nothing of how long it will last.
-const RETRY_SOON_MS: u64 = 100;
+const DEFAULT_RETRY_AFTER_MS: u64 = 100;
 
 /// Where the next attempt is made.
-enum Place {
-    Here(Slot),
+enum Target {
+    Local(Slot),
     CoHome(Arc<MemberRow>),
-    Nowhere(Answer),
+    Rejected(Answer),
 }
 
 /// Whether another attempt would be of use after this answer.
-fn wanting(answer: &Answer) -> bool {
-    answer.outcome != Outcome::Ran || failure(answer.status)
+fn needs_retry(answer: &Answer) -> bool {
+    answer.outcome != Outcome::Ran || is_server_failure(answer.status)
 }
 
-fn refusal(admission: Admission) -> Answer {
+fn rejection(admission: Admission) -> Answer {
     match admission {
         Admission::NoServer { retry_after_ms } => Answer::not_run(Code::NoServer, retry_after_ms),
         Admission::QueueFull { retry_after_ms } => Answer::not_run(Code::QueueFull, retry_after_ms),
         Admission::TooLate { retry_after_ms } => {
             Answer::not_run(Code::DeadlineInQueue, retry_after_ms)
         }
-        Admission::Wait { .. } => Answer::not_run(Code::DeadlineInQueue, RETRY_SOON_MS),
+        Admission::Wait { .. } => Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS),
     }
 }
 
 /// The answer that came first, or the other one if the first is of no use.
-async fn better(answer: Answer, other: impl Future<Output = Answer>) -> Answer {
-    if !wanting(&answer) {
+async fn first_useful(answer: Answer, other: impl Future<Output = Answer>) -> Answer {
+    if !needs_retry(&answer) {
         return answer;
     }
     let may_have_run = answer.outcome != Outcome::NotRun;
-    other.await.after(may_have_run)
+    other.await.after_earlier_attempts(may_have_run)
 }
 
-fn may_try_again(
+fn try_spend_retry(
     state: &ServiceState,
     proxy_request: &ProxyRequest,
     answer: &Answer,
@@ -85,31 +85,31 @@
         idempotent: proxy_request.idempotent,
         not_run: answer.outcome == Outcome::NotRun,
         attempts,
-        left_us: proxy_request.left_us(),
-        typical_us: state.core.binder.typical_us(),
-        budget_left: state.core.binder.retry_left(),
+        left_us: proxy_request.remaining_us(),
+        typical_us: state.runtime.slot_queue.median_service_us(),
+        budget_left: state.runtime.slot_queue.has_retry_left(),
     };
-    may_retry(&view) && state.core.binder.spend_retry()
+    may_retry(&view) && state.runtime.slot_queue.spend_retry()
 }
 
 impl Router {
     /// Runs a request once, or, where that does no harm, more often; gives its final answer.
     pub(super) async fn run(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
-        if state.am_home || proxy_request.stage >= Stage::Home {
-            return self.run_here(state, proxy_request).await;
+        if state.is_home || proxy_request.stage >= Stage::Home {
+            return self.run_locally(state, proxy_request).await;
         }
-        self.run_at_home(state, proxy_request).await
+        self.forward_to_home(state, proxy_request).await
     }
 
     /// Passes the request to a home. With none in reach this instance serves it alone, from all
     /// servers: it knows less of their load, but the caller gets an answer.
-    async fn run_at_home(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
+    async fn forward_to_home(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
         let mut may_have_run = false;
         for home in &state.homes {
-            match self.pass(home, proxy_request, Stage::Home).await {
+            match self.forward(home, proxy_request, Stage::Home).await {
                 // It has not heard of the service yet; another home may have.
                 Ok(answer) if answer.code == Code::UnknownService => {}
-                Ok(answer) => return answer.after(may_have_run),
+                Ok(answer) => return answer.after_earlier_attempts(may_have_run),
                 Err(PeerError::Lost) => {
                     self.board.counters.add(Counter::PeerLost);
                     if !proxy_request.idempotent {
@@ -120,56 +120,58 @@
                 Err(_) => self.board.counters.add(Counter::HomeUnreachable),
             }
         }
-        self.run_here(state, proxy_request).await.after(may_have_run)
+        self.run_locally(state, proxy_request).await.after_earlier_attempts(may_have_run)
     }
 
     /// Passes a request on and waits for its answer until the deadline.
-    pub(super) async fn pass(
+    pub(super) async fn forward(
         &self,
         to: &MemberRow,
         proxy_request: &ProxyRequest,
         stage: Stage,
     ) -> Result<Answer, PeerError> {
         let head = proxy_request.pass_head(stage);
-        let within = Duration::from_micros(proxy_request.left_us()) + PASS_GRACE;
+        let within = Duration::from_micros(proxy_request.remaining_us()) + FORWARD_GRACE;
         let buffer_bytes = self.board.settings.requests.answer_buffer_bytes;
         let passed = async {
             let reply = self.links.pass(to.peer, &head, &proxy_request.body).await?;
             if let Some(state) = self.board.services().get(&proxy_request.service) {
-                state.core.note_free(to.incarnation, reply.head.free);
-                state.core.binder.offer_moves(reply.head.free);
+                state.runtime.record_free_slots(to.incarnation, reply.head.free);
+                state.runtime.slot_queue.redirect_waiters(reply.head.free);
             }
-            Answer::passed(reply, buffer_bytes).await
+            Answer::from_peer(reply, buffer_bytes).await
         };
         let answer = tokio::time::timeout(within, passed).await.map_err(|_| PeerError::Lost)??;
         self.board.counters.add(Counter::Passed);
         Ok(answer)
     }
 
-    async fn run_here(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
+    async fn run_locally(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
         let mut avoid: SmallVec<[usize; 4]> = SmallVec::new();
         let mut attempts = 0;
         let mut may_have_run = false;
-        state.core.binder.earn();
+        state.runtime.slot_queue.record_request();
         loop {
             attempts += 1;
             if let Some(denial) = self.board.quarantine.denial(&proxy_request.fingerprints) {
-                return self.denied(proxy_request, denial).after(may_have_run);
+                return self.deny(proxy_request, denial).after_earlier_attempts(may_have_run);
             }
-            let answer = match self.place(state, proxy_request, &avoid).await {
-                Place::Nowhere(answer) => return answer.after(may_have_run),
-                Place::CoHome(home) => match self.pass(&home, proxy_request, Stage::Spill).await {
-                    Ok(answer) => answer,
-                    Err(PeerError::Lost) => Answer::unknown(Code::PeerLost),
-                    Err(_) => Answer::not_run(Code::PeerLost, RETRY_SOON_MS),
-                },
-                Place::Here(slot) => {
+            let answer = match self.choose_target(state, proxy_request, &avoid).await {
+                Target::Rejected(answer) => return answer.after_earlier_attempts(may_have_run),
+                Target::CoHome(home) => {
+                    match self.forward(&home, proxy_request, Stage::Spill).await {
+                        Ok(answer) => answer,
+                        Err(PeerError::Lost) => Answer::unknown(Code::PeerLost),
+                        Err(_) => Answer::not_run(Code::PeerLost, DEFAULT_RETRY_AFTER_MS),
+                    }
+                }
+                Target::Local(slot) => {
                     avoid.push(slot.index);
                     self.attempt_hedged(state, proxy_request, slot).await
                 }
             };
-            if !wanting(&answer) || !may_try_again(state, proxy_request, &answer, attempts) {
-                return answer.after(may_have_run);
+            if !needs_retry(&answer) || !try_spend_retry(state, proxy_request, &answer, attempts) {
+                return answer.after_earlier_attempts(may_have_run);
             }
             may_have_run |= answer.outcome != Outcome::NotRun;
             self.board.counters.add(Counter::Retries);
@@ -177,51 +179,64 @@
     }
 
     /// The keepers' slots first, then a co-home that has slots free, then the queue.
-    async fn place(
+    async fn choose_target(
         &self,
         state: &ServiceState,
         proxy_request: &ProxyRequest,
         avoid: &[usize],
-    ) -> Place {
-        let binder = &state.core.binder;
-        let reach = if state.am_home { Reach::Kept } else { Reach::All };
-        if let Some(slot) = binder.try_take(reach, avoid) {
-            return Place::Here(slot);
+    ) -> Target {
+        let slot_queue = &state.runtime.slot_queue;
+        let reach = if state.is_home { Reach::Kept } else { Reach::All };
+        if let Some(slot) = slot_queue.try_acquire(reach, avoid) {
+            return Target::Local(slot);
         }
-        if let Some(home) = self.co_home_for(state, proxy_request, binder.usable(reach)) {
-            return Place::CoHome(home);
+        if let Some(home) =
+            self.choose_co_home(state, proxy_request, slot_queue.has_usable_server(reach))
+        {
+            return Target::CoHome(home);
         }
         // A home whose own servers are all gone, and which no co-home could help, uses any.
-        let reach = if binder.usable(reach) { reach } else { Reach::All };
+        let reach = if slot_queue.has_usable_server(reach) { reach } else { Reach::All };
         self.board.counters.add(Counter::Queued);
         self.board.queue_formed.notify_one();
-        self.wait_for_place(state, proxy_request, avoid, reach).await
+        self.wait_for_target(state, proxy_request, avoid, reach).await
     }
 
     /// Waits for a slot here, or for word that another home has one.
-    async fn wait_for_place(
+    async fn wait_for_target(
         &self,
         state: &ServiceState,
         proxy_request: &ProxyRequest,
         avoid: &[usize],
         reach: Reach,
-    ) -> Place {
-        let mut order = Order::Last;
+    ) -> Target {
+        let mut position = QueuePosition::Back;
         loop {
-            let (offer, at_most) =
-                match state.core.binder.wait(reach, avoid, order, proxy_request.left_us()) {
-                    Wait::Queued { offer, at_most } => (offer, at_most),
-                    Wait::Refused(admission) => return Place::Nowhere(refusal(admission)),
-                };
+            let (offer, at_most) = match state.runtime.slot_queue.enqueue(
+                reach,
+                avoid,
+                position,
+                proxy_request.remaining_us(),
+            ) {
+                EnqueueResult::Queued { offer, max_wait: at_most } => (offer, at_most),
+                EnqueueResult::Rejected(admission) => {
+                    return Target::Rejected(rejection(admission));
+                }
+            };
             match tokio::time::timeout(at_most, offer).await {
-                Ok(Ok(Offer::Slot(slot))) => return Place::Here(slot),
-                Ok(Ok(Offer::Move)) => {
-                    if let Some(home) = self.co_home_for(state, proxy_request, true) {
-                        return Place::CoHome(home);
+                Ok(Ok(Offer::Slot(slot))) => return Target::Local(slot),
+                Ok(Ok(Offer::Redirect)) => {
+                    if let Some(home) = self.choose_co_home(state, proxy_request, true) {
+                        return Target::CoHome(home);
                     }
-                    order = Order::First;
+                    position = QueuePosition::Front;
+                }
+                _ => {
+                    return Target::Rejected(Answer::not_run(
+                        Code::DeadlineInQueue,
+                        DEFAULT_RETRY_AFTER_MS,
+                    ));
                 }
-                _ => return Place::Nowhere(Answer::not_run(Code::DeadlineInQueue, RETRY_SOON_MS)),
             }
         }
     }
@@ -229,7 +244,7 @@
     /// A co-home that has slots free; or any, when this home has no server that it may use: the
     /// request then waits there, with those that keep the servers. A request that was passed
     /// between homes already stays, so that none travels in circles.
-    fn co_home_for(
+    fn choose_co_home(
         &self,
         state: &ServiceState,
         proxy_request: &ProxyRequest,
@@ -239,10 +254,10 @@
             return None;
         }
         let mut others = state.homes.iter().filter(|h| h.incarnation != self.board.incarnation);
-        let home = if !own_usable && state.am_home {
+        let home = if !own_usable && state.is_home {
             others.next()
         } else {
-            others.find(|home| state.core.take_free(home.incarnation))
+            others.find(|home| state.runtime.take_free_slot(home.incarnation))
         };
         if home.is_some() {
             self.board.counters.add(Counter::Spilled);
@@ -258,10 +273,10 @@
         proxy_request: &ProxyRequest,
         slot: Slot,
     ) -> Answer {
-        let binder = &state.core.binder;
+        let slot_queue = &state.runtime.slot_queue;
         let index = slot.index;
         let first = self.attempt_once(state, proxy_request, slot);
-        let Some(delay) = binder.hedge_delay(proxy_request.idempotent) else {
+        let Some(delay) = slot_queue.hedge_delay(proxy_request.idempotent) else {
             return first.await;
         };
         tokio::pin!(first);
@@ -269,8 +284,8 @@
             answer = &mut first => return answer,
             () = tokio::time::sleep(delay) => {}
         }
-        let reach = if state.am_home { Reach::Kept } else { Reach::All };
-        let Some(offer) = binder.hedge(reach, index) else {
+        let reach = if state.is_home { Reach::Kept } else { Reach::All };
+        let Some(offer) = slot_queue.enqueue_hedge(reach, index) else {
             return first.await;
         };
         let slot = tokio::select! {
@@ -284,13 +299,13 @@
         let second = self.attempt_once(state, proxy_request, slot);
         tokio::pin!(second);
         tokio::select! {
-            answer = &mut first => better(answer, second).await,
-            answer = &mut second => better(answer, first).await,
+            answer = &mut first => first_useful(answer, second).await,
+            answer = &mut second => first_useful(answer, first).await,
         }
     }
 
     /// The answer to a request that is not sent on, since it may crash servers.
-    fn denied(&self, proxy_request: &ProxyRequest, denial: Denial) -> Answer {
+    fn deny(&self, proxy_request: &ProxyRequest, denial: Denial) -> Answer {
         self.board.counters.add(Counter::Denied);
         let [exact, by_caller, content] = proxy_request.fingerprints.to_hex();
         info!(
@@ -310,46 +325,46 @@
     ) -> Answer {
         self.board.counters.add(Counter::Attempts);
         let buffer_bytes = self.board.settings.requests.answer_buffer_bytes;
-        let trial = match self
+        let admitted_send = match self
             .board
             .quarantine
             .admit(&proxy_request.fingerprints, &proxy_request.service)
         {
-            Ok(trial) => Arc::new(trial),
+            Ok(admitted_send) => Arc::new(admitted_send),
             Err(denial) => {
-                return self.denied(proxy_request, denial);
+                return self.deny(proxy_request, denial);
             }
         };
         let upstream = Arc::clone(&slot.upstream);
-        let Attempted { answer, leaving } =
-            attempt(proxy_request, &state.spec, slot, buffer_bytes, &trial).await;
+        let AttemptResult { answer, leaving } =
+            attempt(proxy_request, &state.spec, slot, buffer_bytes, &admitted_send).await;
         if leaving {
-            self.server_leaves(state, &upstream.id);
+            self.handle_leaving_server(state, &upstream.id);
         }
         if answer.outcome == Outcome::Unknown {
-            let looked = proxy_request.unanswered(&upstream).check_server(trial);
-            if proxy_request.idempotent && proxy_request.left_us() > 0 {
+            let crash_check = proxy_request.failed_send(&upstream).check_server(admitted_send);
+            if proxy_request.idempotent && proxy_request.remaining_us() > 0 {
                 // Still looking after that, it goes on by itself.
-                let _ = tokio::time::timeout(CRASH_CHECK_WAIT, looked).await;
+                let _ = tokio::time::timeout(CRASH_CHECK_WAIT, crash_check).await;
             }
         }
         answer
     }
 
     /// A server said that it leaves: no new work from here, and the co-homes hear of it.
-    fn server_leaves(&self, state: &ServiceState, server: &str) {
-        let reason = super::CloseReason::Told;
-        if !state.core.binder.close(server, reason, true) {
+    fn handle_leaving_server(&self, state: &ServiceState, server: &str) {
+        let reason = super::CloseReason::SelfReported;
+        if !state.runtime.slot_queue.set_closed(server, reason, true) {
             return;
         }
         let service = state.spec.name.clone();
         self.board
             .note(EventKind::ServerLeaving { service: service.clone(), server: server.into() });
-        self.tell_co_homes(state, server, true);
+        self.notify_co_homes(state, server, true);
     }
 
     /// Tells the other homes that a server leaves or is back.
-    pub fn tell_co_homes(&self, state: &ServiceState, server: &str, leaving: bool) {
+    pub fn notify_co_homes(&self, state: &ServiceState, server: &str, leaving: bool) {
         let service = state.spec.name.clone();
         let request = PeerRequest::Leaving { service, server: server.into(), leaving };
         for home in state.homes.iter().filter(|home| home.incarnation != self.board.incarnation) {
@@ -358,7 +373,7 @@
             let request = request.clone();
             tokio::spawn(async move {
                 // A co-home that misses this hears it from the server itself.
-                let _ = links.call(address, &request, TELL_TIMEOUT).await;
+                let _ = links.call(address, &request, NOTIFY_TIMEOUT).await;
             });
         }
     }
--- a/src/route/slot.rs
+++ b/src/route/slot.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::Binder;
+use super::SlotQueue;
 use super::Upstream;
 use crate::clock::now_us;
 use crate::decide::Finish;
@@ -12,13 +12,13 @@
 pub enum Offer {
     Slot(Slot),
     /// Another home told of free slots: try there.
-    Move,
+    Redirect,
 }
 
 /// A slot of a backend server that one attempt holds; dropped, it is given back.
 #[derive(Debug)]
 pub struct Slot {
-    pub(super) binder: Binder,
+    pub(super) queue: SlotQueue,
     pub index: usize,
     pub upstream: Arc<Upstream>,
     pub(super) started_us: u64,
@@ -28,26 +28,26 @@
 impl Slot {
     /// Time since the slot was taken.
     #[must_use]
-    pub fn age_us(&self) -> u64 {
+    pub fn elapsed_us(&self) -> u64 {
         now_us().saturating_sub(self.started_us)
     }
 
     /// Takes note of the load that the server told.
-    pub fn report(&self, in_flight: u32) {
-        self.binder.report(self.index, in_flight);
+    pub fn record_load(&self, in_flight: u32) {
+        self.queue.record_load(self.index, in_flight);
     }
 
     /// Gives the slot back with what was learned.
     pub fn finish(mut self, finish: Finish) {
         self.finished = true;
-        self.binder.finish(self.index, finish);
+        self.queue.finish(self.index, finish);
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         if !self.finished {
-            self.binder.finish(self.index, Finish::Cancelled);
+            self.queue.finish(self.index, Finish::Cancelled);
         }
     }
 }
--- /dev/null
+++ b/src/route/slot_queue.rs
@@ -0,0 +1,341 @@
+//! Binds requests to slots, late: a request waits here, not in a backend server's queue.
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use parking_lot::MutexGuard;
+use smallvec::SmallVec;
+use tokio::sync::oneshot;
+
+use super::Upstream;
+use super::slot::Offer;
+use super::slot::Slot;
+use super::slot_queue_state::CloseReason;
+use super::slot_queue_state::SlotQueueState;
+use super::slot_queue_state::Waiter;
+use crate::clock::now_us;
+use crate::decide::Admission;
+use crate::decide::Finish;
+use crate::decide::QueueView;
+use crate::decide::Reach;
+use crate::decide::SlotPool;
+use crate::decide::admit;
+use crate::decide::hedge_delay_us;
+use crate::model::Preference;
+use crate::model::Service;
+
+/// Waiting requests that are offered a free slot before it is left free.
+const OFFERED_WAITERS_MAX: usize = 4;
+
+/// Where a request stands in the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum QueuePosition {
+    /// Behind those that wait already.
+    Back,
+    /// Before them: it waited here before, or has been running too long elsewhere.
+    Front,
+}
+
+/// Hands out the slots of one service on one instance; clones share.
+#[derive(Clone, Debug)]
+pub struct SlotQueue {
+    state: Arc<Mutex<SlotQueueState>>,
+}
+
+/// A place in the queue, or the reason why there is none.
+#[derive(Debug)]
+pub enum EnqueueResult {
+    Queued { offer: oneshot::Receiver<Offer>, max_wait: Duration },
+    Rejected(Admission),
+}
+
+/// What the binder knows of one server, for probes and operators.
+#[derive(Clone, Debug)]
+pub struct ServerView {
+    pub upstream: Arc<Upstream>,
+    pub is_keeper: bool,
+    /// Marked as leaving by its own word.
+    pub self_reported_leaving: bool,
+    pub usable: bool,
+    pub report_age_us: u64,
+}
+
+impl SlotQueue {
+    /// A binder without servers.
+    #[must_use]
+    pub fn new(queue_max: usize, seed: u64) -> Self {
+        let state = SlotQueueState {
+            pool: SlotPool::new(Vec::new(), seed),
+            servers: Vec::new(),
+            waiting: VecDeque::new(),
+            queue_max,
+            preference: Preference::default(),
+        };
+        Self { state: Arc::new(Mutex::new(state)) }
+    }
+
+    /// Puts a declaration in force. `kept[i]` tells whether this instance is the keeper of
+    /// `service.backend_servers[i]`; `share` divides the connections that a server accepts.
+    pub fn apply(&self, service: &Service, is_keeper: &[bool], share: u32) {
+        let now = now_us();
+        let mut state = self.state.lock();
+        state.preference = service.preference;
+        for at in 0..state.servers.len() {
+            let upstream = &state.servers[at].upstream;
+            let declared = service
+                .backend_servers
+                .iter()
+                .any(|server| server.id == upstream.id && server.address == upstream.address);
+            state.set_close_reason(at, CloseReason::Removed, !declared);
+        }
+        let initial = state.servers.is_empty();
+        for (server, is_keeper) in service.backend_servers.iter().zip(is_keeper) {
+            let at = state.find_or_add_server(server, initial, now);
+            let open_max = (server.connections_max / share.max(1)).max(1);
+            state.servers[at].upstream.set_open_max(open_max);
+            state.pool.loads_mut()[at].slots = server.slots;
+            state.pool.loads_mut()[at].kept = *is_keeper;
+            let changed = state.set_close_reason(at, CloseReason::Drained, server.drained);
+            if changed && !server.drained {
+                // The operator's word outweighs what the server said before.
+                state.set_close_reason(at, CloseReason::SelfReported, false);
+            }
+        }
+        self.dispatch_slots(state);
+    }
+
+    /// Counts a request, from which the budgets of extra work grow.
+    pub fn record_request(&self) {
+        let mut state = self.state.lock();
+        state.pool.retries.earn();
+        state.pool.hedges.earn();
+    }
+
+    /// Takes a slot if one is free and nobody waits for it.
+    #[must_use]
+    pub fn try_acquire(&self, reach: Reach, avoid: &[usize]) -> Option<Slot> {
+        let now = now_us();
+        let mut state = self.state.lock();
+        if state.waiting.iter().any(|waiter| !waiter.sender.is_closed()) {
+            return None;
+        }
+        let index = state.pool.take(reach, avoid, now)?;
+        Some(self.new_slot(&state, index, now))
+    }
+
+    /// A place for a second attempt beside the one on `first`, inside the hedge budget. It comes
+    /// before those that wait: a request that has been running too long is nearer to its
+    /// caller's patience than they are, and the budget bounds how many overtake them.
+    #[must_use]
+    pub fn enqueue_hedge(
+        &self,
+        reach: Reach,
+        first_index: usize,
+    ) -> Option<oneshot::Receiver<Offer>> {
+        let mut state = self.state.lock();
+        if !state.pool.hedges.spend() {
+            return None;
+        }
+        let (sender, offer) = oneshot::channel();
+        let avoid = SmallVec::from_slice(&[first_index]);
+        state.waiting.push_front(Waiter { reach, avoid, sender });
+        self.dispatch_slots(state);
+        Some(offer)
+    }
+
+    /// Tells up to `count` waiting requests that another home has slots free; the longest
+    /// waiting first.
+    pub fn redirect_waiters(&self, count: u32) {
+        let mut redirected: SmallVec<[Waiter; 8]> = SmallVec::new();
+        let mut state = self.state.lock();
+        while redirected.len() < count as usize {
+            let Some(waiter) = state.waiting.pop_front() else {
+                break;
+            };
+            if !waiter.sender.is_closed() {
+                redirected.push(waiter);
+            }
+        }
+        drop(state);
+        for waiter in redirected {
+            let _ = waiter.sender.send(Offer::Redirect);
+        }
+    }
+
+    /// Queues a request for a slot, or tells why it gets none.
+    #[must_use]
+    pub fn enqueue(
+        &self,
+        reach: Reach,
+        avoid: &[usize],
+        position: QueuePosition,
+        remaining_us: u64,
+    ) -> EnqueueResult {
+        let mut state = self.state.lock();
+        state.waiting.retain(|waiter| !waiter.sender.is_closed());
+        let view = QueueView {
+            waiting: state.waiting.len(),
+            waiting_max: state.queue_max,
+            slots: state.pool.slots(reach, avoid, now_us()),
+            typical_us: state.pool.typical_us(),
+            left_us: remaining_us,
+        };
+        let max_wait = match admit(&view) {
+            Admission::Wait { at_most_us } => Duration::from_micros(at_most_us),
+            refusal => return EnqueueResult::Rejected(refusal),
+        };
+        let (sender, offer) = oneshot::channel();
+        let waiter = Waiter { reach, avoid: avoid.into(), sender };
+        match position {
+            QueuePosition::Back => state.waiting.push_back(waiter),
+            QueuePosition::Front => state.waiting.push_front(waiter),
+        }
+        // A slot may have come free between the caller's try and now.
+        self.dispatch_slots(state);
+        EnqueueResult::Queued { offer, max_wait }
+    }
+
+    /// Whether a retry is within the budget; takes it out.
+    #[must_use]
+    pub fn spend_retry(&self) -> bool {
+        self.state.lock().pool.retries.spend()
+    }
+
+    /// Whether the retry budget has a token.
+    #[must_use]
+    pub fn has_retry_left(&self) -> bool {
+        self.state.lock().pool.retries.left()
+    }
+
+    /// When an idempotent attempt is joined by a second one.
+    #[must_use]
+    pub fn hedge_delay(&self, idempotent: bool) -> Option<Duration> {
+        let state = self.state.lock();
+        let delay_us = hedge_delay_us(
+            state.preference,
+            idempotent,
+            state.pool.typical_us(),
+            state.pool.high_us(),
+        );
+        delay_us.map(Duration::from_micros)
+    }
+
+    /// Median service time in microseconds; 0 before the first answer.
+    #[must_use]
+    pub fn median_service_us(&self) -> f32 {
+        self.state.lock().pool.typical_us()
+    }
+
+    /// Whether any server within reach may be used at all now.
+    #[must_use]
+    pub fn has_usable_server(&self, reach: Reach) -> bool {
+        self.state.lock().pool.slots(reach, &[], now_us()) > 0
+    }
+
+    /// Slots free now, and requests that wait.
+    #[must_use]
+    pub fn free_slots_and_waiting(&self) -> (u32, usize) {
+        let state = self.state.lock();
+        let waiting = state.waiting.iter().filter(|waiter| !waiter.sender.is_closed()).count();
+        (state.pool.free(now_us()), waiting)
+    }
+
+    /// Offers slots that came free by time alone: an ejection that ended, a ramp that rose.
+    /// Tells whether anybody waited.
+    #[must_use]
+    pub fn dispatch_waiting(&self) -> bool {
+        let state = self.state.lock();
+        let waits = state.waiting.iter().any(|waiter| !waiter.sender.is_closed());
+        if waits {
+            self.dispatch_slots(state);
+        }
+        waits
+    }
+
+    /// Sets or lifts one reason for a server; tells whether that was news.
+    #[must_use]
+    pub fn set_closed(&self, server_id: &str, reason: CloseReason, closed: bool) -> bool {
+        let mut state = self.state.lock();
+        let found = state.servers.iter().position(|server| server.upstream.id == server_id);
+        let changed = found.is_some_and(|at| state.set_close_reason(at, reason, closed));
+        self.dispatch_slots(state);
+        changed
+    }
+
+    /// Takes note of the load that a server told.
+    pub fn record_load(&self, index: usize, in_flight: u32) {
+        let mut state = self.state.lock();
+        if let Some(load) = state.pool.loads_mut().get_mut(index) {
+            load.report(in_flight, now_us());
+        }
+    }
+
+    /// The declared servers, for probes.
+    #[must_use]
+    pub fn declared_servers(&self) -> Vec<ServerView> {
+        let now = now_us();
+        let state = self.state.lock();
+        let rows = state.servers.iter().zip(state.pool.loads());
+        let declared =
+            rows.filter(|(server, _)| server.close_reasons & CloseReason::Removed.bit() == 0);
+        let views = declared.map(|(server, load)| ServerView {
+            upstream: Arc::clone(&server.upstream),
+            is_keeper: load.kept,
+            self_reported_leaving: server.close_reasons & CloseReason::SelfReported.bit() != 0,
+            usable: load.usable(now),
+            report_age_us: load.silent_us(now),
+        });
+        views.collect()
+    }
+
+    fn new_slot(&self, state: &SlotQueueState, index: usize, now_us: u64) -> Slot {
+        Slot {
+            queue: self.clone(),
+            index,
+            upstream: Arc::clone(&state.servers[index].upstream),
+            started_us: now_us,
+            finished: false,
+        }
+    }
+
+    pub(super) fn finish(&self, index: usize, finish: Finish) {
+        let mut state = self.state.lock();
+        state.pool.finish(index, finish, now_us());
+        self.dispatch_slots(state);
+    }
+
+    /// Gives free slots to those who wait longest.
+    ///
+    /// The slots are sent after the lock is let go: a receiver that is gone drops its slot at
+    /// once, and the slot's drop takes the lock.
+    fn dispatch_slots(&self, mut state: MutexGuard<'_, SlotQueueState>) {
+        if state.waiting.is_empty() {
+            return;
+        }
+        let now = now_us();
+        let mut ready: SmallVec<[(oneshot::Sender<Offer>, Slot); 4]> = SmallVec::new();
+        let mut at = 0;
+        while at < state.waiting.len().min(OFFERED_WAITERS_MAX) {
+            if state.waiting[at].sender.is_closed() {
+                state.waiting.remove(at);
+                continue;
+            }
+            let SlotQueueState { pool, waiting, .. } = &mut *state;
+            let Some(index) = pool.take(waiting[at].reach, &waiting[at].avoid, now) else {
+                at += 1;
+                continue;
+            };
+            let slot = self.new_slot(&state, index, now);
+            if let Some(waiter) = state.waiting.remove(at) {
+                ready.push((waiter.sender, slot));
+            }
+        }
+        drop(state);
+        for (sender, slot) in ready {
+            // A receiver that is gone gives the slot back by dropping it.
+            let _ = sender.send(Offer::Slot(slot));
+        }
+    }
+}
--- a/src/route/binder_state.rs
+++ b/src/route/slot_queue_state.rs
@@ -21,9 +21,9 @@
     /// The operator's drain mark.
     Drained,
     /// The server said so itself, or a peer heard it say so.
-    Told,
+    SelfReported,
     /// The platform's list says so.
-    Listed,
+    PlatformReported,
     /// It is not declared any more.
     Removed,
 }
@@ -36,10 +36,10 @@
 
 /// One row, in step with the pool's.
 #[derive(Debug)]
-pub(super) struct Server {
+pub(super) struct ServerRow {
     pub upstream: Arc<Upstream>,
     /// Set of [`CloseReason`]s.
-    pub closed: u8,
+    pub close_reasons: u8,
 }
 
 /// A request that waits for a slot.
@@ -52,25 +52,31 @@
 
 /// Everything that one lock covers.
 #[derive(Debug)]
-pub(super) struct BinderState {
+pub(super) struct SlotQueueState {
     pub pool: SlotPool,
     /// In the order of the pool's rows; a row keeps its position while requests are in flight.
-    pub servers: Vec<Server>,
+    pub servers: Vec<ServerRow>,
     pub waiting: VecDeque<Waiter>,
-    pub waiting_max: usize,
+    pub queue_max: usize,
     pub preference: Preference,
 }
 
-impl BinderState {
+impl SlotQueueState {
     /// The row of a declared server: its own, a new one, or one that nobody uses any more.
-    pub fn place(&mut self, server: &BackendServer, initial: bool, now_us: u64) -> usize {
-        let same =
-            |row: &Server| row.upstream.id == server.id && row.upstream.address == server.address;
+    pub fn find_or_add_server(
+        &mut self,
+        server: &BackendServer,
+        initial: bool,
+        now_us: u64,
+    ) -> usize {
+        let same = |row: &ServerRow| {
+            row.upstream.id == server.id && row.upstream.address == server.address
+        };
         if let Some(at) = self.servers.iter().position(same) {
             return at;
         }
         let upstream = Arc::new(Upstream::new(&server.id, server.address, 1));
-        let row = Server { upstream, closed: 0 };
+        let row = ServerRow { upstream, close_reasons: 0 };
         // With the whole service new there is no older server to spare the new ones.
         let load = if initial {
             ServerLoad::warm(server.slots)
@@ -79,7 +85,7 @@
         };
         let removed = CloseReason::Removed.bit();
         let unused = (0..self.servers.len()).find(|&at| {
-            self.servers[at].closed & removed != 0 && self.pool.loads()[at].in_flight == 0
+            self.servers[at].close_reasons & removed != 0 && self.pool.loads()[at].in_flight == 0
         });
         if let Some(at) = unused {
             self.servers[at] = row;
@@ -92,10 +98,10 @@
     }
 
     /// A server that takes work again starts with a ramp.
-    pub fn mark(&mut self, at: usize, reason: CloseReason, closed: bool) -> bool {
-        let before = self.servers[at].closed;
+    pub fn set_close_reason(&mut self, at: usize, reason: CloseReason, closed: bool) -> bool {
+        let before = self.servers[at].close_reasons;
         let after = if closed { before | reason.bit() } else { before & !reason.bit() };
-        self.servers[at].closed = after;
+        self.servers[at].close_reasons = after;
         let load = &mut self.pool.loads_mut()[at];
         if before != 0 && after == 0 {
             load.restart(now_us());
--- a/src/route/upstream.rs
+++ b/src/route/upstream.rs
@@ -20,25 +20,25 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A connection idle for longer is not used for what must not repeat: a backend server's own
 /// limit may close it just as the request is written, which would leave its outcome unknown.
-const FRESH_MAX_MS: u64 = 4_000;
+const RECENT_IDLE_MAX_MS: u64 = 4_000;
 /// Older idle connections are closed.
 const IDLE_MAX_MS: u64 = 60_000;
 /// A server that was used within this keeps a spare connection.
-const SPARE_FOR_MS: u64 = 10_000;
+const SPARE_CONN_PERIOD_MS: u64 = 10_000;
 
 /// What a connection is wanted for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Freshness {
     /// Must not be closed under the request, as far as that can be helped.
-    Fresh,
+    Recent,
     /// Any will do: a request that meets a closed connection is tried again.
     Any,
 }
 
-impl Need {
+impl Freshness {
     const fn idle_max_ms(self) -> u64 {
         match self {
-            Self::Fresh => FRESH_MAX_MS,
+            Self::Recent => RECENT_IDLE_MAX_MS,
             Self::Any => IDLE_MAX_MS,
         }
     }
@@ -50,41 +50,41 @@
     pub id: String,
     pub address: SocketAddr,
     /// Hash by which instances name the server to each other.
-    pub key: u32,
-    idle: Mutex<Vec<Idle>>,
-    open: Arc<AtomicU32>,
-    opened: AtomicU32,
+    pub id_hash: u32,
+    idle: Mutex<Vec<IdleConn>>,
+    open_count: Arc<AtomicU32>,
+    opened_total: AtomicU32,
     /// Connections that this instance may have open; at least 1.
     open_max: AtomicU32,
-    used_ms: AtomicU64,
+    last_used_ms: AtomicU64,
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConn {
     sender: SendRequest<Full<Bytes>>,
-    since_ms: u64,
+    idle_since_ms: u64,
 }
 
 /// A connection that one attempt holds; dropped, it is closed, which tells the backend server
 /// that the answer is not wanted any more.
 #[derive(Debug)]
-pub struct Conn {
+pub struct PooledConn {
     pub sender: SendRequest<Full<Bytes>>,
     upstream: Arc<Upstream>,
 }
 
-impl Conn {
+impl PooledConn {
     /// Keeps the connection for the next request.
-    pub fn give_back(self) {
-        let idle = Idle { sender: self.sender, since_ms: now_ms() };
+    pub fn return_to_pool(self) {
+        let idle = IdleConn { sender: self.sender, idle_since_ms: now_ms() };
         self.upstream.idle.lock().push(idle);
     }
 }
 
 /// Counts an open connection until it is closed.
-struct OpenCount(Arc<AtomicU32>);
+struct OpenConnPermit(Arc<AtomicU32>);
 
-impl Drop for OpenCount {
+impl Drop for OpenConnPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -92,7 +92,7 @@
 
 /// The low half of the hash of a server's id.
 #[expect(clippy::cast_possible_truncation, reason = "half of a hash")]
-fn key_of(id: &str) -> u32 {
+fn hash_of_id(id: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32
 }
 
@@ -103,19 +103,19 @@
         Self {
             id: id.to_owned(),
             address,
-            key: key_of(id),
+            id_hash: hash_of_id(id),
             idle: Mutex::default(),
-            open: Arc::default(),
-            opened: AtomicU32::new(0),
+            open_count: Arc::default(),
+            opened_total: AtomicU32::new(0),
             open_max: AtomicU32::new(open_max.max(1)),
-            used_ms: AtomicU64::new(0),
+            last_used_ms: AtomicU64::new(0),
         }
     }
 
     /// Connections opened since the start.
     #[must_use]
-    pub fn opened(&self) -> u32 {
-        self.opened.load(Ordering::Relaxed)
+    pub fn opened_total(&self) -> u32 {
+        self.opened_total.load(Ordering::Relaxed)
     }
 
     /// Sets how many connections this instance may have open.
@@ -124,14 +124,14 @@
     }
 
     /// The connection that was used last, if it is not too old; older ones are below it.
-    fn pop_idle(&self, need: Need) -> Option<SendRequest<Full<Bytes>>> {
+    fn pop_idle(&self, need: Freshness) -> Option<SendRequest<Full<Bytes>>> {
         let oldest_ms = now_ms().saturating_sub(need.idle_max_ms());
         let mut idle = self.idle.lock();
         while let Some(last) = idle.pop() {
             if last.sender.is_closed() {
                 continue;
             }
-            if last.since_ms >= oldest_ms {
+            if last.idle_since_ms >= oldest_ms {
                 return Some(last.sender);
             }
             idle.push(last);
@@ -142,52 +142,52 @@
 
     /// Whether [`Self::tidy`] may have something to do.
     #[must_use]
-    pub fn has_idle_or_use(&self) -> bool {
-        self.in_use() || !self.idle.lock().is_empty()
+    pub fn needs_maintenance(&self) -> bool {
+        self.recently_used() || !self.idle.lock().is_empty()
     }
 
-    fn in_use(&self) -> bool {
-        now_ms().saturating_sub(self.used_ms.load(Ordering::Relaxed)) <= SPARE_FOR_MS
+    fn recently_used(&self) -> bool {
+        now_ms().saturating_sub(self.last_used_ms.load(Ordering::Relaxed)) <= SPARE_CONN_PERIOD_MS
     }
 
     /// Closes connections that were idle for too long, and opens a spare one where the server is
     /// in use and has none: a request that comes beside others then need not wait for it.
-    pub async fn tidy(self: &Arc<Self>) {
+    pub async fn maintain(self: &Arc<Self>) {
         let now = now_ms();
         let fresh = {
             let mut idle = self.idle.lock();
-            idle.retain(|one| now - one.since_ms <= IDLE_MAX_MS && !one.sender.is_closed());
-            idle.iter().any(|one| now - one.since_ms <= FRESH_MAX_MS)
+            idle.retain(|one| now - one.idle_since_ms <= IDLE_MAX_MS && !one.sender.is_closed());
+            idle.iter().any(|one| now - one.idle_since_ms <= RECENT_IDLE_MAX_MS)
         };
-        if fresh || !self.in_use() {
+        if fresh || !self.recently_used() {
             return;
         }
         if let Ok(Some(sender)) = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await {
             // Beneath the ones in use, so that it stays a spare.
-            self.idle.lock().insert(0, Idle { sender, since_ms: now_ms() });
+            self.idle.lock().insert(0, IdleConn { sender, idle_since_ms: now_ms() });
         }
     }
 
     /// A connection that is ready for a request: the last used one, or a new one.
     ///
     /// `None` when none can be opened; no byte of any request was sent then.
-    pub async fn checkout(self: &Arc<Self>, need: Need) -> Option<Conn> {
-        self.used_ms.store(now_ms(), Ordering::Relaxed);
+    pub async fn checkout(self: &Arc<Self>, need: Freshness) -> Option<PooledConn> {
+        self.last_used_ms.store(now_ms(), Ordering::Relaxed);
         while let Some(mut sender) = self.pop_idle(need) {
             if sender.ready().await.is_ok() {
-                return Some(Conn { sender, upstream: Arc::clone(self) });
+                return Some(PooledConn { sender, upstream: Arc::clone(self) });
             }
         }
         let sender = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await.ok()??;
-        Some(Conn { sender, upstream: Arc::clone(self) })
+        Some(PooledConn { sender, upstream: Arc::clone(self) })
     }
 
     async fn connect(&self) -> Option<SendRequest<Full<Bytes>>> {
-        let count = self.reserve()?;
+        let count = self.acquire_permit()?;
         let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        self.opened.fetch_add(1, Ordering::Relaxed);
+        self.opened_total.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
             // An error here shows as an error of the attempt that uses the connection.
             let _ = connection.await;
@@ -197,10 +197,10 @@
     }
 
     /// Keeps the connections of this instance within its share of what the server accepts.
-    fn reserve(&self) -> Option<OpenCount> {
+    fn acquire_permit(&self) -> Option<OpenConnPermit> {
         let max = self.open_max.load(Ordering::Acquire);
         let next = |open: u32| (open < max).then_some(open + 1);
-        let reserved = self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, next);
-        reserved.ok().map(|_| OpenCount(Arc::clone(&self.open)))
+        let reserved = self.open_count.fetch_update(Ordering::AcqRel, Ordering::Acquire, next);
+        reserved.ok().map(|_| OpenConnPermit(Arc::clone(&self.open_count)))
     }
 }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -21,7 +21,7 @@
 }
 
 /// No id ran twice, and none that ran was told `not-run`.
-fn check(bed: &Bed, told: &HashMap<String, Vec<Told>>) {
+fn assert_at_most_once(bed: &Bed, told: &HashMap<String, Vec<Told>>) {
     let counts = bed.run_counts();
     for (id, answers) in told {
         let runs = counts.get(id).copied().unwrap_or(0);
@@ -58,7 +58,7 @@
         assert!(answers.iter().all(|told| told.outcome() == "ran"), "{answers:?}");
         told.insert(id, answers);
     }
-    check(&bed, &told);
+    assert_at_most_once(&bed, &told);
     assert_eq!(bed.run_counts().len(), 40);
 }
 
@@ -66,7 +66,7 @@
 /// service. The owner got the answer from a home; it must keep it like any other, or the shop is
 /// told that it ran and never sees what came of it.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_owner_that_is_no_home_keeps_the_answer_too() {
+async fn an_owner_that_is_no_home_records_the_answer() {
     let bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
@@ -100,7 +100,7 @@
         }
         told.insert(id, work.join_all().await);
     }
-    check(&bed, &told);
+    assert_at_most_once(&bed, &told);
     let ran = told.values().flatten().filter(|told| told.outcome() == "ran").count();
     assert!(ran >= 60, "most must run in spite of lost answers: {ran}");
 }
@@ -131,7 +131,7 @@
     bed.start_platform().await;
     let again = caller.call_at(addresses[1], &order("ran").with_key("plain-ran")).await;
     assert_eq!(again, first, "the first answer, once the store tells its owner again");
-    check(&bed, &told);
+    assert_at_most_once(&bed, &told);
 }
 
 /// Story: an instance is killed while it runs filings, some not yet sent on, some on their way,
@@ -170,7 +170,7 @@
         }
         told.insert(id, answers);
     }
-    check(&bed, &told);
+    assert_at_most_once(&bed, &told);
     let broken =
         told.values().filter(|answers| !matches!(answers[0], Told::Answered { .. })).count();
     assert!(broken > 0, "the kill must hit requests, or it shows nothing");
@@ -213,7 +213,7 @@
     }
     assert!(answers.iter().all(|told| told.outcome() == "ran"), "{answers:?}");
     told.insert("fresh".into(), answers);
-    check(&bed, &told);
+    assert_at_most_once(&bed, &told);
 }
 
 /// Story: instances are replaced one after the other in a rolling restart, each handing its
@@ -242,13 +242,13 @@
     for address in bed.caller_addresses() {
         assert_eq!(caller.call_at(address, &call).await, first);
     }
-    check(&bed, &HashMap::from([("rolled".to_owned(), vec![first])]));
+    assert_at_most_once(&bed, &HashMap::from([("rolled".to_owned(), vec![first])]));
 }
 
 /// Story: an instance that has not heard of the service yet (or not any more) is asked with a key
 /// whose order ran elsewhere. It must not tell "not run", which it does not know.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_that_does_not_know_the_service_denies_no_keyed_request() {
+async fn an_instance_without_the_service_never_reports_not_run_for_a_key() {
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
@@ -298,7 +298,7 @@
         let passed = links.pass(board.settings.listen.peer, &head, &bytes::Bytes::new()).await;
         assert!(passed.is_ok());
         let again = caller.call(&order(&id).with_key(&key)).await;
-        check(&bed, &HashMap::from([(id, vec![again])]));
+        assert_at_most_once(&bed, &HashMap::from([(id, vec![again])]));
     }
 }
 
@@ -318,13 +318,13 @@
     until("the record is gone", async || bed.boards().iter().all(|b| b.outcomes.is_empty())).await;
     let late = caller.call(&call).await;
     assert_eq!((late.outcome(), late.code()), ("unknown", 2006));
-    check(&bed, &HashMap::from([("old".to_owned(), vec![late])]));
+    assert_at_most_once(&bed, &HashMap::from([("old".to_owned(), vec![late])]));
 }
 
 /// Story: a shop hangs up in the middle of its order and asks again with the same key. The first
 /// run goes on, and the repeat gets its answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_finds_its_answer_again() {
+async fn a_caller_that_disconnects_gets_its_answer_on_repeat() {
     let mut plan = BedPlan::default();
     plan.backend = BackendSettings { work_us: 30_000, ..plan.backend };
     let bed = Bed::start(plan).await;
@@ -341,5 +341,5 @@
         assert_eq!(again.outcome(), "ran", "{again:?}");
         told.insert(id, vec![again]);
     }
-    check(&bed, &told);
+    assert_at_most_once(&bed, &told);
 }
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -3,8 +3,8 @@
 use sorrelwick::command::read_declaration;
 use sorrelwick::conf::parse_settings;
 use sorrelwick::model::Service;
+use sorrelwick::outcome::IdempotencyKey;
 use sorrelwick::outcome::KEY_MAX_BYTES;
-use sorrelwick::outcome::Key;
 use sorrelwick::outcome::KeyPrefix;
 use sorrelwick::peer::FRAME_MAX_BYTES;
 use sorrelwick::peer::PassHead;
@@ -48,7 +48,7 @@
 fn idempotency_keys() {
     property(2_000, |u| {
         let text: String = u.arbitrary()?;
-        if let Ok(key) = Key::parse(&text) {
+        if let Ok(key) = IdempotencyKey::parse(&text) {
             assert!(key.text.len() <= KEY_MAX_BYTES);
             if let Some(prefix) = key.prefix {
                 assert!(key.text.starts_with(&format!("{:016x}-", prefix.incarnation)));
@@ -56,7 +56,7 @@
         }
         let prefix =
             KeyPrefix { incarnation: u.arbitrary()?, epoch: u.int_in_range(0..=0xffff_ffff)? };
-        let parsed = Key::parse(&format!("{prefix}-rest")).expect("a prefix and a rest");
+        let parsed = IdempotencyKey::parse(&format!("{prefix}-rest")).expect("a prefix and a rest");
         assert_eq!(parsed.prefix, Some(prefix));
         Ok(())
     });
--- a/tests/measuring_budget.rs
+++ b/tests/measuring_budget.rs
@@ -18,7 +18,7 @@
 const SECOND_MS: u64 = 1_000;
 
 /// The most events within any second.
-fn most_in_a_second(mut at_ms: Vec<u64>) -> usize {
+fn max_in_any_second(mut at_ms: Vec<u64>) -> usize {
     at_ms.sort_unstable();
     let window =
         |from: usize| at_ms[from..].iter().take_while(|t| **t < at_ms[from] + SECOND_MS).count();
@@ -27,7 +27,7 @@
 
 /// The tokens of all shards are the budget, whatever the numbers.
 #[test]
-fn tokens_of_all_seats_are_the_budget() {
+fn tokens_of_all_shards_add_up_to_the_budget() {
     property(300, |u| {
         let budget = u.int_in_range(0..=500)?;
         let shards = u.int_in_range(1..=100)?;
@@ -68,20 +68,26 @@
                     now_ms += u.int_in_range(0..=300)?;
                     if !u.ratio(1, 4)? {
                         let until_ms = asked_ms + GRANT_MS;
-                        holders[home as usize].put(SERVICE, own(shard), count, until_ms, now_ms);
+                        holders[home as usize].put_tokens(
+                            SERVICE,
+                            own(shard),
+                            count,
+                            until_ms,
+                            now_ms,
+                        );
                     }
                 }
                 continue;
             }
-            if !buckets.granted(SERVICE, now_ms) {
-                buckets.put(SERVICE, own(shard), count, now_ms + 9_000, now_ms);
+            if !buckets.own_granted(SERVICE, now_ms) {
+                buckets.put_tokens(SERVICE, own(shard), count, now_ms + 9_000, now_ms);
             }
-            if let Some(spent) = buckets.spend(SERVICE, now_ms) {
+            if let Some(spent) = buckets.try_take(SERVICE, now_ms) {
                 probes.push(now_ms);
-                spent.done(now_ms);
+                spent.mark_sent(now_ms);
             }
         }
-        let most = most_in_a_second(probes);
+        let most = max_in_any_second(probes);
         assert!(most <= budget as usize, "{most} probes in a second, budget {budget}");
         Ok(())
     });
@@ -90,22 +96,22 @@
 /// Story: a process is frozen after it took a token and before it sent the probe, for ten
 /// seconds. On waking it must not send the next probe of that token right behind it.
 #[test]
-fn a_freeze_between_taking_and_sending_brings_no_burst() {
+fn a_pause_between_taking_a_token_and_probing_causes_no_burst() {
     let buckets = TokenBuckets::default();
-    buckets.put("orders", 1, 1, 100_000, 0);
-    let spent = buckets.spend("orders", 2_000).expect("a token");
+    buckets.put_tokens("orders", 1, 1, 100_000, 0);
+    let spent = buckets.try_take("orders", 2_000).expect("a token");
     // Frozen from 2,000 to 12,000; the probe leaves on waking.
-    assert!(buckets.spend("orders", 12_000).is_some(), "a probe is due by the clock alone");
+    assert!(buckets.try_take("orders", 12_000).is_some(), "a probe is due by the clock alone");
     let buckets = TokenBuckets::default();
-    buckets.put("orders", 1, 1, 100_000, 0);
-    let spent_now = buckets.spend("orders", 2_000).expect("a token");
-    spent_now.done(12_000);
-    spent.done(12_000);
-    assert!(buckets.spend("orders", 12_900).is_none(), "too soon after the one before");
-    assert!(buckets.spend("orders", 13_300).is_some());
+    buckets.put_tokens("orders", 1, 1, 100_000, 0);
+    let spent_now = buckets.try_take("orders", 2_000).expect("a token");
+    spent_now.mark_sent(12_000);
+    spent.mark_sent(12_000);
+    assert!(buckets.try_take("orders", 12_900).is_none(), "too soon after the one before");
+    assert!(buckets.try_take("orders", 13_300).is_some());
 }
 
-fn measuring_ms(bed: &Bed, start: tokio::time::Instant) -> Vec<u64> {
+fn probe_times_ms(bed: &Bed, start: tokio::time::Instant) -> Vec<u64> {
     let times = bed.backends.iter().flat_map(|backend| backend.record.measuring());
     times.map(|at| u64::try_from((at - start).as_millis()).unwrap_or(u64::MAX)).collect()
 }
@@ -129,28 +135,28 @@
     const BUDGET: u32 = 6;
     let start = tokio::time::Instant::now();
     let mut bed = bed_with_budget(BUDGET).await;
-    until("probes are sent", async || measuring_ms(&bed, start).len() > 8).await;
+    until("probes are sent", async || probe_times_ms(&bed, start).len() > 8).await;
     bed.kill(1);
     bed.add_daemon().await;
-    let seen = measuring_ms(&bed, start).len();
-    until("probes go on", async || measuring_ms(&bed, start).len() > seen + 8).await;
+    let seen = probe_times_ms(&bed, start).len();
+    until("probes go on", async || probe_times_ms(&bed, start).len() > seen + 8).await;
     bed.stop_platform();
     // Shards end with their leases, and with them the probes.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let seen = measuring_ms(&bed, start).len();
+    let seen = probe_times_ms(&bed, start).len();
     bed.start_platform().await;
-    until("probes go on again", async || measuring_ms(&bed, start).len() > seen + 8).await;
-    let most = most_in_a_second(measuring_ms(&bed, start));
+    until("probes go on again", async || probe_times_ms(&bed, start).len() > seen + 8).await;
+    let most = max_in_any_second(probe_times_ms(&bed, start));
     println!(
         "budget {BUDGET}, most in a second {most}, in all {}",
-        measuring_ms(&bed, start).len()
+        probe_times_ms(&bed, start).len()
     );
     assert!(most <= BUDGET as usize, "{most} measuring calls in a second");
 }
 
 /// Story: the budget is zero, and nothing at all is sent only to measure.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_budget_of_zero_means_no_call() {
+async fn a_budget_of_zero_sends_no_probe() {
     let bed = bed_with_budget(0).await;
     bed.backends[0].behaviour.draining.store(true, Ordering::Release);
     let caller = bed.caller("orders", 0);
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 
 /// Every request told `not-run` is absent from the record of every backend server.
-fn check_not_run(bed: &Bed, told: &[(String, Told)]) -> usize {
+fn assert_not_run(bed: &Bed, told: &[(String, Told)]) -> usize {
     let counts = bed.run_counts();
     let not_run = told.iter().filter(|(_, told)| told.outcome() == "not-run");
     let mut checked = 0;
@@ -23,7 +23,7 @@
     checked
 }
 
-async fn burst(callers: &[Caller], calls: Vec<Call>) -> Vec<(String, Told)> {
+async fn send_burst(callers: &[Caller], calls: Vec<Call>) -> Vec<(String, Told)> {
     let mut work = JoinSet::new();
     for (at, call) in calls.into_iter().enumerate() {
         let caller = callers[at % callers.len()].clone();
@@ -50,9 +50,9 @@
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
     let mut told = Vec::new();
     for (turn, timeout_ms) in [5, 20, 40, 80, 3_000].into_iter().enumerate() {
-        told.extend(burst(&callers, orders(&format!("t{turn}"), 200, timeout_ms)).await);
+        told.extend(send_burst(&callers, orders(&format!("t{turn}"), 200, timeout_ms)).await);
     }
-    let not_run = check_not_run(&bed, &told);
+    let not_run = assert_not_run(&bed, &told);
     assert!(not_run > 100, "the scene must refuse, or it shows nothing: {not_run}");
     for (id, told) in &told {
         assert!(matches!(told, Told::Answered { .. }), "{id} got no final answer: {told:?}");
@@ -73,7 +73,7 @@
     let kept = bed.backends.split_off(0);
     let records: Vec<_> = kept.iter().map(|b| std::sync::Arc::clone(&b.record)).collect();
     drop(kept);
-    let told = burst(&[caller], orders("down", 20, 2_000)).await;
+    let told = send_burst(&[caller], orders("down", 20, 2_000)).await;
     assert!(records.iter().all(|record| record.runs().is_empty()));
     for (id, told) in told {
         assert_eq!(told.outcome(), "not-run", "{id}: {told:?}");
@@ -83,7 +83,7 @@
 /// Story: the operator declared 503 to be a refusal. A shedding server's 503 is told not-run,
 /// and the order may then run elsewhere, once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_declared_refusal_is_tried_elsewhere_and_told_truly() {
+async fn a_declared_refusal_is_retried_and_reported_as_not_run() {
     let mut plan = BedPlan { backends: 3, instances: 1, ..BedPlan::default() };
     plan.backend = BackendSettings { slots: 1, work_us: 5_000, ..plan.backend };
     let bed = Bed::start(plan).await;
@@ -97,8 +97,8 @@
     for backend in &bed.backends {
         backend.behaviour.shedding.store(true, Ordering::Release);
     }
-    let told = burst(&[bed.caller("orders", 0)], orders("shed", 60, 5_000)).await;
-    let not_run = check_not_run(&bed, &told);
+    let told = send_burst(&[bed.caller("orders", 0)], orders("shed", 60, 5_000)).await;
+    let not_run = assert_not_run(&bed, &told);
     assert!(not_run > 0, "the scene must shed, or it shows nothing");
     let counts = bed.run_counts();
     for (id, told) in told.iter().filter(|(_, told)| told.outcome() == "ran") {
@@ -116,11 +116,11 @@
         backend.behaviour.lose_answers.store(100, Ordering::Release);
     }
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
-    let told = burst(&callers, orders("lost", 30, 5_000)).await;
+    let told = send_burst(&callers, orders("lost", 30, 5_000)).await;
     let counts = bed.run_counts();
     let unknown = told.iter().filter(|(_, told)| told.outcome() == "unknown").count();
     assert!(unknown >= 10, "the scene must lose answers, or it shows nothing: {unknown}");
-    check_not_run(&bed, &told);
+    assert_not_run(&bed, &told);
     for (id, _) in told {
         assert!(counts.get(&id).copied().unwrap_or(0) <= 1, "{id} ran twice");
     }
@@ -130,7 +130,7 @@
 /// refuses. The last word was "not run", but the first server did run it. The caller must not be
 /// told otherwise, although a lookup does no harm.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_retry_that_was_refused_does_not_undo_the_first_attempt() {
+async fn a_refused_retry_does_not_hide_an_attempt_that_may_have_run() {
     let mut plan = BedPlan { backends: 2, instances: 1, ..BedPlan::default() };
     plan.backend = BackendSettings { slots: 1, work_us: 3_000, ..plan.backend };
     let bed = Bed::start(plan).await;
@@ -145,8 +145,8 @@
     bed.backends[1].behaviour.shedding.store(true, Ordering::Release);
     bed.backends[1].behaviour.slow_factor.store(50, Ordering::Release);
     let lookups = (0..60).map(|n| Call::get("/l", &format!("l-{n}")).within_ms(4_000)).collect();
-    let told = burst(&[bed.caller("lookups", 0)], lookups).await;
-    check_not_run(&bed, &told);
+    let told = send_burst(&[bed.caller("lookups", 0)], lookups).await;
+    assert_not_run(&bed, &told);
     let unknown = told.iter().filter(|(_, told)| told.outcome() == "unknown").count();
     assert!(unknown > 0, "the scene must lose answers, or it shows nothing");
 }
@@ -154,7 +154,7 @@
 /// Story: a shop cancels an order just as it is sent on, again and again at different moments.
 /// Whatever becomes of it, it runs at most once, and no slot is lost by it.
 #[tokio::test(flavor = "multi_thread")]
-async fn cancelling_around_dispatch_neither_doubles_nor_leaks() {
+async fn cancelling_around_dispatch_runs_nothing_twice_and_leaks_no_slot() {
     let mut plan = BedPlan { backends: 1, instances: 1, ..BedPlan::default() };
     plan.backend = BackendSettings { slots: 2, work_us: 3_000, ..plan.backend };
     let bed = Bed::start(plan).await;
@@ -172,7 +172,7 @@
     let board = &bed.boards()[0];
     let state = board.services().get("orders").cloned().expect("in force");
     standins::bed::until("all slots are back", async || {
-        state.core.binder.free_and_waiting() == (2, 0)
+        state.runtime.slot_queue.free_slots_and_waiting() == (2, 0)
     })
     .await;
     assert!(bed.run_counts().values().all(|count| *count == 1));
@@ -181,7 +181,7 @@
 /// Story: an adviser's lookup is cut short by the only server that the service has. That is its
 /// final answer, known at once; it must not wait until its deadline for another server.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_that_failed_on_the_only_server_gets_its_final_answer_at_once() {
+async fn a_failed_lookup_on_the_only_server_is_answered_at_once() {
     let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
     bed.create("lookups").await;
     let caller = bed.caller("lookups", 0);
--- a/tests/outcome_schedules.rs
+++ b/tests/outcome_schedules.rs
@@ -10,10 +10,10 @@
 use sorrelwick::clock::now_ms;
 use sorrelwick::conf::OutcomeSettings;
 use sorrelwick::errors::Code;
-use sorrelwick::outcome::Begin;
-use sorrelwick::outcome::Kept;
+use sorrelwick::outcome::KeyDecision;
 use sorrelwick::outcome::OutcomeTable;
 use sorrelwick::outcome::OwnerSnapshot;
+use sorrelwick::outcome::RecordedOutcome;
 use sorrelwick::outcome::RunGuard;
 
 mod common;
@@ -25,25 +25,25 @@
 const SERVICE: &str = "orders";
 
 /// One process's record, another's that may take over, and who has run what.
-struct World {
+struct Scenario {
     owner: OutcomeTable,
     successor: OutcomeTable,
-    owner_born_ms: u64,
+    owner_started_ms: u64,
     /// Parts on their way, with the moment they were sent.
-    on_the_way: Vec<(OwnerSnapshot, bool, u64)>,
+    in_transit: Vec<(OwnerSnapshot, bool, u64)>,
     running: Vec<(String, RunGuard)>,
     /// Runs that were begun and not told to be not-run.
     runs: HashMap<String, u32>,
     closed: bool,
 }
 
-impl World {
+impl Scenario {
     fn new(settings: &OutcomeSettings) -> Self {
         Self {
             owner: OutcomeTable::new(OWNER, settings),
             successor: OutcomeTable::new(SUCCESSOR, settings),
-            owner_born_ms: now_ms(),
-            on_the_way: Vec::new(),
+            owner_started_ms: now_ms(),
+            in_transit: Vec::new(),
             running: Vec::new(),
             runs: HashMap::new(),
             closed: false,
@@ -52,11 +52,11 @@
 
     /// A caller sends a key, new or again, to the owner or to whom it may have left its record.
     fn send(&mut self, u: &mut Unstructured<'_>, settings: &OutcomeSettings) -> Result<()> {
-        let now_epoch = (now_ms() - self.owner_born_ms) / settings.epoch_ms;
+        let now_epoch = (now_ms() - self.owner_started_ms) / settings.epoch_ms;
         let epoch = u.int_in_range(0..=now_epoch)?;
         let key = format!("{OWNER:016x}-{epoch:x}-{}", u.int_in_range(0..=3)?);
         let table = if u.ratio(1, 2)? { &self.owner } else { &self.successor };
-        if let Begin::Run(guard) = table.begin(OWNER, epoch, SERVICE, &key) {
+        if let KeyDecision::Run(guard) = table.begin(OWNER, epoch, SERVICE, &key) {
             let runs = self.runs.entry(key.clone()).or_insert(0);
             *runs += 1;
             assert_eq!(*runs, 1, "{key} runs a second time");
@@ -65,15 +65,15 @@
         Ok(())
     }
 
-    fn end(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    fn end_one_run(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if self.running.is_empty() {
             return Ok(());
         }
         let at = u.choose_index(self.running.len())?;
         let (key, guard) = self.running.swap_remove(at);
         match u.int_in_range(0..=3)? {
-            0 => guard.finish(Kept::AnswerNotKept),
-            1 => guard.finish(Kept::Unknown(Code::AnswerLost)),
+            0 => guard.finish(RecordedOutcome::AnswerNotKept),
+            1 => guard.finish(RecordedOutcome::Unknown(Code::AnswerLost)),
             2 => drop(guard),
             _ => {
                 guard.not_run();
@@ -84,7 +84,7 @@
     }
 
     /// A planned stop: nothing runs any more, then the record goes out in two parts.
-    fn stop(&mut self) {
+    fn hand_over(&mut self) {
         if self.closed || !self.running.is_empty() {
             return;
         }
@@ -93,14 +93,14 @@
             let half = record.rows.len() / 2;
             let first = OwnerSnapshot { rows: record.rows[..half].to_vec(), ..record.clone() };
             let second = OwnerSnapshot { rows: record.rows[half..].to_vec(), ..record };
-            self.on_the_way.push((first, false, now_ms()));
-            self.on_the_way.push((second, true, now_ms()));
+            self.in_transit.push((first, false, now_ms()));
+            self.in_transit.push((second, true, now_ms()));
         }
     }
 
     /// The next part arrives; an earlier one may come once more.
-    fn arrive(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let Some((part, last, sent_ms)) = self.on_the_way.first().cloned() else {
+    fn deliver_next(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+        let Some((part, last, sent_ms)) = self.in_transit.first().cloned() else {
             return Ok(());
         };
         // The receiver has heard of the owner's age in pings before; its estimate may be late by
@@ -108,22 +108,22 @@
         let born_ms = sent_ms - part.uptime_ms + u.int_in_range(0..=400)?;
         self.successor.adopt(part, born_ms, last);
         if !u.ratio(1, 4)? {
-            self.on_the_way.remove(0);
+            self.in_transit.remove(0);
         }
         Ok(())
     }
 }
 
-async fn schedule(u: &mut Unstructured<'_>) -> Result<()> {
+async fn run_schedule(u: &mut Unstructured<'_>) -> Result<()> {
     let settings =
         OutcomeSettings { epoch_ms: 1_000, window_epochs: 3, ..OutcomeSettings::default() };
-    let mut world = World::new(&settings);
+    let mut world = Scenario::new(&settings);
     for _ in 0..u.int_in_range(1..=120)? {
         match u.int_in_range(0..=9)? {
             0..=3 => world.send(u, &settings)?,
-            4..=5 => world.end(u)?,
-            6 => world.stop(),
-            7 => world.arrive(u)?,
+            4..=5 => world.end_one_run(u)?,
+            6 => world.hand_over(),
+            7 => world.deliver_next(u)?,
             _ => {
                 tokio::time::advance(Duration::from_millis(u.int_in_range(0..=900)?)).await;
                 world.owner.expire(OWNER);
@@ -143,6 +143,6 @@
             .start_paused(true)
             .build()
             .expect("a runtime");
-        runtime.block_on(schedule(u))
+        runtime.block_on(run_schedule(u))
     });
 }
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -13,7 +13,7 @@
 
 /// Callers that keep each address answer as long as they may, and note every end that is not a
 /// whole answer.
-fn steady(bed: &Bed, service: &str, requests: usize) -> JoinHandle<Vec<Told>> {
+fn spawn_steady_load(bed: &Bed, service: &str, requests: usize) -> JoinHandle<Vec<Told>> {
     let callers: Vec<Caller> = (0..6).map(|at| bed.caller(service, at)).collect();
     tokio::spawn(async move {
         let mut work = JoinSet::new();
@@ -42,7 +42,7 @@
 async fn stopping_instances_cuts_off_and_refuses_nothing() {
     let mut bed = Bed::start(plan(5)).await;
     bed.create("orders").await;
-    let load = steady(&bed, "orders", 1_500);
+    let load = spawn_steady_load(&bed, "orders", 1_500);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let first = bed.daemons[0].take().expect("runs");
     let second = bed.daemons[1].take().expect("runs");
@@ -59,7 +59,7 @@
 async fn draining_and_stopping_a_backend_server_loses_nothing() {
     let mut bed = Bed::start(plan(3)).await;
     bed.create("orders").await;
-    let load = steady(&bed, "orders", 800);
+    let load = spawn_steady_load(&bed, "orders", 800);
     tokio::time::sleep(Duration::from_millis(300)).await;
     bed.operator(1).set_drain("orders", "b0", true).await.expect("drained");
     bed.until_in_force("orders", 2).await;
@@ -78,7 +78,7 @@
 async fn a_restart_of_the_platform_and_a_stop_in_the_middle_of_it_lose_nothing() {
     let mut bed = Bed::start(plan(4)).await;
     bed.create("orders").await;
-    let load = steady(&bed, "orders", 1_000);
+    let load = spawn_steady_load(&bed, "orders", 1_000);
     tokio::time::sleep(Duration::from_millis(200)).await;
     bed.stop_platform();
     let stopping = bed.daemons[3].take().expect("runs");
@@ -91,7 +91,7 @@
 /// Story: an adviser's long report is being computed when the instance is stopped, and takes
 /// longer than anybody may keep an address. It must still arrive whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_longer_than_the_kept_address_is_finished() {
+async fn a_request_that_outlives_the_address_lifetime_is_finished() {
     let mut bed = Bed::start(plan(3)).await;
     bed.create("orders").await;
     for method in ["GET", "POST"] {
@@ -116,7 +116,7 @@
 /// Story: a shop's connection breaks while its order runs, and the instance is stopped. The order
 /// must not be cut off in the middle, and its outcome must be handed on: the shop asks again.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_whose_caller_left_is_finished_before_the_stop() {
+async fn work_of_a_disconnected_caller_is_finished_before_the_stop() {
     let mut bed = Bed::start(plan(4)).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -155,6 +155,8 @@
     let told = bed.caller("odd", 0).call(&Call::post("/", "s").within_ms(300)).await;
     assert_eq!(told, Told::Broken);
     let state = bed.boards()[0].services().get("odd").cloned().expect("in force");
-    standins::bed::until("the slot is back", async || state.core.binder.free_and_waiting().0 == 4)
-        .await;
+    standins::bed::until("the slot is back", async || {
+        state.runtime.slot_queue.free_slots_and_waiting().0 == 4
+    })
+    .await;
 }
