--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -4,10 +4,10 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use sorrelwick::decide::Finish;
+use sorrelwick::decide::AttemptOutcome;
 use sorrelwick::decide::QueueView;
-use sorrelwick::decide::Reach;
 use sorrelwick::decide::ServerLoad;
+use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::SlotPool;
 use sorrelwick::decide::admit;
 
@@ -19,8 +19,8 @@
             let mut now_us = 1_000_000;
             b.iter(|| {
                 now_us += 1;
-                let index = pool.take(Reach::Kept, &[], now_us).unwrap_or(0);
-                pool.finish(index, Finish::Answered { latency_us: 900 }, now_us);
+                let index = pool.acquire_slot(ServerScope::Own, &[], now_us).unwrap_or(0);
+                pool.release_slot(index, AttemptOutcome::Answered { latency_us: 900 }, now_us);
             });
         });
     }
@@ -30,8 +30,8 @@
             waiting: 10,
             waiting_max: 1_000,
             slots: 120,
-            typical_us: 900.0,
-            left_us: 1_000_000,
+            median_service_us: 900.0,
+            remaining_us: 1_000_000,
         };
         b.iter(|| admit(std::hint::black_box(&view)));
     });
--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -17,9 +17,9 @@
 use sorrelwick::catalog::merge_rows;
 use sorrelwick::conf::OutcomeSettings;
 use sorrelwick::conf::parse_settings;
-use sorrelwick::decide::Finish;
-use sorrelwick::decide::Reach;
+use sorrelwick::decide::AttemptOutcome;
 use sorrelwick::decide::ServerLoad;
+use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::SlotPool;
 use sorrelwick::member::MemberRequest;
 use sorrelwick::member::MemberRow;
@@ -94,8 +94,12 @@
         let took = median_of(|| {
             let start = Instant::now();
             for now_us in 1_000_000..1_000_000 + u64::from(rounds) {
-                let index = pool.take(Reach::Kept, &[], now_us).unwrap_or(0);
-                pool.finish(black_box(index), Finish::Answered { latency_us: 900 }, now_us);
+                let index = pool.acquire_slot(ServerScope::Own, &[], now_us).unwrap_or(0);
+                pool.release_slot(
+                    black_box(index),
+                    AttemptOutcome::Answered { latency_us: 900 },
+                    now_us,
+                );
             }
             start.elapsed() / rounds
         });
--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -11,7 +11,7 @@
 use super::daemon::listen;
 use super::daemon::local;
 use super::gateway_peers::GatewayPeers;
-use crate::balance::RepeatAllowance;
+use crate::balance::RetryAllowance;
 use crate::board::Blackboard;
 use crate::board::EventKind;
 use crate::board::Phase;
@@ -119,8 +119,8 @@
 
 /// What all homes together may repeat. Instances that are none get next to no requests, and the
 /// unused part of the slack covers those.
-fn allowance(gateway: &GatewaySettings) -> RepeatAllowance {
-    RepeatAllowance {
+fn allowance(gateway: &GatewaySettings) -> RetryAllowance {
+    RetryAllowance {
         ratio: gateway.repeat_ratio * REPEAT_SHARE,
         window_us: u64::try_from(gateway.repeat_window().as_micros()).unwrap_or(u64::MAX),
         slack: gateway.repeat_slack * SLACK_SHARE,
--- a/src/balance/send_end.rs
+++ b/src/balance/send_end.rs
@@ -2,7 +2,7 @@
 
 /// How a send ended, as far as the server is concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// A whole answer that is no failure.
     Answered,
     /// A whole answer that tells of a failure.
--- a/src/balance/server_health.rs
+++ b/src/balance/server_health.rs
@@ -1,6 +1,6 @@
 //! Whether one backend server is there and does its work.
 
-use super::SendEnd;
+use super::SendOutcome;
 
 /// Weight of one end in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.3;
@@ -11,28 +11,28 @@
 /// aims allow, and requests wait though there are slots.
 const REFUSAL_SAMPLE: f64 = 0.25;
 /// First pause after a connection could not be opened or broke; doubles with each in a row.
-const PAUSE_US: u64 = 150_000;
-const PAUSE_DOUBLINGS_MAX: u32 = 4;
+const EJECTION_BASE_US: u64 = 150_000;
+const EJECTION_DOUBLINGS_MAX: u32 = 4;
 /// Health checks without answer in a row before a server counts as gone, and for how long; one
 /// alone is lost by a busy network.
-const MISSES_MAX: u32 = 2;
-const MISSED_PAUSE_US: u64 = 300_000;
+const CHECK_TIMEOUTS_MAX: u32 = 2;
+const CHECK_TIMEOUTS_EJECTION_US: u64 = 300_000;
 /// Broken connections in a row before the pause: a single reset says little of the server.
-const RESETS_MAX: u32 = 3;
+const BROKEN_CONNECTIONS_MAX: u32 = 3;
 
 /// What sends and health checks told of a server's health.
 #[derive(Clone, Debug)]
 pub struct ServerHealth {
     /// Share of ends that were failures, as of `failures_at_us`.
-    failures: f64,
-    failures_at_us: u64,
-    breaks: u32,
-    paused_until_us: u64,
-    heard_us: u64,
+    failure_rate: f64,
+    failure_rate_at_us: u64,
+    connection_failures: u32,
+    ejected_until_us: u64,
+    last_contact_us: u64,
     /// Health checks without answer in a row.
-    misses: u32,
+    check_timeouts: u32,
     /// Its health check says that it is not well.
-    unwell: bool,
+    unhealthy: bool,
 }
 
 impl ServerHealth {
@@ -40,94 +40,94 @@
     #[must_use]
     pub const fn new(now_us: u64) -> Self {
         Self {
-            failures: 0.0,
-            failures_at_us: now_us,
-            breaks: 0,
-            paused_until_us: 0,
-            heard_us: now_us,
-            misses: 0,
-            unwell: false,
+            failure_rate: 0.0,
+            failure_rate_at_us: now_us,
+            connection_failures: 0,
+            ejected_until_us: 0,
+            last_contact_us: now_us,
+            check_timeouts: 0,
+            unhealthy: false,
         }
     }
 
     /// Takes note of the end of a send that says something of the server.
-    pub fn ended(&mut self, end: SendEnd, now_us: u64) {
+    pub fn record_outcome(&mut self, end: SendOutcome, now_us: u64) {
         match end {
-            SendEnd::Cancelled | SendEnd::Unsent => return,
-            SendEnd::Answered => {
-                self.breaks = 0;
-                self.heard_us = now_us;
+            SendOutcome::Cancelled | SendOutcome::Unsent => return,
+            SendOutcome::Answered => {
+                self.connection_failures = 0;
+                self.last_contact_us = now_us;
             }
-            SendEnd::Failed | SendEnd::Refused => self.heard_us = now_us,
-            SendEnd::Unreachable => self.pause(now_us),
-            SendEnd::Broken => {
-                self.breaks += 1;
-                if self.breaks >= RESETS_MAX {
-                    self.pause(now_us);
+            SendOutcome::Failed | SendOutcome::Refused => self.last_contact_us = now_us,
+            SendOutcome::Unreachable => self.eject(now_us),
+            SendOutcome::Broken => {
+                self.connection_failures += 1;
+                if self.connection_failures >= BROKEN_CONNECTIONS_MAX {
+                    self.eject(now_us);
                 }
             }
-            SendEnd::TimedOut => {}
+            SendOutcome::TimedOut => {}
         }
-        let failures = self.failures(now_us);
+        let failures = self.failure_rate(now_us);
         let sample = match end {
-            SendEnd::Answered => 0.0,
-            SendEnd::Refused => REFUSAL_SAMPLE,
+            SendOutcome::Answered => 0.0,
+            SendOutcome::Refused => REFUSAL_SAMPLE,
             _ => 1.0,
         };
-        self.failures = failures + FAILURE_WEIGHT * (sample - failures);
-        self.failures_at_us = now_us;
+        self.failure_rate = failures + FAILURE_WEIGHT * (sample - failures);
+        self.failure_rate_at_us = now_us;
     }
 
-    fn pause(&mut self, now_us: u64) {
-        let doublings = self.breaks.min(PAUSE_DOUBLINGS_MAX);
-        self.breaks += 1;
-        self.paused_until_us = now_us + (PAUSE_US << doublings);
+    fn eject(&mut self, now_us: u64) {
+        let doublings = self.connection_failures.min(EJECTION_DOUBLINGS_MAX);
+        self.connection_failures += 1;
+        self.ejected_until_us = now_us + (EJECTION_BASE_US << doublings);
     }
 
     /// Whether it is left alone for a moment, as it seems not to be there.
     #[must_use]
-    pub const fn paused(&self, now_us: u64) -> bool {
-        now_us < self.paused_until_us
+    pub const fn is_ejected(&self, now_us: u64) -> bool {
+        now_us < self.ejected_until_us
     }
 
     /// Share of failures, fading while nothing ends there: a server that fails at once must not
     /// look idle and so attract everything.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "an age in microseconds")]
-    pub fn failures(&self, now_us: u64) -> f64 {
-        let age_us = now_us.saturating_sub(self.failures_at_us) as f64;
-        self.failures * (-age_us / FAILURE_HALF_LIFE_US).exp2()
+    pub fn failure_rate(&self, now_us: u64) -> f64 {
+        let age_us = now_us.saturating_sub(self.failure_rate_at_us) as f64;
+        self.failure_rate * (-age_us / FAILURE_HALF_LIFE_US).exp2()
     }
 
     /// Takes note of any word of it.
-    pub const fn heard(&mut self, now_us: u64) {
-        self.heard_us = now_us;
+    pub const fn record_contact(&mut self, now_us: u64) {
+        self.last_contact_us = now_us;
     }
 
     /// When it was heard last.
     #[must_use]
-    pub const fn heard_us(&self) -> u64 {
-        self.heard_us
+    pub const fn last_contact_us(&self) -> u64 {
+        self.last_contact_us
     }
 
     /// Takes in the answer to a health check.
-    pub const fn checked(&mut self, well: bool, now_us: u64) {
-        self.unwell = !well;
-        self.misses = 0;
-        self.heard_us = now_us;
+    pub const fn record_health_check(&mut self, well: bool, now_us: u64) {
+        self.unhealthy = !well;
+        self.check_timeouts = 0;
+        self.last_contact_us = now_us;
     }
 
     /// Takes note that a health check got no answer.
-    pub fn unheard(&mut self, now_us: u64) {
-        self.misses += 1;
-        if self.misses >= MISSES_MAX {
-            self.paused_until_us = self.paused_until_us.max(now_us + MISSED_PAUSE_US);
+    pub fn record_check_timeout(&mut self, now_us: u64) {
+        self.check_timeouts += 1;
+        if self.check_timeouts >= CHECK_TIMEOUTS_MAX {
+            self.ejected_until_us = self.ejected_until_us.max(now_us + CHECK_TIMEOUTS_EJECTION_US);
         }
     }
 
     /// Whether its health check says that it is not well.
     #[must_use]
-    pub const fn unwell(&self) -> bool {
-        self.unwell
+    pub const fn is_unhealthy(&self) -> bool {
+        self.unhealthy
     }
 }
--- a/src/balance/service_times.rs
+++ b/src/balance/service_times.rs
@@ -5,7 +5,7 @@
 /// Weight of one sample in the moving average: the last some twenty requests count.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Share of a route's aim taken as its service time before the first sample.
-const AIM_SHARE: f64 = 0.4;
+const INITIAL_TARGET_SHARE: f64 = 0.4;
 
 /// Moving averages by route, in milliseconds.
 #[derive(Debug, Default)]
@@ -17,7 +17,7 @@
     /// The usual time of a route; guessed from its aim before the first sample.
     #[must_use]
     pub fn typical_ms(&self, route: &str, aim_ms: f64) -> f64 {
-        self.by_route.get(route).copied().unwrap_or(aim_ms * AIM_SHARE)
+        self.by_route.get(route).copied().unwrap_or(aim_ms * INITIAL_TARGET_SHARE)
     }
 
     /// Takes a sample.
--- a/src/balance/withheld.rs
+++ b/src/balance/withheld.rs
@@ -2,19 +2,19 @@
 
 /// Why a listed server is given nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Withheld {
+pub struct ServerExclusion {
     /// Its availability zone is evacuated.
     pub evacuated: bool,
     /// Another server was listed at its address after it.
     pub superseded: bool,
     /// It said itself that it leaves.
-    pub leaving: bool,
+    pub announced_draining: bool,
 }
 
-impl Withheld {
+impl ServerExclusion {
     /// Whether there is a reason.
     #[must_use]
     pub const fn any(self) -> bool {
-        self.evacuated || self.superseded || self.leaving
+        self.evacuated || self.superseded || self.announced_draining
     }
 }
--- a/src/cold/mod.rs
+++ b/src/cold/mod.rs
@@ -5,7 +5,7 @@
 mod cold_rule;
 mod cold_state;
 
-pub use cold_bound::COLD_SPAN_US;
-pub use cold_bound::ColdBound;
+pub use cold_bound::COLD_WINDOW_US;
+pub use cold_bound::ColdLimit;
 pub use cold_rule::ColdRule;
 pub use cold_state::ColdState;
--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -15,9 +15,9 @@
     /// Slots of the servers that may be used, free or not.
     pub slots: u32,
     /// Median service time; 0 when unknown.
-    pub typical_us: f32,
+    pub median_service_us: f32,
     /// Time until the deadline.
-    pub left_us: u64,
+    pub remaining_us: u64,
 }
 
 /// The decision on one request that found no free slot.
@@ -48,7 +48,7 @@
     reason = "an estimate in microseconds"
 )]
 fn expected_wait_us(view: &QueueView) -> u64 {
-    let per_slot = view.typical_us / view.slots.max(1) as f32;
+    let per_slot = view.median_service_us / view.slots.max(1) as f32;
     ((view.waiting + 1) as f32 * per_slot) as u64
 }
 
@@ -68,8 +68,8 @@
         clippy::cast_sign_loss,
         reason = "a median of microseconds is small and positive"
     )]
-    let work_us = view.typical_us as u64;
-    let at_most_us = view.left_us.saturating_sub(work_us).min(WAIT_MAX_US);
+    let work_us = view.median_service_us as u64;
+    let at_most_us = view.remaining_us.saturating_sub(work_us).min(WAIT_MAX_US);
     if wait_us > at_most_us || at_most_us == 0 {
         return Admission::TooLate { retry_after_ms };
     }
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -1,7 +1,7 @@
 //! A budget that grows with traffic.
 
 /// Tokens that a quiet service may have saved.
-const SAVED_MAX: f32 = 10.0;
+const TOKENS_MAX: f32 = 10.0;
 
 /// Allows extra work up to a share of the requests, so that an outage is not amplified: when
 /// every request fails, at most that share of them is repeated.
@@ -16,23 +16,23 @@
     /// A budget of `share` extra attempts per request.
     #[must_use]
     pub const fn new(share: f32) -> Self {
-        Self { share, tokens: SAVED_MAX }
+        Self { share, tokens: TOKENS_MAX }
     }
 
     /// Earns the share of one request.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.share).min(SAVED_MAX);
+    pub fn record_request(&mut self) {
+        self.tokens = (self.tokens + self.share).min(TOKENS_MAX);
     }
 
     /// Whether one more attempt is left.
     #[must_use]
-    pub const fn left(&self) -> bool {
+    pub const fn has_left(&self) -> bool {
         self.tokens >= 1.0
     }
 
     /// Takes one attempt out if one is left.
-    pub fn spend(&mut self) -> bool {
-        let left = self.left();
+    pub fn try_spend(&mut self) -> bool {
+        let left = self.has_left();
         if left {
             self.tokens -= 1.0;
         }
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -1,8 +1,8 @@
 //! Which backend server gets the next request.
 
-use super::Reach;
 use super::ServerLoad;
-use super::server_load::LATENCY_LIFE_US;
+use super::ServerScope;
+use super::server_load::LATENCY_AGE_MAX_US;
 
 /// Added to the load of a stalled server, so that it is taken only when no other has a slot.
 const STALL_PENALTY: f32 = 10.0;
@@ -10,12 +10,12 @@
 const LATENCY_WEIGHT: f32 = 0.25;
 const LATENCY_RATIO_MAX: f32 = 4.0;
 /// An average up to so many medians is usual where service times are spread.
-const USUAL_RATIO: f32 = 2.0;
+const NORMAL_LATENCY_RATIO: f32 = 2.0;
 
 /// How much a server's slots are taken, raised by signs of slowness; lower is better.
 fn score(load: &ServerLoad, typical_us: f32, now_us: u64) -> f32 {
     #[expect(clippy::cast_precision_loss, reason = "counts are at most 10,000")]
-    let taken = load.load(now_us) as f32 / load.limit_now(now_us) as f32;
+    let taken = load.load(now_us) as f32 / load.current_limit(now_us) as f32;
     let stall = if load.stalled(typical_us, now_us) { STALL_PENALTY } else { 0.0 };
     taken + stall + LATENCY_WEIGHT * slowness(load, typical_us, now_us)
 }
@@ -27,9 +27,10 @@
     if typical_us <= 0.0 {
         return 0.0;
     }
-    let excess = (load.latency_us() / typical_us - USUAL_RATIO).clamp(0.0, LATENCY_RATIO_MAX);
+    let excess =
+        (load.latency_us() / typical_us - NORMAL_LATENCY_RATIO).clamp(0.0, LATENCY_RATIO_MAX);
     #[expect(clippy::cast_precision_loss, reason = "an age")]
-    let age = load.latency_age_us(now_us) as f32 / LATENCY_LIFE_US as f32;
+    let age = load.latency_age_us(now_us) as f32 / LATENCY_AGE_MAX_US as f32;
     excess * (1.0 - age).max(0.0)
 }
 
@@ -43,7 +44,7 @@
 #[must_use]
 pub fn choose(
     loads: &[ServerLoad],
-    reach: Reach,
+    reach: ServerScope,
     avoid: &[usize],
     typical_us: f32,
     start: usize,
@@ -58,7 +59,7 @@
             break;
         }
         let load = &loads[index];
-        if !load.free(reach, now_us) || avoid.contains(&index) {
+        if !load.has_free_slot(reach, now_us) || avoid.contains(&index) {
             continue;
         }
         let score = score(load, typical_us, now_us);
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -13,10 +13,10 @@
     pub not_run: bool,
     /// Attempts made so far, this one included.
     pub attempts: u32,
-    pub left_us: u64,
-    pub typical_us: f32,
+    pub remaining_us: u64,
+    pub median_service_us: f32,
     /// Whether the retry budget has a token.
-    pub budget_left: bool,
+    pub has_budget_left: bool,
 }
 
 /// Whether to try once more on another server.
@@ -27,6 +27,6 @@
 pub fn may_retry(view: &RetryView) -> bool {
     let safe = view.idempotent || view.not_run;
     #[expect(clippy::cast_precision_loss, reason = "a bound on time left")]
-    let in_time = view.left_us as f32 > view.typical_us;
-    safe && in_time && view.attempts < ATTEMPTS_MAX && view.budget_left
+    let in_time = view.remaining_us as f32 > view.median_service_us;
+    safe && in_time && view.attempts < ATTEMPTS_MAX && view.has_budget_left
 }
--- a/src/decide/slot_pool.rs
+++ b/src/decide/slot_pool.rs
@@ -4,13 +4,13 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use super::Finish;
+use super::AttemptOutcome;
 use super::HEDGE_SHARE;
 use super::Quantile;
 use super::RETRY_SHARE;
 use super::RatioBudget;
-use super::Reach;
 use super::ServerLoad;
+use super::ServerScope;
 use super::choose;
 
 const MEDIAN: f32 = 0.5;
@@ -22,9 +22,9 @@
 pub struct SlotPool {
     loads: Vec<ServerLoad>,
     median: Quantile,
-    high: Quantile,
-    pub retries: RatioBudget,
-    pub hedges: RatioBudget,
+    high_quantile: Quantile,
+    pub retry_budget: RatioBudget,
+    pub hedge_budget: RatioBudget,
     rng: Pcg64Mcg,
 }
 
@@ -35,9 +35,9 @@
         Self {
             loads,
             median: Quantile::new(MEDIAN),
-            high: Quantile::new(HIGH_QUANTILE),
-            retries: RatioBudget::new(RETRY_SHARE),
-            hedges: RatioBudget::new(HEDGE_SHARE),
+            high_quantile: Quantile::new(HIGH_QUANTILE),
+            retry_budget: RatioBudget::new(RETRY_SHARE),
+            hedge_budget: RatioBudget::new(HEDGE_SHARE),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
@@ -55,58 +55,63 @@
 
     /// Median service time in microseconds; 0 before the first answer.
     #[must_use]
-    pub const fn typical_us(&self) -> f32 {
+    pub const fn median_service_us(&self) -> f32 {
         self.median.value()
     }
 
     /// The quantile after which a hedge is worth its cost, in microseconds.
     #[must_use]
-    pub const fn high_us(&self) -> f32 {
-        self.high.value()
+    pub const fn high_quantile_us(&self) -> f32 {
+        self.high_quantile.value()
     }
 
     /// Takes a slot of the best free server that is not in `avoid`.
-    pub fn take(&mut self, reach: Reach, avoid: &[usize], now_us: u64) -> Option<usize> {
+    pub fn acquire_slot(
+        &mut self,
+        reach: ServerScope,
+        avoid: &[usize],
+        now_us: u64,
+    ) -> Option<usize> {
         let start = self.rng.random_range(0..self.loads.len().max(1));
-        let index = choose(&self.loads, reach, avoid, self.typical_us(), start, now_us)?;
-        self.loads[index].start(now_us);
+        let index = choose(&self.loads, reach, avoid, self.median_service_us(), start, now_us)?;
+        self.loads[index].record_start(now_us);
         Some(index)
     }
 
     /// Gives the slot of a finished attempt back.
-    pub fn finish(&mut self, index: usize, finish: Finish, now_us: u64) {
+    pub fn release_slot(&mut self, index: usize, finish: AttemptOutcome, now_us: u64) {
         let may_eject = self.may_eject(now_us);
-        if let Finish::Answered { latency_us } = finish {
+        if let AttemptOutcome::Answered { latency_us } = finish {
             #[expect(clippy::cast_precision_loss, reason = "an estimate of a quantile")]
             let sample = latency_us as f32;
             self.median.record(sample);
-            self.high.record(sample);
+            self.high_quantile.record(sample);
         }
         if let Some(load) = self.loads.get_mut(index) {
-            load.finish(finish, may_eject, now_us);
+            load.record_outcome(finish, may_eject, now_us);
         }
     }
 
     /// Ejection stops at half of the servers: when most fail, the fault is hardly theirs, and
     /// sending everything to the few left would bring those down too.
     fn may_eject(&self, now_us: u64) -> bool {
-        let ejected = self.loads.iter().filter(|load| load.ejected(now_us)).count();
+        let ejected = self.loads.iter().filter(|load| load.is_ejected(now_us)).count();
         (ejected + 1) * 2 <= self.loads.len()
     }
 
     /// Slots of the servers this instance may use now, free or not, but for those of `avoid`.
     #[must_use]
-    pub fn slots(&self, reach: Reach, avoid: &[usize], now_us: u64) -> u32 {
+    pub fn usable_slots(&self, reach: ServerScope, avoid: &[usize], now_us: u64) -> u32 {
         let loads = self.loads.iter().enumerate();
-        let reached = loads.filter(|(at, load)| load.reached(reach) && !avoid.contains(at));
+        let reached = loads.filter(|(at, load)| load.in_scope(reach) && !avoid.contains(at));
         let usable = reached.filter(|(_, load)| load.usable(now_us));
-        usable.map(|(_, load)| load.limit_now(now_us)).sum()
+        usable.map(|(_, load)| load.current_limit(now_us)).sum()
     }
 
     /// Slots free now.
     #[must_use]
-    pub fn free(&self, now_us: u64) -> u32 {
-        let free = self.loads.iter().filter(|load| load.free(Reach::Kept, now_us));
-        free.map(|load| load.limit_now(now_us) - load.load(now_us)).sum()
+    pub fn free_slots(&self, now_us: u64) -> u32 {
+        let free = self.loads.iter().filter(|load| load.has_free_slot(ServerScope::Own, now_us));
+        free.map(|load| load.current_limit(now_us) - load.load(now_us)).sum()
     }
 }
--- a/src/evacuation/evacuations.rs
+++ b/src/evacuation/evacuations.rs
@@ -13,7 +13,7 @@
 impl Evacuations {
     /// Evacuates a zone; `false` if it was already.
     pub fn begin(&mut self, zone: &str, now_us: u64) -> bool {
-        if self.covers(zone) {
+        if self.contains(zone) {
             return false;
         }
         self.since_us.insert(zone.into(), now_us);
@@ -27,7 +27,7 @@
 
     /// Whether a zone is evacuated.
     #[must_use]
-    pub fn covers(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.since_us.contains_key(zone)
     }
 
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -19,13 +19,13 @@
 use super::server::Server;
 use super::server_starts::ServerStarts;
 use super::servers_in_use::ServersInUse;
-use crate::balance::Ask;
-use crate::balance::Choice;
 use crate::balance::Refusal;
-use crate::balance::RepeatAllowance;
-use crate::balance::SendEnd;
-use crate::balance::ServerTrack;
+use crate::balance::RequestSpec;
+use crate::balance::RetryAllowance;
+use crate::balance::SendOutcome;
+use crate::balance::ServerChoice;
 use crate::balance::ServicePool;
+use crate::balance::TrackedServer;
 use crate::clock::now_us;
 use crate::cold::ColdRule;
 use crate::evacuation::Evacuations;
@@ -65,7 +65,7 @@
 impl DispatcherState {
     /// Services for which requests wait.
     pub(super) fn services_with_queue(&self) -> Vec<Arc<str>> {
-        let waited_for = self.pools.iter().filter(|(_, pool)| pool.waiting() > 0);
+        let waited_for = self.pools.iter().filter(|(_, pool)| pool.queue_len() > 0);
         waited_for.map(|(service, _)| Arc::clone(service)).collect()
     }
 }
@@ -75,7 +75,7 @@
 pub struct Dispatcher {
     zone: Arc<str>,
     /// Of all instances together.
-    pub(super) retry_allowance: RepeatAllowance,
+    pub(super) retry_allowance: RetryAllowance,
     /// Instances that divide the slack of the repeat budget.
     pub(super) budget_sharers: Arc<AtomicUsize>,
     next_ticket: Arc<AtomicU64>,
@@ -101,7 +101,7 @@
         if state.waiters.remove(&self.ticket).is_some()
             && let Some(pool) = state.pools.get_mut(self.service)
         {
-            pool.cancel(self.ticket);
+            pool.cancel_queued(self.ticket);
         }
     }
 }
@@ -113,7 +113,7 @@
 impl Dispatcher {
     /// A dispatcher of an instance in `zone` that knows no server yet.
     #[must_use]
-    pub fn new(zone: &str, retry_allowance: RepeatAllowance) -> Self {
+    pub fn new(zone: &str, retry_allowance: RetryAllowance) -> Self {
         Self {
             zone: zone.into(),
             retry_allowance,
@@ -133,9 +133,9 @@
     fn grant_slot(
         &self,
         state: &mut DispatcherState,
-        choice: Choice,
+        choice: ServerChoice,
         ticket: u64,
-        ask: Ask,
+        ask: RequestSpec,
     ) -> Option<Grant> {
         let server = Arc::clone(state.servers.get(&choice.server)?);
         state.in_use.record(&server);
@@ -143,7 +143,7 @@
         if self.granted_slots.fetch_add(1, Ordering::AcqRel) == 0 {
             self.became_busy.notify_waiters();
         }
-        Some(Grant { server, choice, ticket, spec: ask, end: SendEnd::Cancelled, dispatcher })
+        Some(Grant { server, choice, ticket, spec: ask, end: SendOutcome::Cancelled, dispatcher })
     }
 
     /// All servers known now.
@@ -165,21 +165,21 @@
 
     /// The usual time of such a request, in milliseconds.
     #[must_use]
-    pub fn typical_ms(&self, service: &str, ask: &Ask) -> f64 {
+    pub fn typical_ms(&self, service: &str, ask: &RequestSpec) -> f64 {
         let state = self.state.lock();
-        state.pools.get(service).map_or(ask.aim_ms, |pool| pool.typical_ms(ask))
+        state.pools.get(service).map_or(ask.target_ms, |pool| pool.typical_ms(ask))
     }
 
     /// A slot for a second send, only if one is free that nobody waits for.
     #[must_use]
-    pub fn try_acquire_spare(&self, service: &str, ask: &Ask) -> Option<Grant> {
+    pub fn try_acquire_spare(&self, service: &str, ask: &RequestSpec) -> Option<Grant> {
         let mut state = self.state.lock();
         let pool = state.pools.get_mut(service)?;
-        if pool.waiting() > 0 {
+        if pool.queue_len() > 0 {
             return None;
         }
         let ticket = self.ticket();
-        let choice = pool.take(ticket, ask, &self.zone, now_us(), &mut random_unit)?;
+        let choice = pool.acquire_slot(ticket, ask, &self.zone, now_us(), &mut random_unit)?;
         self.grant_slot(&mut state, choice, ticket, ask.clone())
     }
 
@@ -187,16 +187,16 @@
     ///
     /// # Errors
     /// When none would come in time.
-    pub async fn acquire(&self, service: &Arc<str>, ask: Ask) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, service: &Arc<str>, ask: RequestSpec) -> Result<Grant, Refusal> {
         let ticket = self.ticket();
         let mut undelivered = Vec::new();
         let offer = {
             let mut state = self.state.lock();
             state.forget_silent_peers(now_us());
             let pool = state.pools.entry(Arc::clone(service)).or_default();
-            if pool.waiting() == 0
+            if pool.queue_len() == 0
                 && let Some(choice) =
-                    pool.take(ticket, &ask, &self.zone, now_us(), &mut random_unit)
+                    pool.acquire_slot(ticket, &ask, &self.zone, now_us(), &mut random_unit)
                 && let Some(grant) = self.grant_slot(&mut state, choice, ticket, ask.clone())
             {
                 return Ok(grant);
@@ -225,17 +225,17 @@
         pool.map_or(nothing, |pool| Refusal { retry_after_ms, ..pool.refusal(now_us()) })
     }
 
-    pub(super) fn finish(&self, server: &Server, ticket: u64, ask: &Ask, end: SendEnd) {
+    pub(super) fn finish(&self, server: &Server, ticket: u64, ask: &RequestSpec, end: SendOutcome) {
         self.granted_slots.fetch_sub(1, Ordering::AcqRel);
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
         let ServerRow { id, service, slots, .. } = &server.row;
         if let Some(pool) = state.pools.get_mut(service) {
-            let before = pool.limit().last_slot_pays(*slots);
-            pool.finish(id, ticket, ask, end, now_us());
-            let after = pool.limit().last_slot_pays(*slots);
+            let before = pool.concurrency_limit().last_slot_pays(*slots);
+            pool.finish_request(id, ticket, ask, end, now_us());
+            let after = pool.concurrency_limit().last_slot_pays(*slots);
             if before != after {
-                let (full, below) = pool.limit().means();
+                let (full, below) = pool.concurrency_limit().mean_ratios();
                 info!(
                     event = "limit-changed", service = &**service, slots = slots,
                     last_slot_pays = after, took_when_full = full, took_below = below;
@@ -250,7 +250,7 @@
     fn with_tracked_server<T>(
         &self,
         server: &Server,
-        work: impl FnOnce(&mut ServerTrack) -> T,
+        work: impl FnOnce(&mut TrackedServer) -> T,
     ) -> Option<T> {
         self.state.lock().tracked_server(server).map(work)
     }
@@ -258,8 +258,8 @@
     /// Takes in the answer to a health check, and for how long the server says that it is cold.
     pub fn record_health_check(&self, server: &Server, well: bool, cold_left_ms: Option<u64>) {
         self.with_tracked_server(server, |track| {
-            track.checked(well, now_us());
-            track.hear_cold(cold_left_ms, now_us());
+            track.record_health_check(well, now_us());
+            track.record_warmup_left(cold_left_ms, now_us());
         });
     }
 
@@ -267,14 +267,14 @@
     #[must_use]
     pub fn service_reports_load(&self, service: &str) -> bool {
         let state = self.state.lock();
-        let told = |track: &ServerTrack| track.pace_age_us(now_us()).is_some();
+        let told = |track: &TrackedServer| track.slowdown_age_us(now_us()).is_some();
         state.pools.get(service).is_some_and(|pool| pool.servers.iter().any(told))
     }
 
     /// Whether a server ever told its load.
     #[must_use]
     pub fn reports_load(&self, server: &Server) -> bool {
-        self.with_tracked_server(server, |track| track.pace_age_us(now_us()).is_some())
+        self.with_tracked_server(server, |track| track.slowdown_age_us(now_us()).is_some())
             .unwrap_or(false)
     }
 
@@ -282,13 +282,13 @@
     #[must_use]
     pub fn reported_load_since(&self, server: &Server, since_us: u64) -> bool {
         let age_us =
-            self.with_tracked_server(server, |track| track.pace_age_us(now_us())).flatten();
+            self.with_tracked_server(server, |track| track.slowdown_age_us(now_us())).flatten();
         age_us.is_some_and(|age_us| now_us().saturating_sub(age_us) > since_us)
     }
 
     /// Takes note that a server did not answer a health check.
     pub fn record_check_timeout(&self, server: &Server) {
-        self.with_tracked_server(server, |track| track.unheard(now_us()));
+        self.with_tracked_server(server, |track| track.record_check_timeout(now_us()));
     }
 
     /// Whether nothing of this instance runs anywhere.
@@ -310,16 +310,18 @@
     /// Whether a server is no place any more for a request that was given a slot of it, expecting an
     /// answer after `expected_ms`; see [`ServicePool::worse`].
     #[must_use]
-    pub fn is_worse(&self, server: &Server, ask: &Ask, expected_ms: f64) -> bool {
+    pub fn is_worse(&self, server: &Server, ask: &RequestSpec, expected_ms: f64) -> bool {
         let state = self.state.lock();
         let pool = state.pools.get(&server.row.service);
-        pool.is_some_and(|pool| pool.worse(&server.row.id, server.key, ask, expected_ms, now_us()))
+        pool.is_some_and(|pool| {
+            pool.is_worse(&server.row.id, server.key, ask, expected_ms, now_us())
+        })
     }
 
     /// Whether requests wait for slots.
     #[must_use]
     pub fn has_queue(&self) -> bool {
-        self.state.lock().pools.values().any(|pool| pool.waiting() > 0)
+        self.state.lock().pools.values().any(|pool| pool.queue_len() > 0)
     }
 
     /// Offers free slots to those that wait. Grants that cannot be delivered are left in
@@ -335,12 +337,12 @@
                 return;
             };
             let Some((waiting, choice)) =
-                pool.serve_waiting(&self.zone, now_us(), &mut random_unit)
+                pool.dispatch_queued(&self.zone, now_us(), &mut random_unit)
             else {
                 return;
             };
             let sender = state.waiters.remove(&waiting.ticket);
-            let Some(grant) = self.grant_slot(state, choice, waiting.ticket, waiting.ask) else {
+            let Some(grant) = self.grant_slot(state, choice, waiting.ticket, waiting.spec) else {
                 continue;
             };
             if let Some(Err(Ok(grant))) = sender.map(|sender| sender.send(Ok(Box::new(grant)))) {
@@ -366,7 +368,7 @@
             return;
         };
         let refusal = pool.refusal(now_us());
-        for ticket in pool.expire(now_us()) {
+        for ticket in pool.expire_queued(now_us()) {
             if let Some(sender) = state.waiters.remove(&ticket) {
                 // A caller that left meanwhile needs no refusal.
                 let _ = sender.send(Err(refusal));
--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -8,7 +8,7 @@
 use super::dispatcher::Dispatcher;
 use super::server::Server;
 use super::server_notice::ServerNotice;
-use crate::balance::ServerTrack;
+use crate::balance::TrackedServer;
 use crate::clock::now_us;
 use crate::errors::Code;
 use crate::limit::RateLimit;
@@ -23,7 +23,7 @@
             return;
         };
         if let Some(load) = notice.load {
-            track.report(load, now_us());
+            track.record_load(load, now_us());
         }
         match notice.rate_limit {
             Ok(limit) => record_rate_limit(track, heard, limit),
@@ -44,45 +44,45 @@
     #[must_use]
     pub fn in_cooldown(&self, server: &Server) -> bool {
         let mut state = self.state.lock();
-        state.tracked_server(server).is_some_and(|track| track.bounds.rests(now_us()))
+        state.tracked_server(server).is_some_and(|track| track.start_limits.in_cooldown(now_us()))
     }
 }
 
-fn record_rate_limit(track: &mut ServerTrack, heard: Heard, limit: Option<RateLimit>) {
-    let before = track.bounds.limit.limit();
-    if !track.bounds.limit.hear(heard, limit, now_us()) {
+fn record_rate_limit(track: &mut TrackedServer, heard: Heard, limit: Option<RateLimit>) {
+    let before = track.start_limits.rate_limit.current();
+    if !track.start_limits.rate_limit.record(heard, limit, now_us()) {
         return;
     }
     info!(
         event = "server-rate-limit", server = &*track.row.id, service = &*track.row.service,
         limit_per_s = limit.map(RateLimit::per_s), before_per_s = before.map(RateLimit::per_s),
-        heard = heard.name(), running = track.own_requests();
+        heard = heard.name(), running = track.own_in_flight();
         ""
     );
 }
 
-fn record_draining(track: &mut ServerTrack, heard: Heard) {
-    if !track.hear_leaving() {
+fn record_draining(track: &mut TrackedServer, heard: Heard) {
+    if !track.mark_draining() {
         return;
     }
     info!(
         event = "server-leaving", server = &*track.row.id, service = &*track.row.service,
         listed_as_draining = track.row.state == ServerState::Draining, heard = heard.name(),
-        running = track.own_requests();
+        running = track.own_in_flight();
         ""
     );
 }
 
-fn record_cooldown(track: &mut ServerTrack, heard: Heard, rest: Duration) {
-    track.bounds.rest(rest, now_us());
+fn record_cooldown(track: &mut TrackedServer, heard: Heard, rest: Duration) {
+    track.start_limits.start_cooldown(rest, now_us());
     info!(
         event = "server-rests", server = &*track.row.id, service = &*track.row.service,
-        rest_ms = rest.as_millis(), heard = heard.name(), running = track.own_requests();
+        rest_ms = rest.as_millis(), heard = heard.name(), running = track.own_in_flight();
         "it turned a request away and asks for rest"
     );
 }
 
-fn warn_invalid_retry_after(track: &ServerTrack, heard: Heard) {
+fn warn_invalid_retry_after(track: &TrackedServer, heard: Heard) {
     warn!(
         event = "server-rest-unreadable", code = Code::ServerRestUnreadable.number(),
         server = &*track.row.id, service = &*track.row.service, heard = heard.name();
@@ -91,8 +91,8 @@
 }
 
 /// What the server said before stays in force.
-fn record_invalid_rate_limit(track: &mut ServerTrack, heard: Heard) {
-    if !track.bounds.limit.hear_unreadable() {
+fn record_invalid_rate_limit(track: &mut TrackedServer, heard: Heard) {
+    if !track.start_limits.rate_limit.record_unreadable() {
         return;
     }
     warn!(
--- a/src/gateway/dispatcher_peers.rs
+++ b/src/gateway/dispatcher_peers.rs
@@ -46,7 +46,7 @@
     pub(super) fn forget_silent_peers(&mut self, now_us: u64) {
         for peer in self.peers.take_silent(now_us) {
             for track in self.pools.values_mut().flat_map(|pool| &mut pool.servers) {
-                track.forget_peer(peer, now_us);
+                track.remove_peer(peer, now_us);
             }
         }
     }
@@ -57,7 +57,7 @@
             return;
         };
         if let Some(track) = self.tracked_server(&server) {
-            track.hear_peer(from, row, now_us);
+            track.record_peer_load(from, row, now_us);
         }
     }
 }
@@ -71,7 +71,7 @@
         let now_us = now_us();
         let in_use: Vec<_> = state.in_use.servers().cloned().collect();
         let rows = in_use.iter().filter_map(|server| {
-            let (in_flight, pace_percent) = state.tracked_server(server)?.told(now_us);
+            let (in_flight, pace_percent) = state.tracked_server(server)?.advertised_load(now_us);
             Some(ServerLoadRow { server: server.key, in_flight, pace_percent })
         });
         rows.filter(|row| row.in_flight > 0 || row.pace_percent > 0).collect()
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -9,8 +9,8 @@
 use super::dispatcher::DispatcherState;
 use super::grant::Grant;
 use super::server::Server;
-use crate::balance::NearPart;
-use crate::balance::ServerTrack;
+use crate::balance::ServerSubset;
+use crate::balance::TrackedServer;
 use crate::clock::now_us;
 use crate::model::ServerRow;
 
@@ -19,8 +19,8 @@
 
 impl DispatcherState {
     /// What is believed of one start of a server; `None` once a later one is known.
-    pub(super) fn tracked_server(&mut self, server: &Server) -> Option<&mut ServerTrack> {
-        let track = self.pools.get_mut(&server.row.service)?.server(&server.row.id)?;
+    pub(super) fn tracked_server(&mut self, server: &Server) -> Option<&mut TrackedServer> {
+        let track = self.pools.get_mut(&server.row.service)?.server_mut(&server.row.id)?;
         (track.key == server.key).then_some(track)
     }
 
@@ -47,7 +47,7 @@
         if let Some(server) = self.servers.get(id).cloned()
             && let Some(track) = self.tracked_server(&server)
         {
-            track.supersede(superseded);
+            track.set_superseded(superseded);
         }
     }
 
@@ -70,12 +70,13 @@
         let now_us = now_us();
         let Self { pools, servers, by_key, starts, claims, .. } = self;
         for pool in pools.values_mut() {
-            pool.forget_unlisted(now_us);
+            pool.remove_unlisted(now_us);
         }
         let mut holders = Vec::new();
         servers.retain(|id, server| {
-            let kept =
-                pools.get_mut(&server.row.service).is_some_and(|pool| pool.server(id).is_some());
+            let kept = pools
+                .get_mut(&server.row.service)
+                .is_some_and(|pool| pool.server_mut(id).is_some());
             if !kept {
                 starts.mark_gone(id, now_us);
                 by_key.remove(&server.key);
@@ -85,7 +86,7 @@
         });
         starts.remove_expired(now_us);
         let mut tracks = pools.values().flat_map(|pool| &pool.servers);
-        self.any_unlisted = tracks.any(ServerTrack::leaves);
+        self.any_unlisted = tracks.any(TrackedServer::is_unlisted);
         self.list_version += 1;
         for holder in holders {
             self.set_superseded(&holder, false);
@@ -103,7 +104,7 @@
         if before.row.service != row.service
             && let Some(pool) = self.pools.get_mut(&before.row.service)
         {
-            pool.forget(&row.id);
+            pool.remove_server(&row.id);
         }
     }
 }
@@ -141,18 +142,18 @@
         }
         state.list_version += 1;
         let service = Arc::clone(&row.service);
-        let evacuated = state.evacuations.covers(&row.zone);
+        let evacuated = state.evacuations.contains(&row.zone);
         let leaving = state.starts.is_draining(row);
         if state.pools.get(&service).is_none_or(|pool| pool.servers.is_empty()) {
             state.update_start_limits(&service);
         }
         let pool = state.pools.entry(Arc::clone(&service)).or_default();
-        let track = pool.list(row.clone(), now_us());
+        let track = pool.upsert_server(row.clone(), now_us());
         if evacuated {
             track.evacuate();
         }
         if leaving {
-            track.hear_leaving();
+            track.mark_draining();
         }
         state.claim_address(row);
         self.serve_waiting(state, &service, undelivered);
@@ -172,11 +173,11 @@
 
     /// The servers of this part, of each service those among which requests are given one first.
     #[must_use]
-    pub fn near_servers(&self, part: &NearPart) -> Vec<Arc<Server>> {
+    pub fn near_servers(&self, part: &ServerSubset) -> Vec<Arc<Server>> {
         let state = self.state.lock();
         let pools = state.pools.values();
         let near = pools.flat_map(|pool| {
-            part.kept(&pool.servers).into_iter().map(|place| &pool.servers[place].row.id)
+            part.select(&pool.servers).into_iter().map(|place| &pool.servers[place].row.id)
         });
         near.filter_map(|id| state.servers.get(id).cloned()).collect()
     }
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -8,9 +8,9 @@
 use super::ServiceConfig;
 use super::dispatcher::Dispatcher;
 use super::dispatcher::DispatcherState;
-use crate::balance::NearPart;
-use crate::balance::RepeatAllowance;
-use crate::balance::RepeatNeed;
+use crate::balance::RetryAllowance;
+use crate::balance::RetryNeed;
+use crate::balance::ServerSubset;
 use crate::clock::now_us;
 use crate::cold::ColdRule;
 use crate::starts::HomeShare;
@@ -30,7 +30,7 @@
     pub(super) fn update_start_limits(&mut self, service: &Arc<str>) {
         let rule = self.cold_policies.get(service).copied().unwrap_or_default();
         let pool = self.pools.entry(Arc::clone(service)).or_default();
-        pool.share_starts(rule, &self.home_set);
+        pool.set_start_limits(rule, &self.home_set);
     }
 
     fn update_all_start_limits(&mut self) {
@@ -46,7 +46,7 @@
     pub fn count_request(&self, service: &Arc<str>) {
         let mut state = self.state.lock();
         let pool = state.pools.entry(Arc::clone(service)).or_default();
-        pool.budget.request(&self.retry_allowance, now_us());
+        pool.retry_budget.record_request(&self.retry_allowance, now_us());
     }
 
     /// Divides the slack of the repeat budget among so many homes, and the slots of all servers if
@@ -62,9 +62,9 @@
     }
 
     /// Looks first at the servers of this part, as they are listed now.
-    pub fn set_subset(&self, part: Option<&NearPart>) {
+    pub fn set_subset(&self, part: Option<&ServerSubset>) {
         for pool in self.state.lock().pools.values_mut() {
-            pool.look_near(part);
+            pool.set_subset(part);
         }
     }
 
@@ -78,7 +78,7 @@
         for (service, pool) in pools.iter_mut() {
             // One is left for health checks.
             let for_requests = own_max(service).saturating_sub(1).max(1);
-            pool.own_requests_max = usize::try_from(for_requests).unwrap_or(usize::MAX);
+            pool.own_in_flight_max = usize::try_from(for_requests).unwrap_or(usize::MAX);
         }
         for server in servers.values() {
             server.conns.set_open_max(own_max(&server.row.service));
@@ -103,9 +103,9 @@
 
     /// What this instance may repeat.
     #[expect(clippy::cast_precision_loss, reason = "a few homes")]
-    fn own_retry_allowance(&self) -> RepeatAllowance {
+    fn own_retry_allowance(&self) -> RetryAllowance {
         let sharers = self.budget_sharers.load(Ordering::Acquire) as f64;
-        RepeatAllowance { slack: self.retry_allowance.slack / sharers, ..self.retry_allowance }
+        RetryAllowance { slack: self.retry_allowance.slack / sharers, ..self.retry_allowance }
     }
 
     /// Slots of all servers of these services together. An entry may name a service that nobody
@@ -115,16 +115,16 @@
         let state = self.state.lock();
         let declared = state.pools.iter().filter(|(service, _)| services.contains_key(*service));
         let tracks = declared.flat_map(|(_, pool)| &pool.servers);
-        let tracks = tracks.filter(|track| track.holds_address());
+        let tracks = tracks.filter(|track| track.owns_address());
         tracks.map(|track| track.row.slots).sum()
     }
 
     /// Takes one repeat out of the budget of the service.
     #[must_use]
-    pub fn spend_retry(&self, service: &str, need: RepeatNeed) -> bool {
+    pub fn spend_retry(&self, service: &str, need: RetryNeed) -> bool {
         let mut state = self.state.lock();
         let allowance = self.own_retry_allowance();
         let pool = state.pools.get_mut(service);
-        pool.is_some_and(|pool| pool.budget.spend(&allowance, need, now_us()))
+        pool.is_some_and(|pool| pool.retry_budget.try_spend(&allowance, need, now_us()))
     }
 }
--- a/src/gateway/dispatcher_zones.rs
+++ b/src/gateway/dispatcher_zones.rs
@@ -29,7 +29,7 @@
         for track in tracks.filter(|track| *track.row.zone == *zone) {
             track.evacuate();
             change.servers += 1;
-            change.running += track.own_requests();
+            change.running += track.own_in_flight();
         }
         Some(change)
     }
@@ -43,7 +43,7 @@
         let since_us = state.evacuations.end(zone)?;
         let mut change = ZoneChange::default();
         for pool in state.pools.values_mut() {
-            change.servers += pool.readmit(zone, now_us);
+            change.servers += pool.readmit_zone(zone, now_us);
         }
         change.lasted_us = now_us.saturating_sub(since_us);
         for service in state.services_with_queue() {
@@ -62,6 +62,6 @@
     /// Whether a zone is evacuated.
     #[must_use]
     pub fn is_evacuated(&self, zone: &str) -> bool {
-        self.state.lock().evacuations.covers(zone)
+        self.state.lock().evacuations.contains(zone)
     }
 }
--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -14,8 +14,8 @@
 use super::QuotaToken;
 use super::Route;
 use super::Server;
-use crate::balance::Ask;
-use crate::balance::RepeatNeed;
+use crate::balance::RequestSpec;
+use crate::balance::RetryNeed;
 use crate::clock::now_us;
 use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
@@ -64,8 +64,8 @@
     /// Who repeats it if this instance does not. Callers come back once with what was refused, or
     /// with what is idempotent; the time spent before tells that this one did.
     #[must_use]
-    pub const fn retry_need(&self) -> RepeatNeed {
-        if self.spent_us == 0 { RepeatNeed::CallerCanReturn } else { RepeatNeed::LastChance }
+    pub const fn retry_need(&self) -> RetryNeed {
+        if self.spent_us == 0 { RetryNeed::CallerCanRetry } else { RetryNeed::LastChance }
     }
 
     /// The id as text, for logs.
@@ -88,18 +88,18 @@
 
     /// What it needs of a backend server other than those in `tried`.
     #[must_use]
-    pub fn spec(&self, tried: &[Arc<str>]) -> Ask {
+    pub fn spec(&self, tried: &[Arc<str>]) -> RequestSpec {
         #[expect(clippy::cast_precision_loss, reason = "an aim of some seconds")]
         let aim_ms = self.route.aim_ms as f64;
-        Ask {
+        RequestSpec {
             route: self.route.name.as_str().into(),
             workspace: self.caller.as_ref().map(|caller| Arc::clone(&caller.workspace.name)),
             priority: self.priority(),
-            aim_ms,
+            target_ms: aim_ms,
             arrived_us: self.arrived_us,
-            spent_us: self.spent_us,
+            spent_before_us: self.spent_us,
             deadline_us: self.deadline_us,
-            avoid: tried.iter().cloned().collect(),
+            tried_servers: tried.iter().cloned().collect(),
         }
     }
 
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -115,7 +115,7 @@
             event = "no-slot", id = request.id_text(), service = &*request.service,
             no_server = refusal.no_server, retry_after_ms = refusal.retry_after_ms,
             waiting = refusal.waiting, slots = refusal.slots,
-            in_need = refusal.in_need, resting = refusal.resting,
+            in_need = refusal.rate_limited, resting = refusal.in_cooldown,
             sends = tried.sends, may_have_run = tried.may_have_run;
             "no slot in time"
         );
@@ -298,8 +298,8 @@
                 event = "send", id = request.id_text(), service = &*request.service,
                 server = &*server.row.id, send = sends, took_ms = took_ms, outcome = result.name(),
                 running = choice.running, expected_ms = choice.expected_ms.round(),
-                pace_age_us = choice.pace_age_us, cold = choice.cold,
-                limit_per_s = choice.limit.map(RateLimit::per_s), limit_age_us = choice.limit_age_us;
+                pace_age_us = choice.slowdown_age_us, cold = choice.cold,
+                limit_per_s = choice.rate_limit.map(RateLimit::per_s), limit_age_us = choice.rate_limit_age_us;
                 "send ended"
             );
             if let SendResult::Refused { status: StatusCode::MISDIRECTED_REQUEST } = result {
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -5,9 +5,9 @@
 use super::Dispatcher;
 use super::server::Server;
 use super::server_notice::ServerNotice;
-use crate::balance::Ask;
-use crate::balance::Choice;
-use crate::balance::SendEnd;
+use crate::balance::RequestSpec;
+use crate::balance::SendOutcome;
+use crate::balance::ServerChoice;
 use crate::model::Heard;
 
 /// A slot of a backend server, given back when it is dropped.
@@ -15,16 +15,16 @@
 pub struct Grant {
     pub server: Arc<Server>,
     /// What was believed of the server when it was chosen.
-    pub choice: Choice,
+    pub choice: ServerChoice,
     pub(super) ticket: u64,
-    pub(super) spec: Ask,
-    pub(super) end: SendEnd,
+    pub(super) spec: RequestSpec,
+    pub(super) end: SendOutcome,
     pub(super) dispatcher: Dispatcher,
 }
 
 impl Grant {
     /// Takes note of how the send ended; dropped without, it counts as cancelled.
-    pub fn end(mut self, end: SendEnd) {
+    pub fn end(mut self, end: SendOutcome) {
         self.end = end;
     }
 
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -11,7 +11,7 @@
 use super::homes::all_homes;
 use super::homes::place_among_homes;
 use super::zone_sight::ZoneSight;
-use crate::balance::NearPart;
+use crate::balance::ServerSubset;
 use crate::board::Blackboard;
 use crate::clock::now_us;
 use crate::member::MemberRow;
@@ -42,9 +42,9 @@
 }
 
 /// The servers that this instance chooses among first, as one of the homes of its zone.
-pub(super) fn near_part(board: &Blackboard) -> Option<NearPart> {
+pub(super) fn near_part(board: &Blackboard) -> Option<ServerSubset> {
     let (place, homes) = place_among_homes(board, HomesPlan::of(board))?;
-    Some(NearPart { zone: board.settings.instance.zone.as_str().into(), place, homes })
+    Some(ServerSubset { zone: board.settings.instance.zone.as_str().into(), index: place, homes })
 }
 
 /// Keeps the plan of homes, and this instance's parts, up to date.
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -11,7 +11,7 @@
 use super::health_check::check_health;
 use super::home_planner::near_part;
 use super::server::Server;
-use crate::balance::NearPart;
+use crate::balance::ServerSubset;
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::conf::GatewaySettings;
@@ -45,12 +45,12 @@
 #[derive(Debug, Default)]
 struct OwnServers {
     servers: Vec<Arc<Server>>,
-    part: Option<NearPart>,
+    part: Option<ServerSubset>,
     list_version: u64,
 }
 
 impl OwnServers {
-    fn refresh(&mut self, dispatcher: &Dispatcher, part: NearPart) {
+    fn refresh(&mut self, dispatcher: &Dispatcher, part: ServerSubset) {
         let list_version = dispatcher.list_version();
         if self.part.as_ref() == Some(&part) && self.list_version == list_version {
             return;
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -25,7 +25,7 @@
 use super::server_conn::ResponseMatcher;
 use super::server_conn::ServerConn;
 use super::server_notice::ServerNotice;
-use crate::balance::SendEnd;
+use crate::balance::SendOutcome;
 use crate::quarantine::AdmittedSend;
 use crate::quarantine::Denial;
 use crate::quarantine::PendingSend;
@@ -98,18 +98,18 @@
         matches!(self, Self::Lost(_) | Self::TimedOut)
     }
 
-    const fn send_end(&self) -> SendEnd {
+    const fn send_end(&self) -> SendOutcome {
         match self {
             Self::Answered(answer) => {
                 let failed = answer.status.as_u16() >= 500;
-                if failed { SendEnd::Failed } else { SendEnd::Answered }
+                if failed { SendOutcome::Failed } else { SendOutcome::Answered }
             }
-            Self::Unfit { .. } | Self::Denied(_) => SendEnd::Unsent,
-            Self::Refused { .. } => SendEnd::Refused,
-            Self::UnprovedRefusal { .. } => SendEnd::Failed,
-            Self::NotSent => SendEnd::Unreachable,
-            Self::Lost(_) => SendEnd::Broken,
-            Self::TimedOut => SendEnd::TimedOut,
+            Self::Unfit { .. } | Self::Denied(_) => SendOutcome::Unsent,
+            Self::Refused { .. } => SendOutcome::Refused,
+            Self::UnprovedRefusal { .. } => SendOutcome::Failed,
+            Self::NotSent => SendOutcome::Unreachable,
+            Self::Lost(_) => SendOutcome::Broken,
+            Self::TimedOut => SendOutcome::TimedOut,
         }
     }
 }
@@ -154,7 +154,7 @@
                 return finish_send(grant, SendResult::Unfit { silent: false });
             }
             Err(_) => {
-                grant.end(SendEnd::Unreachable);
+                grant.end(SendOutcome::Unreachable);
                 return SendResult::NotSent;
             }
         };
@@ -183,7 +183,7 @@
     }
 
     fn pace_is_stale(&self, grant: &Grant) -> bool {
-        match grant.choice.pace_age_us {
+        match grant.choice.slowdown_age_us {
             Some(age_us) => age_us > LOAD_FRESH_US,
             None => self.dispatcher.service_reports_load(&grant.server.row.service),
         }
@@ -352,7 +352,7 @@
             chunk = match conn.read_body(&mut decoder).await {
                 Ok(chunk) => chunk,
                 Err(error) => {
-                    grant.end(SendEnd::Broken);
+                    grant.end(SendOutcome::Broken);
                     drop(watch.record_truncated());
                     // Without a caller nobody needs to hear of it.
                     let _ = sender.send(Err(error)).await;
@@ -364,7 +364,7 @@
         if !head.status.is_server_error() {
             watch.record_response();
         }
-        grant.end(SendEnd::Answered);
+        grant.end(SendOutcome::Answered);
     });
     ReplyBody::Streamed { chunks, bytes, reader }
 }
--- a/src/gateway/server_notice.rs
+++ b/src/gateway/server_notice.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 
 use super::Dialect;
-use crate::limit::LimitUnreadable;
+use crate::limit::InvalidRateLimit;
 use crate::limit::RateLimit;
 use crate::model::LoadReport;
 
@@ -19,7 +19,7 @@
 pub struct ServerNotice {
     pub load: Option<LoadReport>,
     /// `None` where the server names no limit.
-    pub rate_limit: Result<Option<RateLimit>, LimitUnreadable>,
+    pub rate_limit: Result<Option<RateLimit>, InvalidRateLimit>,
     /// Whether it says that it leaves.
     pub draining: bool,
     /// For how long the server, which turned the request away, wants none of this instance; `None` where
@@ -38,7 +38,7 @@
         let fields = dialect.header_names();
         let load = text(headers, &fields.load).and_then(|text| dialect.parse_load(text));
         let limit = headers.get(&fields.rate_limit).map(|value| {
-            let header_text = value.to_str().map_err(|_| LimitUnreadable)?;
+            let header_text = value.to_str().map_err(|_| InvalidRateLimit)?;
             header_text.parse()
         });
         let turned_away = status == StatusCode::SERVICE_UNAVAILABLE;
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -17,7 +17,7 @@
 use super::mirror::Sink;
 use crate::board::Blackboard;
 use crate::board::Counter;
-use crate::cold::ColdBound;
+use crate::cold::ColdLimit;
 use crate::cold::ColdRule;
 use crate::errors::Code;
 use crate::model::ServerRow;
@@ -96,7 +96,7 @@
         let bounds = self.board.settings.gateway.as_ref();
         let (overage, slack) = bounds.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
         let rule = |service: &ServiceConfig| ColdRule {
-            bound: service.cold_per_s.map(|per_s| ColdBound { per_s, overage, slack }),
+            limit: service.cold_per_s.map(|per_s| ColdLimit { per_s, overage, slack }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
         };
         table.services.iter().map(|(name, service)| (Arc::clone(name), rule(service))).collect()
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -4,8 +4,8 @@
 mod named_limit;
 mod rate_limit;
 
-pub use named_limit::NamedLimit;
-pub use rate_limit::LIMIT_SPAN_S;
-pub use rate_limit::LIMIT_SPAN_US;
-pub use rate_limit::LimitUnreadable;
+pub use named_limit::AdvertisedLimit;
+pub use rate_limit::InvalidRateLimit;
+pub use rate_limit::LIMIT_WINDOW_S;
+pub use rate_limit::LIMIT_WINDOW_US;
 pub use rate_limit::RateLimit;
--- a/src/limit/named_limit.rs
+++ b/src/limit/named_limit.rs
@@ -5,46 +5,46 @@
 
 /// The last word of one server on its limit; a limit holds for as long as it is named.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     limit: Option<RateLimit>,
     /// When `limit` was heard last, or to end.
-    heard_us: u64,
+    reported_at_us: u64,
     /// Whether its health answers ever named a limit; of others, silence says nothing of it.
-    checks_tell: bool,
+    checks_report_limit: bool,
     /// Whether the last word could not be read.
     unreadable: bool,
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// Takes in a word, `None` where none was named; returns whether that changes the limit.
-    pub fn hear(&mut self, heard: Heard, limit: Option<RateLimit>, now_us: u64) -> bool {
+    pub fn record(&mut self, heard: Heard, limit: Option<RateLimit>, now_us: u64) -> bool {
         self.unreadable = false;
         if heard == Heard::Check {
-            self.checks_tell |= limit.is_some();
-            if !self.checks_tell {
+            self.checks_report_limit |= limit.is_some();
+            if !self.checks_report_limit {
                 return false;
             }
         }
-        self.heard_us = now_us;
+        self.reported_at_us = now_us;
         let changed = self.limit != limit;
         self.limit = limit;
         changed
     }
 
     /// Takes in a word that cannot be read; returns whether it is the first in a row.
-    pub const fn hear_unreadable(&mut self) -> bool {
+    pub const fn record_unreadable(&mut self) -> bool {
         !std::mem::replace(&mut self.unreadable, true)
     }
 
     /// The limit in force.
     #[must_use]
-    pub const fn limit(&self) -> Option<RateLimit> {
+    pub const fn current(&self) -> Option<RateLimit> {
         self.limit
     }
 
     /// Age of the last word on the limit in force, in microseconds; `None` without one.
     #[must_use]
     pub fn age_us(&self, now_us: u64) -> Option<u64> {
-        self.limit.map(|_| now_us.saturating_sub(self.heard_us))
+        self.limit.map(|_| now_us.saturating_sub(self.reported_at_us))
     }
 }
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -22,7 +22,7 @@
 use super::PooledConn;
 use super::Slot;
 use super::fields;
-use crate::decide::Finish;
+use crate::decide::AttemptOutcome;
 use crate::errors::Code;
 use crate::outcome::RecordedAnswer;
 use crate::outcome::RecordedOutcome;
@@ -106,9 +106,9 @@
             conn.return_to_pool();
             watch.record_response();
             let latency_us = slot.elapsed_us();
-            slot.finish(Finish::Answered { latency_us });
+            slot.finish(AttemptOutcome::Answered { latency_us });
         } else {
-            slot.finish(Finish::Failed);
+            slot.finish(AttemptOutcome::Failed);
             drop(watch.record_truncated());
         }
     }
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -23,7 +23,7 @@
 use super::Slot;
 use super::answer::UpstreamBody;
 use super::fields;
-use crate::decide::Finish;
+use crate::decide::AttemptOutcome;
 use crate::errors::Code;
 use crate::model::Service;
 use crate::quarantine::AdmittedSend;
@@ -101,7 +101,7 @@
     let conn = match tokio::time::timeout(left, upstream.checkout(need)).await {
         Ok(Some(conn)) => conn,
         Ok(None) => {
-            slot.finish(Finish::Failed);
+            slot.finish(AttemptOutcome::Failed);
             return Answer::not_run(Code::ConnectFailed, UNREACHABLE_RETRY_AFTER_MS).into();
         }
         Err(_) => return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into(),
@@ -128,7 +128,7 @@
     let response = match tokio::time::timeout(left, conn.sender.try_send_request(request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(mut err)) => {
-            slot.finish(Finish::Failed);
+            slot.finish(AttemptOutcome::Failed);
             // hyper gives the message back only if none of it was written.
             let untouched = err.take_message().is_some();
             return if untouched {
@@ -147,7 +147,7 @@
         return AttemptResult { answer, leaving };
     }
     if !has_delimited_body(&response, &proxy_request.method) {
-        slot.finish(Finish::Failed);
+        slot.finish(AttemptOutcome::Failed);
         return AttemptResult { answer: Answer::unknown(Code::AnswerTruncated), leaving };
     }
     let answer = receive_answer(proxy_request, response, slot, conn, buffer_bytes, watch).await;
@@ -182,8 +182,9 @@
     if body.collect().await.is_ok() {
         conn.return_to_pool();
     }
-    let finish = cooldown
-        .map_or(Finish::Refused, |cooldown| Finish::Resting { rest_us: duration_us(cooldown) });
+    let finish = cooldown.map_or(AttemptOutcome::Refused, |cooldown| {
+        AttemptOutcome::RefusedWithCooldown { cooldown_us: duration_us(cooldown) }
+    });
     slot.finish(finish);
     Answer::not_run(
         Code::Refused,
@@ -235,7 +236,7 @@
         return Answer::unknown(Code::DeadlineAfterDispatch);
     };
     let Ok(collected) = collected else {
-        slot.finish(Finish::Failed);
+        slot.finish(AttemptOutcome::Failed);
         return Answer::unknown(Code::AnswerTruncated);
     };
     conn.return_to_pool();
@@ -244,6 +245,10 @@
     if !failed {
         watch.record_response();
     }
-    slot.finish(if failed { Finish::Failed } else { Finish::Answered { latency_us } });
+    slot.finish(if failed {
+        AttemptOutcome::Failed
+    } else {
+        AttemptOutcome::Answered { latency_us }
+    });
     Answer::ran(parts.status, headers, AnswerBody::Whole(collected.to_bytes()))
 }
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -10,9 +10,9 @@
 use crate::board::Blackboard;
 use crate::board::MembersView;
 use crate::board::ServiceMap;
-use crate::decide::Candidate;
-use crate::decide::homes_of;
-use crate::decide::keepers_of;
+use crate::decide::HomeCandidate;
+use crate::decide::assign_keepers;
+use crate::decide::select_homes;
 use crate::member::MemberRow;
 use crate::model::Service;
 
@@ -31,19 +31,19 @@
     pub fn decide(service: &Service, members: &[Arc<MemberRow>], own: u64, zone: &str) -> Self {
         let available: Vec<&Arc<MemberRow>> =
             members.iter().filter(|row| row.state.takes_work()).collect();
-        let candidates: Vec<Candidate<'_>> = available
+        let candidates: Vec<HomeCandidate<'_>> = available
             .iter()
-            .map(|row| Candidate { incarnation: row.incarnation, zone: &row.zone })
+            .map(|row| HomeCandidate { incarnation: row.incarnation, zone: &row.zone })
             .collect();
-        let picked = homes_of(&service.name, &candidates, &service.zone_slots());
-        let home_candidates: SmallVec<[Candidate<'_>; 8]> =
+        let picked = select_homes(&service.name, &candidates, &service.zone_slots());
+        let home_candidates: SmallVec<[HomeCandidate<'_>; 8]> =
             picked.iter().map(|&at| candidates[at]).collect();
         let servers: Vec<(&str, &str)> = service
             .backend_servers
             .iter()
             .map(|server| (server.id.as_str(), server.zone.as_str()))
             .collect();
-        let keepers = keepers_of(&servers, &home_candidates);
+        let keepers = assign_keepers(&servers, &home_candidates);
         let keeps = |keeper: &usize| home_candidates[*keeper].incarnation == own;
         let mut is_keeper: Vec<bool> = keepers.iter().map(keeps).collect();
         is_keeper.resize(service.backend_servers.len(), false);
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -21,8 +21,8 @@
 use crate::board::Counter;
 use crate::board::EventKind;
 use crate::decide::Admission;
-use crate::decide::Reach;
 use crate::decide::RetryView;
+use crate::decide::ServerScope;
 use crate::decide::may_retry;
 use crate::errors::Code;
 use crate::member::MemberRow;
@@ -85,9 +85,9 @@
         idempotent: proxy_request.idempotent,
         not_run: answer.outcome == Outcome::NotRun,
         attempts,
-        left_us: proxy_request.remaining_us(),
-        typical_us: state.runtime.slot_queue.median_service_us(),
-        budget_left: state.runtime.slot_queue.has_retry_left(),
+        remaining_us: proxy_request.remaining_us(),
+        median_service_us: state.runtime.slot_queue.median_service_us(),
+        has_budget_left: state.runtime.slot_queue.has_retry_left(),
     };
     may_retry(&view) && state.runtime.slot_queue.spend_retry()
 }
@@ -186,7 +186,7 @@
         avoid: &[usize],
     ) -> Target {
         let slot_queue = &state.runtime.slot_queue;
-        let reach = if state.is_home { Reach::Kept } else { Reach::All };
+        let reach = if state.is_home { ServerScope::Own } else { ServerScope::All };
         if let Some(slot) = slot_queue.try_acquire(reach, avoid) {
             return Target::Local(slot);
         }
@@ -196,7 +196,7 @@
             return Target::CoHome(home);
         }
         // A home whose own servers are all gone, and which no co-home could help, uses any.
-        let reach = if slot_queue.has_usable_server(reach) { reach } else { Reach::All };
+        let reach = if slot_queue.has_usable_server(reach) { reach } else { ServerScope::All };
         self.board.counters.add(Counter::Queued);
         self.board.queue_formed.notify_one();
         self.wait_for_target(state, proxy_request, avoid, reach).await
@@ -208,7 +208,7 @@
         state: &ServiceState,
         proxy_request: &ProxyRequest,
         avoid: &[usize],
-        reach: Reach,
+        reach: ServerScope,
     ) -> Target {
         let mut position = QueuePosition::Back;
         loop {
@@ -284,7 +284,7 @@
             answer = &mut first => return answer,
             () = tokio::time::sleep(delay) => {}
         }
-        let reach = if state.is_home { Reach::Kept } else { Reach::All };
+        let reach = if state.is_home { ServerScope::Own } else { ServerScope::All };
         let Some(offer) = slot_queue.enqueue_hedge(reach, index) else {
             return first.await;
         };
--- a/src/route/slot.rs
+++ b/src/route/slot.rs
@@ -5,7 +5,7 @@
 use super::SlotQueue;
 use super::Upstream;
 use crate::clock::now_us;
-use crate::decide::Finish;
+use crate::decide::AttemptOutcome;
 
 /// What a waiting request gets.
 #[derive(Debug)]
@@ -38,7 +38,7 @@
     }
 
     /// Gives the slot back with what was learned.
-    pub fn finish(mut self, finish: Finish) {
+    pub fn finish(mut self, finish: AttemptOutcome) {
         self.finished = true;
         self.queue.finish(self.index, finish);
     }
@@ -47,7 +47,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         if !self.finished {
-            self.queue.finish(self.index, Finish::Cancelled);
+            self.queue.finish(self.index, AttemptOutcome::Cancelled);
         }
     }
 }
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -17,9 +17,9 @@
 use super::slot_queue_state::Waiter;
 use crate::clock::now_us;
 use crate::decide::Admission;
-use crate::decide::Finish;
+use crate::decide::AttemptOutcome;
 use crate::decide::QueueView;
-use crate::decide::Reach;
+use crate::decide::ServerScope;
 use crate::decide::SlotPool;
 use crate::decide::admit;
 use crate::decide::hedge_delay_us;
@@ -96,7 +96,7 @@
             let open_max = (server.connections_max / share.max(1)).max(1);
             state.servers[at].upstream.set_open_max(open_max);
             state.pool.loads_mut()[at].slots = server.slots;
-            state.pool.loads_mut()[at].kept = *is_keeper;
+            state.pool.loads_mut()[at].is_keeper = *is_keeper;
             let changed = state.set_close_reason(at, CloseReason::Drained, server.drained);
             if changed && !server.drained {
                 // The operator's word outweighs what the server said before.
@@ -109,19 +109,19 @@
     /// Counts a request, from which the budgets of extra work grow.
     pub fn record_request(&self) {
         let mut state = self.state.lock();
-        state.pool.retries.earn();
-        state.pool.hedges.earn();
+        state.pool.retry_budget.record_request();
+        state.pool.hedge_budget.record_request();
     }
 
     /// Takes a slot if one is free and nobody waits for it.
     #[must_use]
-    pub fn try_acquire(&self, reach: Reach, avoid: &[usize]) -> Option<Slot> {
+    pub fn try_acquire(&self, reach: ServerScope, avoid: &[usize]) -> Option<Slot> {
         let now = now_us();
         let mut state = self.state.lock();
         if state.waiting.iter().any(|waiter| !waiter.sender.is_closed()) {
             return None;
         }
-        let index = state.pool.take(reach, avoid, now)?;
+        let index = state.pool.acquire_slot(reach, avoid, now)?;
         Some(self.new_slot(&state, index, now))
     }
 
@@ -131,11 +131,11 @@
     #[must_use]
     pub fn enqueue_hedge(
         &self,
-        reach: Reach,
+        reach: ServerScope,
         first_index: usize,
     ) -> Option<oneshot::Receiver<Offer>> {
         let mut state = self.state.lock();
-        if !state.pool.hedges.spend() {
+        if !state.pool.hedge_budget.try_spend() {
             return None;
         }
         let (sender, offer) = oneshot::channel();
@@ -168,7 +168,7 @@
     #[must_use]
     pub fn enqueue(
         &self,
-        reach: Reach,
+        reach: ServerScope,
         avoid: &[usize],
         position: QueuePosition,
         remaining_us: u64,
@@ -178,9 +178,9 @@
         let view = QueueView {
             waiting: state.waiting.len(),
             waiting_max: state.queue_max,
-            slots: state.pool.slots(reach, avoid, now_us()),
-            typical_us: state.pool.typical_us(),
-            left_us: remaining_us,
+            slots: state.pool.usable_slots(reach, avoid, now_us()),
+            median_service_us: state.pool.median_service_us(),
+            remaining_us,
         };
         let max_wait = match admit(&view) {
             Admission::Wait { at_most_us } => Duration::from_micros(at_most_us),
@@ -200,13 +200,13 @@
     /// Whether a retry is within the budget; takes it out.
     #[must_use]
     pub fn spend_retry(&self) -> bool {
-        self.state.lock().pool.retries.spend()
+        self.state.lock().pool.retry_budget.try_spend()
     }
 
     /// Whether the retry budget has a token.
     #[must_use]
     pub fn has_retry_left(&self) -> bool {
-        self.state.lock().pool.retries.left()
+        self.state.lock().pool.retry_budget.has_left()
     }
 
     /// When an idempotent attempt is joined by a second one.
@@ -216,8 +216,8 @@
         let delay_us = hedge_delay_us(
             state.preference,
             idempotent,
-            state.pool.typical_us(),
-            state.pool.high_us(),
+            state.pool.median_service_us(),
+            state.pool.high_quantile_us(),
         );
         delay_us.map(Duration::from_micros)
     }
@@ -225,13 +225,13 @@
     /// Median service time in microseconds; 0 before the first answer.
     #[must_use]
     pub fn median_service_us(&self) -> f32 {
-        self.state.lock().pool.typical_us()
+        self.state.lock().pool.median_service_us()
     }
 
     /// Whether any server within reach may be used at all now.
     #[must_use]
-    pub fn has_usable_server(&self, reach: Reach) -> bool {
-        self.state.lock().pool.slots(reach, &[], now_us()) > 0
+    pub fn has_usable_server(&self, reach: ServerScope) -> bool {
+        self.state.lock().pool.usable_slots(reach, &[], now_us()) > 0
     }
 
     /// Slots free now, and requests that wait.
@@ -239,7 +239,7 @@
     pub fn free_slots_and_waiting(&self) -> (u32, usize) {
         let state = self.state.lock();
         let waiting = state.waiting.iter().filter(|waiter| !waiter.sender.is_closed()).count();
-        (state.pool.free(now_us()), waiting)
+        (state.pool.free_slots(now_us()), waiting)
     }
 
     /// Offers slots that came free by time alone: an ejection that ended, a ramp that rose.
@@ -268,7 +268,7 @@
     pub fn record_load(&self, index: usize, in_flight: u32) {
         let mut state = self.state.lock();
         if let Some(load) = state.pool.loads_mut().get_mut(index) {
-            load.report(in_flight, now_us());
+            load.record_load(in_flight, now_us());
         }
     }
 
@@ -282,10 +282,10 @@
             rows.filter(|(server, _)| server.close_reasons & CloseReason::Removed.bit() == 0);
         let views = declared.map(|(server, load)| ServerView {
             upstream: Arc::clone(&server.upstream),
-            is_keeper: load.kept,
+            is_keeper: load.is_keeper,
             self_reported_leaving: server.close_reasons & CloseReason::SelfReported.bit() != 0,
             usable: load.usable(now),
-            report_age_us: load.silent_us(now),
+            report_age_us: load.report_age_us(now),
         });
         views.collect()
     }
@@ -300,9 +300,9 @@
         }
     }
 
-    pub(super) fn finish(&self, index: usize, finish: Finish) {
+    pub(super) fn finish(&self, index: usize, finish: AttemptOutcome) {
         let mut state = self.state.lock();
-        state.pool.finish(index, finish, now_us());
+        state.pool.release_slot(index, finish, now_us());
         self.dispatch_slots(state);
     }
 
@@ -323,7 +323,7 @@
                 continue;
             }
             let SlotQueueState { pool, waiting, .. } = &mut *state;
-            let Some(index) = pool.take(waiting[at].reach, &waiting[at].avoid, now) else {
+            let Some(index) = pool.acquire_slot(waiting[at].reach, &waiting[at].avoid, now) else {
                 at += 1;
                 continue;
             };
--- a/src/route/slot_queue_state.rs
+++ b/src/route/slot_queue_state.rs
@@ -9,8 +9,8 @@
 use super::Upstream;
 use super::slot::Offer;
 use crate::clock::now_us;
-use crate::decide::Reach;
 use crate::decide::ServerLoad;
+use crate::decide::ServerScope;
 use crate::decide::SlotPool;
 use crate::model::BackendServer;
 use crate::model::Preference;
@@ -45,7 +45,7 @@
 /// A request that waits for a slot.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub reach: Reach,
+    pub reach: ServerScope,
     pub avoid: SmallVec<[usize; 4]>,
     pub sender: oneshot::Sender<Offer>,
 }
@@ -104,7 +104,7 @@
         self.servers[at].close_reasons = after;
         let load = &mut self.pool.loads_mut()[at];
         if before != 0 && after == 0 {
-            load.restart(now_us());
+            load.restart_ramp_up(now_us());
         }
         load.closed = after != 0;
         before != after
--- a/src/starts/home_share.rs
+++ b/src/starts/home_share.rs
@@ -14,12 +14,12 @@
 
 /// The part of one instance in the starts at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HomePart {
+pub enum StartShare {
     /// It knows no other instance, and may be one of many: it may start one.
     #[default]
     Alone,
     /// It is no home, and may start none.
-    NoHome,
+    NotHome,
     /// It is the home of this rank, from 0, among so many.
     Home { homes: u32, rank: u32 },
 }
@@ -31,26 +31,26 @@
 impl HomeShare {
     /// The part of this instance at the server that `server_key` names.
     #[must_use]
-    pub fn part(&self, server_key: u32) -> HomePart {
+    pub fn start_share(&self, server_key: u32) -> StartShare {
         let Some(homes) = &self.homes else {
-            return HomePart::Alone;
+            return StartShare::Alone;
         };
         if !homes.contains(&self.own) {
-            return HomePart::NoHome;
+            return StartShare::NotHome;
         }
         let own_hash = rank_hash(server_key, self.own);
         let before = homes.iter().filter(|home| rank_hash(server_key, **home) < own_hash).count();
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
-        HomePart::Home { homes: count(homes.len()), rank: count(before) }
+        StartShare::Home { homes: count(homes.len()), rank: count(before) }
     }
 }
 
-impl HomePart {
+impl StartShare {
     /// Homes that share the starts, as far as known.
     #[must_use]
     pub const fn homes(self) -> u32 {
         match self {
-            Self::Alone | Self::NoHome => 1,
+            Self::Alone | Self::NotHome => 1,
             Self::Home { homes, .. } => homes,
         }
     }
@@ -60,7 +60,7 @@
     pub fn of(self, starts: u32) -> u32 {
         match self {
             Self::Alone => starts.min(1),
-            Self::NoHome => 0,
+            Self::NotHome => 0,
             Self::Home { homes, rank } => starts / homes + u32::from(rank < starts % homes),
         }
     }
--- a/standins/src/routed/pool_parts.rs
+++ b/standins/src/routed/pool_parts.rs
@@ -1,6 +1,6 @@
 //! What pools of backend servers are tried with, without network.
 
-use sorrelwick::balance::Ask;
+use sorrelwick::balance::RequestSpec;
 use sorrelwick::model::ServerRow;
 use sorrelwick::model::ServerState;
 
@@ -25,15 +25,15 @@
 
 /// A request that arrives now, to be answered within 600 ms and at most 1.5 s.
 #[must_use]
-pub fn ask_now(now_us: u64) -> Ask {
-    Ask {
+pub fn ask_now(now_us: u64) -> RequestSpec {
+    RequestSpec {
         route: "look".into(),
         workspace: None,
         priority: 0,
-        aim_ms: AIM_MS,
+        target_ms: AIM_MS,
         arrived_us: now_us,
-        spent_us: 0,
+        spent_before_us: 0,
         deadline_us: now_us + DEADLINE_US,
-        avoid: <_>::default(),
+        tried_servers: <_>::default(),
     }
 }
--- a/standins/src/trial/model.rs
+++ b/standins/src/trial/model.rs
@@ -7,9 +7,9 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use sorrelwick::decide::Admission;
-use sorrelwick::decide::Finish;
+use sorrelwick::decide::AttemptOutcome;
 use sorrelwick::decide::QueueView;
-use sorrelwick::decide::Reach;
+use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::admit;
 use sorrelwick::decide::hedge_delay_us;
 use sorrelwick::decide::naive;
@@ -210,8 +210,8 @@
 
     fn at_home(&mut self, home: usize, request: usize, passed: bool) {
         if !passed {
-            self.homes[home].pool.hedges.earn();
-            self.homes[home].pool.retries.earn();
+            self.homes[home].pool.hedge_budget.record_request();
+            self.homes[home].pool.retry_budget.record_request();
         }
         if !self.policy.binds_late() {
             let server = self.pick_now(home);
@@ -231,7 +231,7 @@
     /// The oracle looks at the servers themselves.
     fn take(&mut self, home: usize, avoid: &[usize]) -> Option<usize> {
         if self.policy != Policy::Oracle {
-            return self.homes[home].pool.take(Reach::Kept, avoid, self.now_us);
+            return self.homes[home].pool.acquire_slot(ServerScope::Own, avoid, self.now_us);
         }
         let now = self.now_us;
         let in_flight = &self.homes[home].in_flight;
@@ -279,9 +279,9 @@
         let view = QueueView {
             waiting: self.homes[home].queue.len(),
             waiting_max: QUEUE_MAX,
-            slots: self.homes[home].pool.slots(Reach::Kept, &[], self.now_us),
-            typical_us: self.homes[home].pool.typical_us(),
-            left_us: self.scene.deadline_us.saturating_sub(waited),
+            slots: self.homes[home].pool.usable_slots(ServerScope::Own, &[], self.now_us),
+            median_service_us: self.homes[home].pool.median_service_us(),
+            remaining_us: self.scene.deadline_us.saturating_sub(waited),
         };
         match admit(&view) {
             Admission::Wait { at_most_us } => {
@@ -340,7 +340,12 @@
         self.at(self.now_us + way, Event::AtServer { attempt });
         if first && self.policy.hedges() {
             let pool = &self.homes[home].pool;
-            let delay = hedge_delay_us(Preference::Tail, true, pool.typical_us(), pool.high_us());
+            let delay = hedge_delay_us(
+                Preference::Tail,
+                true,
+                pool.median_service_us(),
+                pool.high_quantile_us(),
+            );
             if let Some(delay) = delay {
                 self.at(self.now_us + delay, Event::Hedge { request });
             }
@@ -388,7 +393,8 @@
         self.attempts[attempt].open = false;
         let failed = self.servers[server].fails;
         let latency_us = self.now_us - began_us;
-        let finish = if failed { Finish::Failed } else { Finish::Answered { latency_us } };
+        let finish =
+            if failed { AttemptOutcome::Failed } else { AttemptOutcome::Answered { latency_us } };
         self.free_slot(home, server, finish);
         if self.requests[request].open {
             if failed && self.retry(home, request, server) {
@@ -399,10 +405,10 @@
         self.drain(home);
     }
 
-    fn free_slot(&mut self, home: usize, server: usize, finish: Finish) {
+    fn free_slot(&mut self, home: usize, server: usize, finish: AttemptOutcome) {
         self.homes[home].in_flight[server] -= 1;
         if self.policy.binds_late() && self.policy != Policy::Oracle {
-            self.homes[home].pool.finish(server, finish, self.now_us);
+            self.homes[home].pool.release_slot(server, finish, self.now_us);
         }
     }
 
@@ -410,7 +416,7 @@
         if !self.policy.binds_late() || self.requests[request].tries >= 2 {
             return false;
         }
-        if !self.homes[home].pool.retries.spend() {
+        if !self.homes[home].pool.retry_budget.try_spend() {
             return false;
         }
         self.requests[request].tries += 1;
@@ -439,7 +445,7 @@
                 continue;
             }
             self.attempts[other].open = false;
-            self.free_slot(home, server, Finish::Cancelled);
+            self.free_slot(home, server, AttemptOutcome::Cancelled);
             let way = self.way_us(self.homes[home].zone, self.servers[server].zone);
             self.at(self.now_us + way, Event::Cancel { attempt: other });
             self.drain(home);
@@ -468,7 +474,8 @@
     fn hedge(&mut self, request: usize) {
         let first = self.requests[request].attempts[0];
         let Attempt { home, server, open, .. } = self.attempts[first];
-        if !open || !self.requests[request].open || !self.homes[home].pool.hedges.spend() {
+        if !open || !self.requests[request].open || !self.homes[home].pool.hedge_budget.try_spend()
+        {
             return;
         }
         match self.take(home, &[server]) {
@@ -502,7 +509,7 @@
             return;
         }
         let waiting = u32::try_from(self.homes[home].queue.len()).unwrap_or(u32::MAX);
-        let free = self.homes[home].pool.free(self.now_us).saturating_sub(waiting);
+        let free = self.homes[home].pool.free_slots(self.now_us).saturating_sub(waiting);
         for to in (0..self.homes.len()).filter(|to| *to != home) {
             let way = self.way_us(self.homes[home].zone, self.homes[to].zone);
             self.at(self.now_us + way, Event::Told { to, from: home, free });
--- a/standins/src/trial/world.rs
+++ b/standins/src/trial/world.rs
@@ -4,10 +4,10 @@
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
-use sorrelwick::decide::Candidate;
+use sorrelwick::decide::HomeCandidate;
 use sorrelwick::decide::ServerLoad;
 use sorrelwick::decide::SlotPool;
-use sorrelwick::decide::keepers_of;
+use sorrelwick::decide::assign_keepers;
 
 use super::Policy;
 use super::Scene;
@@ -95,18 +95,18 @@
     };
     let names: Vec<String> = (0..servers.len()).map(|at| format!("b{at}")).collect();
     let zone_names = ["a", "b", "c"];
-    let candidates: Vec<Candidate<'_>> = (0..count)
-        .map(|at| Candidate { incarnation: at as u64 + 1, zone: zone_names[at % ZONES] })
+    let candidates: Vec<HomeCandidate<'_>> = (0..count)
+        .map(|at| HomeCandidate { incarnation: at as u64 + 1, zone: zone_names[at % ZONES] })
         .collect();
     let placed: Vec<(&str, &str)> =
         names.iter().zip(servers).map(|(id, s)| (id.as_str(), zone_names[s.zone])).collect();
-    let keepers = keepers_of(&placed, &candidates);
+    let keepers = assign_keepers(&placed, &candidates);
     (0..count)
         .map(|at| {
             let loads = servers.iter().zip(&keepers).map(|(server, keeper)| {
                 let slots = u32::try_from(server.slots).unwrap_or(1);
                 let mut load = ServerLoad::warm(slots);
-                load.kept = *keeper == at;
+                load.is_keeper = *keeper == at;
                 load
             });
             Home {
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -15,11 +15,11 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use sorrelwick::balance::Ask;
-use sorrelwick::balance::RepeatAllowance;
-use sorrelwick::balance::RepeatBudget;
-use sorrelwick::balance::RepeatNeed;
-use sorrelwick::balance::SendEnd;
+use sorrelwick::balance::RequestSpec;
+use sorrelwick::balance::RetryAllowance;
+use sorrelwick::balance::RetryBudget;
+use sorrelwick::balance::RetryNeed;
+use sorrelwick::balance::SendOutcome;
 use sorrelwick::balance::ServicePool;
 use sorrelwick::model::LoadReport;
 use sorrelwick::model::ServerRow;
@@ -48,21 +48,21 @@
 fn pool(servers: usize, slots: u32) -> ServicePool {
     let mut pool = ServicePool::default();
     for number in 0..servers {
-        pool.list(row(&format!("s{number}"), slots), 0);
+        pool.upsert_server(row(&format!("s{number}"), slots), 0);
     }
     pool
 }
 
-fn ask(route: &str, priority: u32, aim_ms: f64, now_us: u64) -> Ask {
-    Ask {
+fn ask(route: &str, priority: u32, aim_ms: f64, now_us: u64) -> RequestSpec {
+    RequestSpec {
         route: route.into(),
         workspace: None,
         priority,
-        aim_ms,
+        target_ms: aim_ms,
         arrived_us: now_us,
-        spent_us: 0,
+        spent_before_us: 0,
         deadline_us: now_us + (aim_ms * 2_500.0) as u64,
-        avoid: smallvec::SmallVec::new(),
+        tried_servers: smallvec::SmallVec::new(),
     }
 }
 
@@ -75,11 +75,11 @@
 fn the_most_urgent_request_gets_the_first_free_slot() {
     let mut pool = pool(1, 1);
     let first = ask("look", 2, 600.0, MS);
-    let choice = pool.take(1, &first, ZONE, MS, &mut half()).expect("a free server");
+    let choice = pool.acquire_slot(1, &first, ZONE, MS, &mut half()).expect("a free server");
     pool.enqueue(2, ask("look", 2, 600.0, 2 * MS), 2 * MS).expect("it waits");
     pool.enqueue(3, ask("order", 0, 600.0, 3 * MS), 3 * MS).expect("it waits");
-    pool.finish(&choice.server, 1, &first, SendEnd::Answered, 50 * MS);
-    let (served, _) = pool.serve_waiting(ZONE, 50 * MS, &mut half()).expect("a slot is free");
+    pool.finish_request(&choice.server, 1, &first, SendOutcome::Answered, 50 * MS);
+    let (served, _) = pool.dispatch_queued(ZONE, 50 * MS, &mut half()).expect("a slot is free");
     assert_eq!(served.ticket, 3);
 }
 
@@ -88,9 +88,9 @@
 fn who_cannot_be_served_in_time_is_refused_at_once() {
     let mut pool = pool(1, 1);
     let first = ask("look", 2, 600.0, MS);
-    let choice = pool.take(1, &first, ZONE, MS, &mut half()).expect("a free server");
-    pool.finish(&choice.server, 1, &first, SendEnd::Answered, 201 * MS);
-    pool.take(2, &first, ZONE, 202 * MS, &mut half()).expect("a free server");
+    let choice = pool.acquire_slot(1, &first, ZONE, MS, &mut half()).expect("a free server");
+    pool.finish_request(&choice.server, 1, &first, SendOutcome::Answered, 201 * MS);
+    pool.acquire_slot(2, &first, ZONE, 202 * MS, &mut half()).expect("a free server");
     pool.enqueue(3, ask("look", 2, 600.0, 203 * MS), 203 * MS).expect("one may wait");
     let refusal = pool.enqueue(4, ask("look", 2, 600.0, 204 * MS), 204 * MS);
     let refusal = refusal.expect_err("two hundred milliseconds each, and an aim of six hundred");
@@ -108,12 +108,12 @@
     let mut pool = pool(12, 3);
     pool.fair_share = 1.0 / 3.0;
     let first = ask("look", 2, 400.0, MS);
-    let choice = pool.take(100, &first, ZONE, MS, &mut half()).expect("a free server");
+    let choice = pool.acquire_slot(100, &first, ZONE, MS, &mut half()).expect("a free server");
     let now_us = 161 * MS;
-    pool.finish(&choice.server, 100, &first, SendEnd::Answered, now_us);
+    pool.finish_request(&choice.server, 100, &first, SendOutcome::Answered, now_us);
     for server in &mut pool.servers {
         let row = ServerLoadRow { server: server.key, in_flight: 2, pace_percent: 100 };
-        server.hear_peer(7, row, now_us);
+        server.record_peer_load(7, row, now_us);
     }
     let asks = (0..8).map(|number| (number, ask("look", 2, 400.0, now_us)));
     let waiting = asks.filter(|(number, ask)| pool.enqueue(*number, ask.clone(), now_us).is_ok());
@@ -124,12 +124,12 @@
 #[test]
 fn time_that_a_caller_spent_before_counts() {
     let mut pool = pool(1, 1);
-    pool.take(1, &ask("look", 2, 600.0, MS), ZONE, MS, &mut half()).expect("a free server");
+    pool.acquire_slot(1, &ask("look", 2, 600.0, MS), ZONE, MS, &mut half()).expect("a free server");
     let mut back = ask("look", 2, 600.0, 2 * MS);
-    back.spent_us = 500 * MS;
+    back.spent_before_us = 500 * MS;
     pool.enqueue(2, back, 2 * MS).expect("a late one waits a little");
-    assert!(pool.expire(40 * MS).is_empty());
-    assert_eq!(pool.expire(100 * MS).as_slice(), [2]);
+    assert!(pool.expire_queued(40 * MS).is_empty());
+    assert_eq!(pool.expire_queued(100 * MS).as_slice(), [2]);
 }
 
 /// A server that fails at once looks idle, and so attracts everything.
@@ -142,11 +142,11 @@
     for number in 0..300_u64 {
         let now_us = MS + number * 10 * MS;
         let asked = ask("look", 2, 600.0, now_us);
-        let choice = pool.take(number, &asked, ZONE, now_us, &mut random).expect("room");
+        let choice = pool.acquire_slot(number, &asked, ZONE, now_us, &mut random).expect("room");
         let bad = &*choice.server == "s0";
         failed += u32::from(bad);
-        let end = if bad { SendEnd::Failed } else { SendEnd::Answered };
-        pool.finish(&choice.server, number, &asked, end, now_us + MS);
+        let end = if bad { SendOutcome::Failed } else { SendOutcome::Answered };
+        pool.finish_request(&choice.server, number, &asked, end, now_us + MS);
     }
     assert!(failed < 30, "{failed} of 300 went to the server that fails");
 }
@@ -156,10 +156,10 @@
 fn a_server_that_falls_silent_gets_no_more() {
     let mut pool = pool(2, 4);
     let asked = ask("look", 2, 600.0, MS);
-    pool.server("s1").expect("it is there").unheard(MS);
-    pool.server("s1").expect("it is there").unheard(101 * MS);
+    pool.server_mut("s1").expect("it is there").record_check_timeout(MS);
+    pool.server_mut("s1").expect("it is there").record_check_timeout(101 * MS);
     for number in 0..3 {
-        let choice = pool.take(number, &asked, ZONE, 110 * MS, &mut half()).expect("room");
+        let choice = pool.acquire_slot(number, &asked, ZONE, 110 * MS, &mut half()).expect("room");
         assert_eq!(&*choice.server, "s0");
     }
 }
@@ -169,13 +169,13 @@
 fn a_request_waits_rather_than_begin_on_a_slow_server() {
     let mut pool = pool(1, 4);
     let report = |pace_percent| LoadReport { running: 0, waiting: 0, pace_percent };
-    pool.server("s0").expect("it is there").report(report(500), MS);
+    pool.server_mut("s0").expect("it is there").record_load(report(500), MS);
     let asked = ask("look", 2, 600.0, MS);
-    assert!(pool.take(1, &asked, ZONE, MS, &mut half()).is_none());
+    assert!(pool.acquire_slot(1, &asked, ZONE, MS, &mut half()).is_none());
     pool.enqueue(1, asked, MS).expect("it waits");
-    assert!(pool.serve_waiting(ZONE, 2 * MS, &mut half()).is_none());
-    pool.server("s0").expect("it is there").report(report(100), 30 * MS);
-    assert!(pool.serve_waiting(ZONE, 30 * MS, &mut half()).is_some());
+    assert!(pool.dispatch_queued(ZONE, 2 * MS, &mut half()).is_none());
+    pool.server_mut("s0").expect("it is there").record_load(report(100), 30 * MS);
+    assert!(pool.dispatch_queued(ZONE, 30 * MS, &mut half()).is_some());
 }
 
 /// One end of a piece of work in the modelled load.
@@ -188,7 +188,7 @@
 /// Work left of a request, in microseconds at full speed, and when that was so.
 struct Running {
     server: Arc<str>,
-    asked: Ask,
+    asked: RequestSpec,
     left_us: f64,
 }
 
@@ -221,7 +221,13 @@
         while let Some(end) = ended.pop() {
             let work = running.remove(&end.ticket).expect("it runs");
             in_aim += u32::from(now_us - work.asked.arrived_us <= 600 * MS);
-            pool.finish(&work.server, end.ticket, &work.asked, SendEnd::Answered, now_us);
+            pool.finish_request(
+                &work.server,
+                end.ticket,
+                &work.asked,
+                SendOutcome::Answered,
+                now_us,
+            );
         }
         let mut random = || rng.random_range(0.0..1.0);
         while next_us <= now_us {
@@ -230,11 +236,11 @@
             asked += 1;
             let _ = pool.enqueue(ticket, ask("look", 2, 600.0, now_us), now_us);
         }
-        pool.expire(now_us);
-        while let Some((waiting, choice)) = pool.serve_waiting(ZONE, now_us, &mut random) {
+        pool.expire_queued(now_us);
+        while let Some((waiting, choice)) = pool.dispatch_queued(ZONE, now_us, &mut random) {
             let left_us = random().mul_add(180.0, 130.0) * 1_000.0;
             let server = choice.server;
-            running.insert(waiting.ticket, Running { server, asked: waiting.ask, left_us });
+            running.insert(waiting.ticket, Running { server, asked: waiting.spec, left_us });
         }
     }
     f64::from(in_aim) / f64::from(asked)
@@ -265,17 +271,17 @@
 fn repeats_of_all_homes_together_stay_within_the_operators_budget() {
     let (window_us, ratio, slack, homes) = (10_000 * MS, 0.2, 64.0, 3);
     let allowance =
-        RepeatAllowance { ratio: ratio * 0.9, window_us, slack: slack * 0.7 / f64::from(homes) };
+        RetryAllowance { ratio: ratio * 0.9, window_us, slack: slack * 0.7 / f64::from(homes) };
     common::property(60, |u| {
-        let mut budgets: Vec<RepeatBudget> = (0..homes).map(|_| RepeatBudget::default()).collect();
+        let mut budgets: Vec<RetryBudget> = (0..homes).map(|_| RetryBudget::default()).collect();
         let (mut requests, mut repeats) = (Vec::new(), Vec::new());
         let mut now_us = window_us;
         for _ in 0..u.int_in_range(100..=1_500)? {
             now_us += u.int_in_range(0..=60 * MS)?;
             let budget = &mut budgets[u.int_in_range(0..=homes as usize - 1)?];
-            budget.request(&allowance, now_us);
+            budget.record_request(&allowance, now_us);
             requests.push(now_us);
-            if u.ratio(4, 5)? && budget.spend(&allowance, RepeatNeed::LastChance, now_us) {
+            if u.ratio(4, 5)? && budget.try_spend(&allowance, RetryNeed::LastChance, now_us) {
                 repeats.push(now_us);
             }
         }
@@ -304,14 +310,14 @@
     for ticket in 0..600 {
         now_us += 50 * MS;
         let ask = ask("look", 2, 600.0, now_us);
-        let Some(choice) = pool.take(ticket, &ask, ZONE, now_us, &mut half()) else {
+        let Some(choice) = pool.acquire_slot(ticket, &ask, ZONE, now_us, &mut half()) else {
             waited += 1;
             continue;
         };
         let shed = rng.random_range(0.0..1.0) < 0.5;
         let (end, took_us) =
-            if shed { (SendEnd::Refused, MS) } else { (SendEnd::Answered, 220 * MS) };
-        pool.finish(&choice.server, ticket, &ask, end, now_us + took_us);
+            if shed { (SendOutcome::Refused, MS) } else { (SendOutcome::Answered, 220 * MS) };
+        pool.finish_request(&choice.server, ticket, &ask, end, now_us + took_us);
     }
     assert!(waited < 6, "{waited} of 600 found no server");
 }
@@ -329,13 +335,14 @@
         now_us += 25 * MS;
         let ask = ask("look", 2, 600.0, now_us);
         let mut random = || rng.random_range(0.0..1.0);
-        let choice = pool.take(ticket, &ask, ZONE, now_us, &mut random).expect("free servers");
+        let choice =
+            pool.acquire_slot(ticket, &ask, ZONE, now_us, &mut random).expect("free servers");
         // A server closes a connection that was idle for four seconds.
         let known = answered_us.insert(Arc::clone(&choice.server), now_us);
         opened += u32::from(known.is_none_or(|at_us| now_us - at_us > 4_000 * MS));
         let load = LoadReport { running: 1, waiting: 0, pace_percent: 100 };
-        pool.server(&choice.server).expect("listed").report(load, now_us);
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us + 220 * MS);
+        pool.server_mut(&choice.server).expect("listed").record_load(load, now_us);
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + 220 * MS);
     }
     assert!(opened < 400, "{opened} connections for 2,000 requests");
 }
@@ -350,23 +357,31 @@
     // Both answer in 250 ms at first, so that this is the usual time.
     for ticket in 0..100 {
         let ask = ask("cert", 1, 800.0, now_us);
-        let choice = pool.take(ticket, &ask, ZONE, now_us, &mut half()).expect("a free server");
+        let choice =
+            pool.acquire_slot(ticket, &ask, ZONE, now_us, &mut half()).expect("a free server");
         now_us += 250 * MS;
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us);
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us);
     }
     let slow = |pool: &mut ServicePool, percent, now_us| {
         for id in ["s0", "s1"] {
             let load = LoadReport { running: 0, waiting: 0, pace_percent: percent };
-            pool.server(id).expect("listed").report(load, now_us);
+            pool.server_mut(id).expect("listed").record_load(load, now_us);
         }
     };
     let mut late = ask("cert", 1, 800.0, now_us);
-    late.spent_us = 700 * MS;
+    late.spent_before_us = 700 * MS;
     late.deadline_us = now_us + 1_200 * MS;
     slow(&mut pool, 2_000, now_us);
-    assert_eq!(pool.take(1_000, &late, ZONE, now_us, &mut half()), None, "begun, 5 s expected");
+    assert_eq!(
+        pool.acquire_slot(1_000, &late, ZONE, now_us, &mut half()),
+        None,
+        "begun, 5 s expected"
+    );
     slow(&mut pool, 300, now_us);
-    assert!(pool.take(1_000, &late, ZONE, now_us, &mut half()).is_some(), "750 ms are in time");
+    assert!(
+        pool.acquire_slot(1_000, &late, ZONE, now_us, &mut half()).is_some(),
+        "750 ms are in time"
+    );
 }
 
 /// All servers of a service shed four sends in ten, for longer than the budget's window. Callers
@@ -374,27 +389,27 @@
 /// up when those that came back are refused too, and nobody repeats these any more.
 #[test]
 fn while_servers_shed_the_budget_is_kept_for_those_that_came_back() {
-    let allowance = RepeatAllowance { ratio: 0.18, window_us: 10_000 * MS, slack: 10.0 };
+    let allowance = RetryAllowance { ratio: 0.18, window_us: 10_000 * MS, slack: 10.0 };
     let mut rng = Pcg64::seed_from_u64(7);
-    let mut budget = RepeatBudget::default();
+    let mut budget = RetryBudget::default();
     let mut returning = std::collections::VecDeque::new();
     let (mut asked, mut failed, mut repeats) = (0_u32, 0_u32, 0_u32);
     for step in 0..40_000_u64 {
         let now_us = 10_000 * MS + step * MS;
-        let fresh = [Some(RepeatNeed::CallerCanReturn)];
+        let fresh = [Some(RetryNeed::CallerCanRetry)];
         let back = returning.pop_front_if(|due: &mut u64| *due <= now_us);
-        for need in fresh.into_iter().chain([back.map(|_| RepeatNeed::LastChance)]).flatten() {
-            budget.request(&allowance, now_us);
+        for need in fresh.into_iter().chain([back.map(|_| RetryNeed::LastChance)]).flatten() {
+            budget.record_request(&allowance, now_us);
             let mut served = rng.random_range(0.0..1.0) >= 0.4;
-            while !served && budget.spend(&allowance, need, now_us) {
+            while !served && budget.try_spend(&allowance, need, now_us) {
                 repeats += 1;
                 served = rng.random_range(0.0..1.0) >= 0.4;
             }
             match need {
-                RepeatNeed::CallerCanReturn => asked += 1,
-                RepeatNeed::LastChance => {}
+                RetryNeed::CallerCanRetry => asked += 1,
+                RetryNeed::LastChance => {}
             }
-            if !served && need == RepeatNeed::CallerCanReturn {
+            if !served && need == RetryNeed::CallerCanRetry {
                 returning.push_back(now_us + 20 * MS);
             } else if !served {
                 failed += 1;
@@ -421,7 +436,7 @@
     let mut pool = pool(16, 1);
     let usual_per_s = 100.0 / others as f64;
     let mut due: Vec<f64> = (0..=others).map(|at| at as f64 / others as f64).collect();
-    let mut running: Vec<(u64, String, u64, Ask)> = Vec::new();
+    let mut running: Vec<(u64, String, u64, RequestSpec)> = Vec::new();
     let (mut greedy, mut modest) = (OfWorkspace::default(), OfWorkspace::default());
     let greedy_of_ticket = |ticket: u64| ticket % 2 == 1;
     let mut tickets = 0;
@@ -430,7 +445,7 @@
         let now_us = 1_000_000 + now_ms * 1_000;
         let ended = running.extract_if(.., |(end_us, ..)| *end_us <= now_us);
         for (_, server, ticket, ask) in ended.collect::<Vec<_>>() {
-            pool.finish(&server, ticket, &ask, SendEnd::Answered, now_us);
+            pool.finish_request(&server, ticket, &ask, SendOutcome::Answered, now_us);
         }
         for at in 0..=others {
             let per_s = if at == 0 { 60.0 + 7.5 * usual_per_s } else { usual_per_s };
@@ -447,12 +462,12 @@
                 let _ = pool.enqueue(ticket, ask, now_us);
             }
         }
-        let _ = pool.expire(now_us);
-        while let Some((waiting, choice)) = pool.serve_waiting("z", now_us, &mut random) {
+        let _ = pool.expire_queued(now_us);
+        while let Some((waiting, choice)) = pool.dispatch_queued("z", now_us, &mut random) {
             let counted = if greedy_of_ticket(waiting.ticket) { &mut greedy } else { &mut modest };
             counted.served += 1;
             let server = choice.server.to_string();
-            running.push((now_us + WORK_US, server, waiting.ticket, waiting.ask));
+            running.push((now_us + WORK_US, server, waiting.ticket, waiting.spec));
         }
     }
     (greedy, modest)
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use sorrelwick::balance::SendEnd;
+use sorrelwick::balance::SendOutcome;
 use sorrelwick::balance::ServicePool;
 use sorrelwick::balance::server_key;
-use sorrelwick::cold::ColdBound;
+use sorrelwick::cold::ColdLimit;
 use sorrelwick::cold::ColdRule;
 use sorrelwick::cold::ColdState;
 use sorrelwick::model::LoadReport;
@@ -26,7 +26,7 @@
 
 const MS: u64 = 1_000;
 const SECOND_US: u64 = 1_000_000;
-const BOUND: ColdBound = ColdBound { per_s: 4.8, overage: 1.5, slack: 8.0 };
+const BOUND: ColdLimit = ColdLimit { per_s: 4.8, overage: 1.5, slack: 8.0 };
 /// `BOUND` in whole requests.
 const MOST: usize = 15;
 const WARMUP_MS: u64 = 3_000;
@@ -43,7 +43,7 @@
 #[test]
 fn three_views_of_the_homes_keep_the_bound_together() {
     common::property(400, |u| {
-        let bound = ColdBound {
+        let bound = ColdLimit {
             per_s: f64::from(u.int_in_range(0..=400)?) / 10.0,
             overage: f64::from(u.int_in_range(10..=30)?) / 10.0,
             slack: f64::from(u.int_in_range(3..=40)?),
@@ -55,7 +55,7 @@
                 (0..u.int_in_range(1..=40)?).map(|home| view * 1_000 + home).collect();
             sum += homes
                 .iter()
-                .map(|own| share(&homes, *own).part(key).of(bound.starts_of_view()))
+                .map(|own| share(&homes, *own).start_share(key).of(bound.starts_per_view()))
                 .sum::<u32>();
         }
         assert!(f64::from(sum) <= bound.per_s * bound.overage + bound.slack, "{sum}: {bound:?}");
@@ -68,10 +68,12 @@
 fn the_homes_of_one_view_use_up_its_part() {
     for homes in 1..=40_u64 {
         let homes: Vec<u64> = (0..homes).collect();
-        let sum: u32 =
-            homes.iter().map(|own| share(&homes, *own).part(7).of(BOUND.starts_of_view())).sum();
-        assert_eq!(sum, BOUND.starts_of_view());
-        assert_eq!(share(&homes, 1_000).part(7).of(BOUND.starts_of_view()), 0);
+        let sum: u32 = homes
+            .iter()
+            .map(|own| share(&homes, *own).start_share(7).of(BOUND.starts_per_view()))
+            .sum();
+        assert_eq!(sum, BOUND.starts_per_view());
+        assert_eq!(share(&homes, 1_000).start_share(7).of(BOUND.starts_per_view()), 0);
     }
 }
 
@@ -82,9 +84,9 @@
     let mut pools: Vec<ServicePool> = Vec::new();
     for own in &homes {
         let mut pool = ServicePool::default();
-        let rule = ColdRule { bound: Some(BOUND), warmup_us: WARMUP_MS * MS };
-        pool.share_starts(rule, &Arc::new(share(&homes, *own)));
-        pool.list(row("s0", WARMUP_MS), 0);
+        let rule = ColdRule { limit: Some(BOUND), warmup_us: WARMUP_MS * MS };
+        pool.set_start_limits(rule, &Arc::new(share(&homes, *own)));
+        pool.upsert_server(row("s0", WARMUP_MS), 0);
         pools.push(pool);
     }
     let mut arrivals: VecDeque<u64> = VecDeque::new();
@@ -92,7 +94,7 @@
     for now_us in (0..WARMUP_MS * MS).step_by(2_000) {
         for (pool, ticket) in pools.iter_mut().zip(now_us..) {
             let ask = ask_now(now_us);
-            let Some(choice) = pool.take(ticket, &ask, "z", now_us, &mut || 0.5) else {
+            let Some(choice) = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5) else {
                 continue;
             };
             arrivals.push_back(now_us);
@@ -101,7 +103,7 @@
                 arrivals.pop_front();
             }
             most = most.max(arrivals.len());
-            pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us + MS);
+            pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + MS);
         }
     }
     assert!(most <= MOST, "{most} within a second");
@@ -113,14 +115,14 @@
 #[test]
 fn what_was_not_sent_is_not_counted() {
     let mut pool = ServicePool::default();
-    let rule = ColdRule { bound: Some(BOUND), warmup_us: WARMUP_MS * MS };
-    pool.share_starts(rule, &Arc::new(share(&[1], 1)));
-    pool.list(row("s0", WARMUP_MS), 0);
+    let rule = ColdRule { limit: Some(BOUND), warmup_us: WARMUP_MS * MS };
+    pool.set_start_limits(rule, &Arc::new(share(&[1], 1)));
+    pool.upsert_server(row("s0", WARMUP_MS), 0);
     for ticket in 1..100 {
         let now_us = ticket * MS;
         let ask = ask_now(now_us);
-        let choice = pool.take(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Unsent, now_us);
+        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Unsent, now_us);
     }
 }
 
@@ -128,42 +130,42 @@
 #[test]
 fn a_server_that_turns_cold_after_the_choice_is_no_place_any_more() {
     let mut pool = ServicePool::default();
-    let rule = ColdRule { bound: Some(BOUND), warmup_us: WARMUP_MS * MS };
-    pool.share_starts(rule, &Arc::new(share(&[1, 2, 3, 4, 5, 6], 1)));
-    pool.list(row("s0", 0), 0);
+    let rule = ColdRule { limit: Some(BOUND), warmup_us: WARMUP_MS * MS };
+    pool.set_start_limits(rule, &Arc::new(share(&[1, 2, 3, 4, 5, 6], 1)));
+    pool.upsert_server(row("s0", 0), 0);
     let key = server_key(&row("s0", 0));
     for ticket in 0..5 {
         let ask = ask_now(MS);
-        let choice = pool.take(ticket, &ask, "z", MS, &mut || 0.5).expect("a warm server");
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Refused, MS);
+        let choice = pool.acquire_slot(ticket, &ask, "z", MS, &mut || 0.5).expect("a warm server");
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Refused, MS);
     }
     let asked = ask_now(2 * MS);
-    let choice = pool.take(9, &asked, "z", 2 * MS, &mut || 0.5).expect("a warm server");
+    let choice = pool.acquire_slot(9, &asked, "z", 2 * MS, &mut || 0.5).expect("a warm server");
     // Its slowness alone would be no reason.
     let expected_ms = 10.0 * choice.expected_ms;
-    assert!(!pool.worse("s0", key, &asked, expected_ms, 2 * MS));
-    pool.server("s0").expect("listed").hear_cold(Some(WARMUP_MS), 3 * MS);
-    assert!(pool.worse("s0", key, &asked, expected_ms, 3 * MS));
+    assert!(!pool.is_worse("s0", key, &asked, expected_ms, 2 * MS));
+    pool.server_mut("s0").expect("listed").record_warmup_left(Some(WARMUP_MS), 3 * MS);
+    assert!(pool.is_worse("s0", key, &asked, expected_ms, 3 * MS));
 }
 
 /// The entry of a server and its health answers contradict each other: the newer word counts.
 #[test]
 fn the_newer_word_on_being_cold_counts() {
     let mut state = ColdState::new(WARMUP_MS, 0);
-    assert!(!state.warm(MS));
+    assert!(!state.is_warm(MS));
     // One that never told that it is cold says nothing of it by silence.
-    state.hear_health(None, 2 * MS);
-    assert!(!state.warm(2 * MS));
-    state.hear_health(Some(2_000), 3 * MS);
-    state.hear_health(None, 4 * MS);
-    assert!(state.warm(4 * MS));
-    state.hear_entry(1_000, 5 * MS);
-    assert!(!state.warm(5 * MS));
-    state.hear_health(None, 6 * MS);
-    assert!(state.warm(6 * MS));
-    state.presume(WARMUP_MS * MS, 7 * MS);
-    assert!(!state.warm(7 * MS));
-    assert!(state.warm((7 + WARMUP_MS) * MS));
+    state.record_health(None, 2 * MS);
+    assert!(!state.is_warm(2 * MS));
+    state.record_health(Some(2_000), 3 * MS);
+    state.record_health(None, 4 * MS);
+    assert!(state.is_warm(4 * MS));
+    state.record_entry(1_000, 5 * MS);
+    assert!(!state.is_warm(5 * MS));
+    state.record_health(None, 6 * MS);
+    assert!(state.is_warm(6 * MS));
+    state.presume_cold(WARMUP_MS * MS, 7 * MS);
+    assert!(!state.is_warm(7 * MS));
+    assert!(state.is_warm((7 + WARMUP_MS) * MS));
 }
 
 /// A zone is given back cold before anybody said so, and its callers crash it.
@@ -199,20 +201,20 @@
 fn slowness_of_all_servers_is_counted_once() {
     let mut pool = ServicePool::default();
     for server in 0..12 {
-        pool.list(row(&format!("s{server}"), WARMUP_MS), 0);
+        pool.upsert_server(row(&format!("s{server}"), WARMUP_MS), 0);
     }
     let slow = LoadReport { running: 0, waiting: 0, pace_percent: 200 };
     for ticket in 0..400 {
         let now_us = (ticket + 1) * 5 * MS;
         let ask = ask_now(now_us);
-        let choice = pool.take(ticket, &ask, "z", now_us, &mut || 0.5);
+        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5);
         let choice = choice.unwrap_or_else(|| panic!("request {ticket} finds no place"));
-        let server = pool.server(&choice.server).expect("listed");
-        server.report(slow, now_us + MS);
-        server.hear_cold(Some(WARMUP_MS), now_us + MS);
+        let server = pool.server_mut(&choice.server).expect("listed");
+        server.record_load(slow, now_us + MS);
+        server.record_warmup_left(Some(WARMUP_MS), now_us + MS);
         // Usual work of 220 ms, of 600 that it may take.
         assert!(choice.expected_ms < 600.0, "request {ticket}: {choice:?}");
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us + 440 * MS);
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + 440 * MS);
     }
     let usual_ms = pool.typical_ms(&ask_now(0));
     assert!((200.0..280.0).contains(&usual_ms), "{usual_ms} ms");
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use sorrelwick::balance::Ask;
-use sorrelwick::balance::RepeatAllowance;
+use sorrelwick::balance::RequestSpec;
+use sorrelwick::balance::RetryAllowance;
 use sorrelwick::balance::ServicePool;
 use sorrelwick::board::Blackboard;
 use sorrelwick::conf::parse_settings;
@@ -21,8 +21,7 @@
 use sorrelwick::peer::ServerLoadRow;
 use sorrelwick::peer::ServerLoads;
 
-const ALLOWANCE: RepeatAllowance =
-    RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
 
 fn row(number: usize, slots: u32) -> ServerRow {
     ServerRow {
@@ -179,27 +178,27 @@
     let ask_with_waiting = |waiting: u64| {
         let mut pool = ServicePool::default();
         for number in 0..360 {
-            pool.list(row(number, 4), 0);
+            pool.upsert_server(row(number, 4), 0);
         }
-        let ask = Ask {
+        let ask = RequestSpec {
             route: "lookup".into(),
             workspace: None,
             priority: 2,
-            aim_ms: 60_000.0,
+            target_ms: 60_000.0,
             arrived_us: 1_000,
-            spent_us: 0,
+            spent_before_us: 0,
             deadline_us: 120_000_000,
-            avoid: smallvec::SmallVec::new(),
+            tried_servers: smallvec::SmallVec::new(),
         };
         let mut ticket = 0;
-        while pool.take(ticket, &ask, "burnaby", 1_000, &mut || 0.5).is_some() {
+        while pool.acquire_slot(ticket, &ask, "burnaby", 1_000, &mut || 0.5).is_some() {
             ticket += 1;
         }
         for number in 0..waiting {
             pool.enqueue(ticket + number, ask.clone(), 1_000).expect("its aim is far off");
         }
         shortest(|| {
-            let served = pool.serve_waiting("burnaby", 1_000, &mut || 0.5);
+            let served = pool.dispatch_queued("burnaby", 1_000, &mut || 0.5);
             assert!(served.is_none());
         })
     };
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -2,12 +2,12 @@
 //! counts where they must win, and without allocation where requests pass.
 
 use sorrelwick::decide::Admission;
-use sorrelwick::decide::Finish;
+use sorrelwick::decide::AttemptOutcome;
 use sorrelwick::decide::QueueView;
 use sorrelwick::decide::RatioBudget;
-use sorrelwick::decide::Reach;
 use sorrelwick::decide::RetryView;
 use sorrelwick::decide::ServerLoad;
+use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::SlotPool;
 use sorrelwick::decide::admit;
 use sorrelwick::decide::choose;
@@ -38,7 +38,7 @@
             loads.push(load);
         }
         let in_flight: Vec<u32> = loads.iter().map(|load| load.in_flight).collect();
-        let ours = choose(&loads, Reach::Kept, &[], 0.0, u.choose_index(count)?, NOW_US);
+        let ours = choose(&loads, ServerScope::Own, &[], 0.0, u.choose_index(count)?, NOW_US);
         let naive = naive::least_in_flight(&in_flight).expect("a server");
         assert_eq!(in_flight[ours.expect("room everywhere")], in_flight[naive]);
         Ok(())
@@ -54,7 +54,7 @@
         for _ in 0..u.int_in_range(1..=8)? {
             let mut load = ServerLoad::warm(u.int_in_range(1..=3)?);
             load.closed = u.ratio(1, 5)?;
-            load.kept = !u.ratio(1, 5)?;
+            load.is_keeper = !u.ratio(1, 5)?;
             loads.push(load);
         }
         let mut pool = SlotPool::new(loads, 7);
@@ -64,9 +64,9 @@
             now_us += u.int_in_range(0..=3_000)?;
             if u.ratio(1, 2)? {
                 let avoid = [u.int_in_range(0..=8)?];
-                if let Some(index) = pool.take(Reach::Kept, &avoid, now_us) {
+                if let Some(index) = pool.acquire_slot(ServerScope::Own, &avoid, now_us) {
                     let load = &pool.loads()[index];
-                    assert!(load.kept && !load.closed && index != avoid[0]);
+                    assert!(load.is_keeper && !load.closed && index != avoid[0]);
                     assert!(load.in_flight <= load.slots);
                     held.push(index);
                 }
@@ -74,12 +74,12 @@
                 let index = held.swap_remove(u.choose_index(held.len())?);
                 let latency_us = u.int_in_range(1..=50_000)?;
                 let ends = [
-                    Finish::Answered { latency_us },
-                    Finish::Failed,
-                    Finish::Refused,
-                    Finish::Cancelled,
+                    AttemptOutcome::Answered { latency_us },
+                    AttemptOutcome::Failed,
+                    AttemptOutcome::Refused,
+                    AttemptOutcome::Cancelled,
                 ];
-                pool.finish(index, *u.choose(&ends)?, now_us);
+                pool.release_slot(index, *u.choose(&ends)?, now_us);
             }
             let in_flight: u32 = pool.loads().iter().map(|load| load.in_flight).sum();
             assert_eq!(in_flight as usize, held.len());
@@ -96,17 +96,22 @@
     let mut to_failing = 0;
     for turn in 0..2_000_u64 {
         let now_us = NOW_US + turn * 200;
-        let index = pool.take(Reach::Kept, &[], now_us).expect("room");
+        let index = pool.acquire_slot(ServerScope::Own, &[], now_us).expect("room");
         to_failing += u64::from(index == 0);
-        let finish = if index == 0 { Finish::Failed } else { Finish::Answered { latency_us: 150 } };
-        pool.finish(index, finish, now_us + 150);
+        let finish = if index == 0 {
+            AttemptOutcome::Failed
+        } else {
+            AttemptOutcome::Answered { latency_us: 150 }
+        };
+        pool.release_slot(index, finish, now_us + 150);
     }
     assert!(to_failing <= 10, "{to_failing} of 2,000 went to the failing server");
     let mut pool = SlotPool::new(vec![ServerLoad::warm(4); 6], 1);
     for turn in 0..500_u64 {
         let now_us = NOW_US + turn * 200;
-        let index = pool.take(Reach::Kept, &[], now_us).expect("some server is always left");
-        pool.finish(index, Finish::Failed, now_us + 150);
+        let index =
+            pool.acquire_slot(ServerScope::Own, &[], now_us).expect("some server is always left");
+        pool.release_slot(index, AttemptOutcome::Failed, now_us + 150);
     }
 }
 
@@ -118,11 +123,11 @@
     let mut used = [0; 6];
     for turn in 0..1_500_u64 {
         let now_us = NOW_US + turn * 2_000;
-        let index = pool.take(Reach::Kept, &[], now_us).expect("room");
+        let index = pool.acquire_slot(ServerScope::Own, &[], now_us).expect("room");
         used[index] += 1;
         // Each server is a little different, and the first was very slow in the beginning.
         let latency_us = 900 + 30 * index as u64 + if index == 0 && turn < 50 { 9_000 } else { 0 };
-        pool.finish(index, Finish::Answered { latency_us }, now_us + 1_000);
+        pool.release_slot(index, AttemptOutcome::Answered { latency_us }, now_us + 1_000);
     }
     assert!(used.iter().all(|count| *count > 50), "{used:?}");
 }
@@ -135,8 +140,8 @@
         let requests = u.int_in_range(1..=5_000)?;
         let mut spent = 0;
         for _ in 0..requests {
-            budget.earn();
-            spent += u32::from(budget.spend());
+            budget.record_request();
+            spent += u32::from(budget.try_spend());
         }
         assert!(f64::from(spent) <= 11.0 + 0.02 * f64::from(requests), "{spent} of {requests}");
         Ok(())
@@ -151,13 +156,13 @@
             idempotent: u.arbitrary()?,
             not_run: u.arbitrary()?,
             attempts: u.int_in_range(0..=5)?,
-            left_us: u.arbitrary()?,
-            typical_us: 10.0,
-            budget_left: u.arbitrary()?,
+            remaining_us: u.arbitrary()?,
+            median_service_us: 10.0,
+            has_budget_left: u.arbitrary()?,
         };
         if may_retry(&view) {
             assert!(view.idempotent || view.not_run);
-            assert!(view.budget_left && view.attempts < 3);
+            assert!(view.has_budget_left && view.attempts < 3);
         }
         Ok(())
     });
@@ -172,13 +177,13 @@
             waiting: u.int_in_range(0..=2_000)?,
             waiting_max: 1_000,
             slots: u.int_in_range(0..=100)?,
-            typical_us: f32::from(u.arbitrary::<u16>()?),
-            left_us: u.int_in_range(0..=2_000_000)?,
+            median_service_us: f32::from(u.arbitrary::<u16>()?),
+            remaining_us: u.int_in_range(0..=2_000_000)?,
         };
         match admit(&view) {
             Admission::Wait { at_most_us } => {
                 assert!(view.slots > 0 && view.waiting < view.waiting_max);
-                assert!(at_most_us > 0 && at_most_us <= view.left_us);
+                assert!(at_most_us > 0 && at_most_us <= view.remaining_us);
             }
             Admission::QueueFull { retry_after_ms }
             | Admission::TooLate { retry_after_ms }
@@ -195,8 +200,8 @@
     let seen = allocation_counter::measure(|| {
         for turn in 0..1_000 {
             let now_us = NOW_US + turn * 100;
-            let index = pool.take(Reach::Kept, &[3], now_us).expect("room");
-            pool.finish(index, Finish::Answered { latency_us: 90 }, now_us + 90);
+            let index = pool.acquire_slot(ServerScope::Own, &[3], now_us).expect("room");
+            pool.release_slot(index, AttemptOutcome::Answered { latency_us: 90 }, now_us + 90);
         }
     });
     assert_eq!(seen.count_total, 0);
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use arc_swap::ArcSwapOption;
-use sorrelwick::balance::Ask;
-use sorrelwick::balance::RepeatAllowance;
+use sorrelwick::balance::RequestSpec;
+use sorrelwick::balance::RetryAllowance;
 use sorrelwick::board::Blackboard;
 use sorrelwick::gateway::Dispatcher;
 use sorrelwick::gateway::Mirror;
@@ -31,8 +31,7 @@
 /// Half of the bound that operators set by default.
 const IN_FORCE: Duration = Duration::from_millis(2_500);
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const ALLOWANCE: RepeatAllowance =
-    RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
 
 fn row(id: &str, zone: &str) -> ServerRow {
     // Each at an address of its own.
@@ -50,17 +49,17 @@
     }
 }
 
-fn ask() -> Ask {
+fn ask() -> RequestSpec {
     let now_us = sorrelwick::clock::now_us();
-    Ask {
+    RequestSpec {
         route: "look".into(),
         workspace: None,
         priority: 1,
-        aim_ms: 600.0,
+        target_ms: 600.0,
         arrived_us: now_us,
-        spent_us: 0,
+        spent_before_us: 0,
         deadline_us: now_us + 1_500_000,
-        avoid: smallvec::SmallVec::new(),
+        tried_servers: smallvec::SmallVec::new(),
     }
 }
 
--- a/tests/load_words.rs
+++ b/tests/load_words.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use sorrelwick::balance::Ask;
-use sorrelwick::balance::RepeatAllowance;
+use sorrelwick::balance::RequestSpec;
+use sorrelwick::balance::RetryAllowance;
 use sorrelwick::board::Blackboard;
 use sorrelwick::gateway::Dispatcher;
 use sorrelwick::gateway::LoadShare;
@@ -94,16 +94,16 @@
 }
 
 /// A request that lasts.
-fn long_ask() -> Ask {
-    Ask {
+fn long_ask() -> RequestSpec {
+    RequestSpec {
         route: "look".into(),
         workspace: None,
         priority: 1,
-        aim_ms: 60_000.0,
+        target_ms: 60_000.0,
         arrived_us: sorrelwick::clock::now_us(),
-        spent_us: 0,
+        spent_before_us: 0,
         deadline_us: u64::MAX,
-        avoid: smallvec::SmallVec::new(),
+        tried_servers: smallvec::SmallVec::new(),
     }
 }
 
@@ -115,7 +115,7 @@
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
-    let allowance = RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+    let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
     let dispatcher = Dispatcher::new("a", allowance);
     (1..=SERVERS).for_each(|port| dispatcher.list_server(server(port)));
     let servers = dispatcher.servers();
@@ -164,7 +164,7 @@
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
-    let allowance = RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+    let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
     let dispatcher = Dispatcher::new("a", allowance);
     dispatcher.list_server(server(1));
     let links = Recorder::default();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -4,9 +4,9 @@
 
 use sorrelwick::board::Blackboard;
 use sorrelwick::board::Counter;
-use sorrelwick::decide::Candidate;
-use sorrelwick::decide::homes_of;
-use sorrelwick::decide::keepers_of;
+use sorrelwick::decide::HomeCandidate;
+use sorrelwick::decide::assign_keepers;
+use sorrelwick::decide::select_homes;
 use sorrelwick::member::MemberRow;
 use sorrelwick::member::MemberState;
 use sorrelwick::member::MemberTable;
@@ -97,31 +97,31 @@
         let mut all = Vec::new();
         for at in 0..members {
             let incarnation = (at as u64) << 32 | u64::from(u.arbitrary::<u32>()?);
-            all.push(Candidate { incarnation, zone: zones[at % 3] });
+            all.push(HomeCandidate { incarnation, zone: zones[at % 3] });
         }
         let slots = u.int_in_range(0..=200)?;
         let zone_slots = [("a", 40), ("b", slots)];
-        let homes = homes_of("orders", &all, &zone_slots);
+        let homes = select_homes("orders", &all, &zone_slots);
         assert!(homes.len() >= 2.min(members));
         let in_b = all.iter().filter(|one| one.zone == "b").count();
         let homes_in_b = homes.iter().filter(|&&at| all[at].zone == "b").count();
         assert!(homes_in_b >= in_b.min(slots.div_ceil(64).max(1) as usize));
-        let chosen: Vec<Candidate<'_>> = homes.iter().map(|&at| all[at]).collect();
+        let chosen: Vec<HomeCandidate<'_>> = homes.iter().map(|&at| all[at]).collect();
         let servers: Vec<(String, &str)> =
             (0..30).map(|at| (format!("b{at}"), zones[at % 3])).collect();
         let named: Vec<(&str, &str)> =
             servers.iter().map(|(id, zone)| (id.as_str(), *zone)).collect();
-        let keepers = keepers_of(&named, &chosen);
+        let keepers = assign_keepers(&named, &chosen);
         assert_eq!(keepers.len(), 30);
         for home in 0..chosen.len() {
             let kept = keepers.iter().filter(|keeper| **keeper == home).count();
             assert!(kept <= 30_usize.div_ceil(chosen.len()));
         }
         let gone = u.choose_index(members)?;
-        let rest: Vec<Candidate<'_>> =
+        let rest: Vec<HomeCandidate<'_>> =
             all.iter().enumerate().filter(|(at, _)| *at != gone).map(|(_, c)| *c).collect();
         if !homes.contains(&gone) {
-            let after: Vec<u64> = homes_of("orders", &rest, &zone_slots)
+            let after: Vec<u64> = select_homes("orders", &rest, &zone_slots)
                 .iter()
                 .map(|&at| rest[at].incarnation)
                 .collect();
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use arbtest::arbitrary::Arbitrary;
-use sorrelwick::balance::Ask;
-use sorrelwick::balance::RepeatAllowance;
+use sorrelwick::balance::RequestSpec;
+use sorrelwick::balance::RetryAllowance;
 use sorrelwick::gateway::Dispatcher;
 use sorrelwick::gateway::Grant;
 use sorrelwick::gateway::Mirror;
@@ -27,7 +27,7 @@
 
 impl Bed {
     fn new() -> Self {
-        let allowance = RepeatAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+        let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
         let dispatcher = Dispatcher::new("z", allowance);
         let mirror = Mirror::new(ServerSink::new(PlainDialect::default(), dispatcher.clone()));
         Self { dispatcher, mirror, revision: 0 }
@@ -48,15 +48,15 @@
 
     /// A slot, if one is free now.
     fn slot(&self) -> Option<Grant> {
-        let ask = Ask {
+        let ask = RequestSpec {
             route: "look".into(),
             workspace: None,
             priority: 1,
-            aim_ms: 500.0,
+            target_ms: 500.0,
             arrived_us: sorrelwick::clock::now_us(),
-            spent_us: 0,
+            spent_before_us: 0,
             deadline_us: u64::MAX,
-            avoid: smallvec::SmallVec::new(),
+            tried_servers: smallvec::SmallVec::new(),
         };
         self.dispatcher.try_acquire_spare("s", &ask)
     }
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sorrelwick::balance::SendEnd;
+use sorrelwick::balance::SendOutcome;
 use sorrelwick::balance::ServicePool;
 use sorrelwick::cold::ColdRule;
-use sorrelwick::limit::LIMIT_SPAN_US;
-use sorrelwick::limit::LimitUnreadable;
-use sorrelwick::limit::NamedLimit;
+use sorrelwick::limit::AdvertisedLimit;
+use sorrelwick::limit::InvalidRateLimit;
+use sorrelwick::limit::LIMIT_WINDOW_US;
 use sorrelwick::limit::RateLimit;
 use sorrelwick::model::Heard;
 use sorrelwick::starts::HomeShare;
@@ -90,16 +90,16 @@
 fn pool(homes: &[u64], own: u64, servers: &[&str]) -> ServicePool {
     let mut pool = ServicePool::default();
     let share = HomeShare { homes: Some(homes.to_vec()), own };
-    pool.share_starts(ColdRule::default(), &Arc::new(share));
+    pool.set_start_limits(ColdRule::default(), &Arc::new(share));
     for id in servers {
-        pool.list(ready_row(id), 0);
+        pool.upsert_server(ready_row(id), 0);
     }
     pool
 }
 
 fn name_limit(pool: &mut ServicePool, id: &str, text: &str, now_us: u64) {
-    let server = pool.server(id).expect("listed");
-    server.bounds.limit.hear(Heard::Answer, Some(limit(text)), now_us);
+    let server = pool.server_mut(id).expect("listed");
+    server.start_limits.rate_limit.record(Heard::Answer, Some(limit(text)), now_us);
 }
 
 /// A field that names no rate is taken for one.
@@ -109,23 +109,23 @@
         assert_eq!(text.parse().map(RateLimit::per_s), Ok(per_s), "{text}");
     }
     for text in ["", "-1", "NaN", "inf", "1/s", "1,2"] {
-        assert_eq!(text.parse::<RateLimit>(), Err(LimitUnreadable), "{text}");
+        assert_eq!(text.parse::<RateLimit>(), Err(InvalidRateLimit), "{text}");
     }
 }
 
 /// Health answers that never name a limit end the one that answers to requests name.
 #[test]
 fn silence_ends_a_limit_only_where_it_was_named() {
-    let mut named = NamedLimit::default();
-    assert!(named.hear(Heard::Answer, Some(limit("1.2")), 1));
-    assert!(!named.hear(Heard::Check, None, 2));
-    assert_eq!(named.limit(), Some(limit("1.2")));
-    assert!(named.hear(Heard::Answer, None, 3));
-    assert_eq!(named.limit(), None);
-    assert!(named.hear(Heard::Check, Some(limit("2")), 4));
+    let mut named = AdvertisedLimit::default();
+    assert!(named.record(Heard::Answer, Some(limit("1.2")), 1));
+    assert!(!named.record(Heard::Check, None, 2));
+    assert_eq!(named.current(), Some(limit("1.2")));
+    assert!(named.record(Heard::Answer, None, 3));
+    assert_eq!(named.current(), None);
+    assert!(named.record(Heard::Check, Some(limit("2")), 4));
     assert_eq!(named.age_us(7), Some(3));
-    assert!(named.hear(Heard::Check, None, 8));
-    assert_eq!((named.limit(), named.age_us(9)), (None, None));
+    assert!(named.record(Heard::Check, None, 8));
+    assert_eq!((named.current(), named.age_us(9)), (None, None));
 }
 
 /// A server in need goes on getting its usual load, as its word is not kept by all instances together.
@@ -155,8 +155,8 @@
         let mut after = before[replaced..].to_vec();
         after.extend((0..replaced).map(|home| 1_000 + home as u64));
         let part = |homes: &[u64], own: u64| {
-            let part = HomeShare { homes: Some(homes.to_vec()), own }.part(key);
-            part.of(limit.starts_borne(part.homes()))
+            let part = HomeShare { homes: Some(homes.to_vec()), own }.start_share(key);
+            part.of(limit.starts_tolerated(part.homes()))
         };
         // Each counts its own starts, before and after.
         let all = before.iter().chain(after.iter().filter(|home| **home >= 1_000));
@@ -177,9 +177,15 @@
     for now_us in (0..60 * SECOND_US).step_by(5_000) {
         for (pool, ticket) in pools.iter_mut().zip(now_us..) {
             let ask = ask_now(now_us);
-            if let Some(choice) = pool.take(ticket, &ask, "z", now_us, &mut || 0.5) {
+            if let Some(choice) = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5) {
                 started_us.push(now_us);
-                pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us + MS);
+                pool.finish_request(
+                    &choice.server,
+                    ticket,
+                    &ask,
+                    SendOutcome::Answered,
+                    now_us + MS,
+                );
             }
         }
     }
@@ -204,7 +210,7 @@
         assert!(used_per_s >= 0.9 * per_s, "{used_per_s} a second of {text}");
         // Nobody waits for longer than the span until its next start.
         let pauses = started_us.windows(2).map(|pair| pair[1] - pair[0]);
-        assert!(pauses.max().is_some_and(|pause_us| pause_us <= LIMIT_SPAN_US), "{text}");
+        assert!(pauses.max().is_some_and(|pause_us| pause_us <= LIMIT_WINDOW_US), "{text}");
     }
 }
 
@@ -217,9 +223,9 @@
     for ticket in 0..400 {
         let now_us = ticket * 50 * MS;
         let ask = ask_now(now_us);
-        let choice = pool.take(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
+        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
         of_needy += u32::from(&*choice.server == "s0");
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us + 40 * MS);
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + 40 * MS);
     }
     // 20 seconds; its limit is kept to the request.
     assert!((10..=20).contains(&of_needy), "{of_needy} in 20 s");
@@ -233,8 +239,8 @@
     for ticket in 1..100 {
         let now_us = ticket * MS;
         let ask = ask_now(now_us);
-        let choice = pool.take(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Unsent, now_us);
+        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Unsent, now_us);
     }
 }
 
@@ -249,13 +255,13 @@
     let now_us = 10 * SECOND_US;
     for ticket in 0..2 {
         let ask = ask_now(now_us);
-        let choice = pool.take(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
-        pool.finish(&choice.server, ticket, &ask, SendEnd::Answered, now_us + 50 * MS);
+        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
+        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + 50 * MS);
     }
     // The next start is due when the starts of the span, spread evenly, let it.
-    let pause_us = LIMIT_SPAN_US / u64::from(limit("1").starts_borne(1));
+    let pause_us = LIMIT_WINDOW_US / u64::from(limit("1").starts_tolerated(1));
     let soon_us = now_us + 60 * MS;
-    assert!(pool.take(90, &ask_now(soon_us), "z", soon_us, &mut || 0.5).is_none());
+    assert!(pool.acquire_slot(90, &ask_now(soon_us), "z", soon_us, &mut || 0.5).is_none());
     let refused = pool.enqueue(90, ask_now(soon_us), soon_us).expect_err("nobody may begin on it");
     assert!(!refused.no_server);
     let left_ms = (now_us + pause_us - soon_us) / MS;
@@ -270,8 +276,8 @@
 fn the_queue_before_servers_in_need_is_as_short_as_their_limits() {
     let mut pool = pool(&[1], 1, &["s0"]);
     let warm = ask_now(0);
-    let choice = pool.take(0, &warm, "z", 0, &mut || 0.5).expect("room");
-    pool.finish(&choice.server, 0, &warm, SendEnd::Answered, 200 * MS);
+    let choice = pool.acquire_slot(0, &warm, "z", 0, &mut || 0.5).expect("room");
+    pool.finish_request(&choice.server, 0, &warm, SendOutcome::Answered, 200 * MS);
     name_limit(&mut pool, "s0", "4", 200 * MS);
     let now_us = 5 * SECOND_US;
     let admitted = (1..40).filter(|ticket| pool.enqueue(*ticket, ask_now(now_us), now_us).is_ok());
@@ -285,7 +291,7 @@
 fn an_instance_that_may_begin_nothing_refuses_for_a_moment_only() {
     let mut pool = pool(&[1, 2, 3], 4, &["s0"]);
     name_limit(&mut pool, "s0", "1", 0);
-    assert!(pool.take(1, &ask_now(MS), "z", MS, &mut || 0.5).is_none());
+    assert!(pool.acquire_slot(1, &ask_now(MS), "z", MS, &mut || 0.5).is_none());
     let refused = pool.enqueue(1, ask_now(MS), MS).expect_err("it may begin nothing there");
     assert!(!refused.no_server);
     assert!(refused.retry_after_ms <= 100, "{refused:?}");
--- a/tests/server_rests.rs
+++ b/tests/server_rests.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use sorrelwick::balance::SendEnd;
+use sorrelwick::balance::SendOutcome;
 use sorrelwick::balance::ServicePool;
 use sorrelwick::balance::server_key;
 use sorrelwick::model::ServerRow;
@@ -78,15 +78,15 @@
 fn while_all_servers_rest_callers_are_told_when_the_first_is_back() {
     let mut pool = ServicePool::default();
     for (id, rest) in [("s0", REST), ("s1", REST / 2)] {
-        pool.list(ready_row(id), 0).bounds.rest(rest, 0);
+        pool.upsert_server(ready_row(id), 0).start_limits.start_cooldown(rest, 0);
     }
-    assert!(pool.take(1, &ask_now(MS), "z", MS, &mut || 0.5).is_none());
+    assert!(pool.acquire_slot(1, &ask_now(MS), "z", MS, &mut || 0.5).is_none());
     let refused = pool.enqueue(1, ask_now(MS), MS).expect_err("nobody may begin on it in time");
     assert!(!refused.no_server);
     assert_eq!(refused.retry_after_ms, 1_499);
     let nearly_us = 1_400 * MS;
     pool.enqueue(2, ask_now(nearly_us), nearly_us).expect("one is back in time");
-    let (_, choice) = pool.serve_waiting("z", 1_501 * MS, &mut || 0.5).expect("it is back");
+    let (_, choice) = pool.dispatch_queued("z", 1_501 * MS, &mut || 0.5).expect("it is back");
     assert_eq!(&*choice.server, "s1");
 }
 
@@ -94,24 +94,24 @@
 #[test]
 fn a_server_that_begins_to_rest_after_the_choice_is_no_place_any_more() {
     let mut pool = ServicePool::default();
-    pool.list(ready_row("s0"), 0);
+    pool.upsert_server(ready_row("s0"), 0);
     let (first, second) = (ask_now(MS), ask_now(MS));
-    let choice = pool.take(1, &first, "z", MS, &mut || 0.5).expect("room");
-    pool.take(2, &second, "z", MS, &mut || 0.5).expect("room");
+    let choice = pool.acquire_slot(1, &first, "z", MS, &mut || 0.5).expect("room");
+    pool.acquire_slot(2, &second, "z", MS, &mut || 0.5).expect("room");
     let key = server_key(&ready_row("s0"));
-    assert!(!pool.worse("s0", key, &second, choice.expected_ms, 2 * MS));
-    pool.finish("s0", 1, &first, SendEnd::Refused, 2 * MS);
-    pool.server("s0").expect("listed").bounds.rest(REST, 2 * MS);
-    assert!(pool.worse("s0", key, &second, 10.0 * choice.expected_ms, 3 * MS));
+    assert!(!pool.is_worse("s0", key, &second, choice.expected_ms, 2 * MS));
+    pool.finish_request("s0", 1, &first, SendOutcome::Refused, 2 * MS);
+    pool.server_mut("s0").expect("listed").start_limits.start_cooldown(REST, 2 * MS);
+    assert!(pool.is_worse("s0", key, &second, 10.0 * choice.expected_ms, 3 * MS));
 }
 
 /// A server that starts again under its id is left alone for the rest that its start before asked for.
 #[test]
 fn a_later_start_of_a_server_does_not_rest() {
     let mut pool = ServicePool::default();
-    pool.list(ready_row("s0"), 0).bounds.rest(REST, 0);
-    pool.list(ServerRow { started_ms: 1, ..ready_row("s0") }, MS);
-    assert!(pool.take(1, &ask_now(2 * MS), "z", 2 * MS, &mut || 0.5).is_some());
+    pool.upsert_server(ready_row("s0"), 0).start_limits.start_cooldown(REST, 0);
+    pool.upsert_server(ServerRow { started_ms: 1, ..ready_row("s0") }, MS);
+    assert!(pool.acquire_slot(1, &ask_now(2 * MS), "z", 2 * MS, &mut || 0.5).is_some());
 }
 
 /// At the product's own interface too, a server that turns requests away is sent to again at once.
