--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -311,7 +311,7 @@
             let lives = matches!(result, SendResult::TimedOut)
                 && self.dispatcher.reported_load_since(&server, started_us);
             if result.without_response() && !lives {
-                let looked = request.failed_send(&server).check_server(trial);
+                let looked = request.failed_send(&server).check_for_crash(trial);
                 let goes_on = request.route.idempotent() && request.remaining_ms() > 0;
                 if goes_on {
                     // Still looking after that, it goes on by itself.
--- a/src/quarantine/admitted_send.rs
+++ b/src/quarantine/admitted_send.rs
@@ -38,8 +38,8 @@
     }
 
     /// Records that the server crashed before its response was complete.
-    pub fn record_crash(&self, server: u32) {
-        self.quarantine.record_crash(self, server);
+    pub fn record_crash(&self, server_hash: u32) {
+        self.quarantine.record_crash(self, server_hash);
     }
 
     /// Records that the server gave a complete response.
--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -37,7 +37,7 @@
     /// A connection closes without a response if the server crashed, or if a running server lost the
     /// response or reset the connection. Only a crashed server refuses the next connection.
     #[must_use = "the check continues when this is dropped; a retry waits for it"]
-    pub fn check_server(self, admitted_send: Arc<AdmittedSend>) -> JoinHandle<()> {
+    pub fn check_for_crash(self, admitted_send: Arc<AdmittedSend>) -> JoinHandle<()> {
         tokio::spawn(async move {
             let crashed = accepts_no_connection(self.address).await;
             let [exact, by_caller, content] = admitted_send.fingerprints().to_hex();
--- a/src/quarantine/pending_send.rs
+++ b/src/quarantine/pending_send.rs
@@ -24,6 +24,6 @@
     /// The response was cut short: checks whether the server has crashed.
     #[must_use = "the check continues when this is dropped"]
     pub fn record_truncated(self) -> JoinHandle<()> {
-        self.failed_send.check_server(self.send)
+        self.failed_send.check_for_crash(self.send)
     }
 }
--- a/src/quarantine/quarantine.rs
+++ b/src/quarantine/quarantine.rs
@@ -126,14 +126,15 @@
     fn record_crash(
         &mut self,
         admitted_send: &AdmittedSend,
-        server: u32,
+        server_hash: u32,
         now_us: u64,
     ) -> Vec<Fingerprint> {
         let mut quarantined = Vec::new();
         for (scope, known) in FingerprintScope::ALL.into_iter().zip(admitted_send.known_crashes) {
             let fingerprint = admitted_send.fingerprints.in_scope(scope);
             let variant = admitted_send.fingerprints.variant_in(scope);
-            let crash = Crash { level: known.level.saturating_add(1), server, variant };
+            let crash =
+                Crash { level: known.level.saturating_add(1), server: server_hash, variant };
             let last_response_us = self.last_response_us.get(&admitted_send.service_hash).copied();
             let entry = self.entry_or_insert(fingerprint, now_us, now_us);
             let others_served = last_response_us.is_some_and(|at| at > entry.known_since_us);
@@ -280,8 +281,9 @@
         }
     }
 
-    pub(super) fn record_crash(&self, admitted_send: &AdmittedSend, server: u32) {
-        let quarantined = self.update(|state| state.record_crash(admitted_send, server, now_us()));
+    pub(super) fn record_crash(&self, admitted_send: &AdmittedSend, server_hash: u32) {
+        let quarantined =
+            self.update(|state| state.record_crash(admitted_send, server_hash, now_us()));
         self.0.updates_pending.notify_one();
         if !quarantined.is_empty() {
             self.0.quarantine_pending.notify_one();
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -342,7 +342,7 @@
             self.handle_leaving_server(state, &upstream.id);
         }
         if answer.outcome == Outcome::Unknown {
-            let crash_check = proxy_request.failed_send(&upstream).check_server(admitted_send);
+            let crash_check = proxy_request.failed_send(&upstream).check_for_crash(admitted_send);
             if proxy_request.idempotent && proxy_request.remaining_us() > 0 {
                 // Still looking after that, it goes on by itself.
                 let _ = tokio::time::timeout(CRASH_CHECK_WAIT, crash_check).await;
