--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -23,24 +23,24 @@
 use crate::gateway::AddressHandler;
 use crate::gateway::Admission;
 use crate::gateway::CallerHandler;
-use crate::gateway::CopyAge;
 use crate::gateway::CurrentRouteTable;
 use crate::gateway::Dialect;
 use crate::gateway::Dispatcher;
 use crate::gateway::Follower;
 use crate::gateway::Forwarder;
 use crate::gateway::HomePlanner;
-use crate::gateway::LoadShare;
+use crate::gateway::LoadReporter;
 use crate::gateway::MemoryBudget;
 use crate::gateway::Mirror;
+use crate::gateway::MirrorAge;
 use crate::gateway::OperatorSink;
 use crate::gateway::Prober;
+use crate::gateway::QuarantineStore;
 use crate::gateway::QuotaLimiter;
 use crate::gateway::ReadinessHandler;
 use crate::gateway::Registry;
 use crate::gateway::ServerSink;
 use crate::gateway::SpentTimeEstimator;
-use crate::gateway::SuspectKeeper;
 use crate::gateway::run_store_check;
 use crate::listener::HttpListener;
 use crate::member::MemberState;
@@ -134,7 +134,7 @@
 
 /// What this instance knows of the store, for itself and for others that ask.
 struct Copies<D> {
-    config_age: Arc<CopyAge>,
+    config_age: Arc<MirrorAge>,
     config: Arc<Mirror<OperatorSink<D>>>,
     servers: Arc<Mirror<ServerSink<D>>>,
 }
@@ -150,7 +150,7 @@
     dispatcher: &Dispatcher,
 ) -> Copies<D> {
     let keys = dialect.store_keys();
-    let config_age = Arc::new(CopyAge::default());
+    let config_age = Arc::new(MirrorAge::default());
     let operators = OperatorSink {
         dialect: dialect.clone(),
         table: Arc::clone(table),
@@ -208,16 +208,16 @@
         let (config_copy, servers_copy) = (Arc::clone(&config), Arc::clone(&servers));
         let checked = run_store_check(store.clone(), Arc::clone(&board), config_copy, servers_copy);
         tasks.spawn(checked);
-        let keeper = SuspectKeeper {
+        let keeper = QuarantineStore {
             dialect: dialect.clone(),
             store: store.clone(),
             board: Arc::clone(&board),
         };
         if !gateway.first_start {
             // At the first start of all there is nothing to read.
-            tasks.spawn(keeper.clone().read());
+            tasks.spawn(keeper.clone().load_when_first_home());
         }
-        tasks.spawn(keeper.write_all());
+        tasks.spawn(keeper.run_writer());
         let registry = Registry { dialect: dialect.clone(), store, board: Arc::clone(&board) };
         tasks.spawn(registry.clone().run());
         tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
@@ -237,7 +237,7 @@
         };
         tasks.spawn(prober.run());
 
-        let load_share = LoadShare {
+        let load_share = LoadReporter {
             board: Arc::clone(&board),
             links: links.clone(),
             dispatcher: dispatcher.clone(),
--- a/src/gateway/address_claims.rs
+++ b/src/gateway/address_claims.rs
@@ -25,7 +25,7 @@
 
     /// A server is gone, or another one answered at its address; returns who holds the address now, if
     /// that changed.
-    pub(super) fn give_up(&mut self, address: SocketAddr, id: &str) -> Option<Arc<str>> {
+    pub(super) fn release(&mut self, address: SocketAddr, id: &str) -> Option<Arc<str>> {
         let claims = self.by_address.get_mut(&address)?;
         let held = claims.last().is_some_and(|holder| **holder == *id);
         claims.retain(|claimant| **claimant != *id);
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -6,7 +6,7 @@
 use super::Caller;
 use super::RouteTable;
 use super::caller_handler::CurrentRouteTable;
-use super::copy_age::CopyAge;
+use super::mirror_age::MirrorAge;
 use super::reply::LocalReply;
 use crate::conf::GatewaySettings;
 use crate::errors::Code;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub table: CurrentRouteTable,
-    age: Arc<CopyAge>,
+    age: Arc<MirrorAge>,
     /// A version is in force everywhere within this.
     config_apply: Duration,
     /// For so long a key may be served after it was taken away; not bounded without.
@@ -36,7 +36,7 @@
 impl Admission {
     /// Relies on `table` as far as `age` and the bounds of the settings allow.
     #[must_use]
-    pub fn new(table: CurrentRouteTable, age: Arc<CopyAge>, settings: &GatewaySettings) -> Self {
+    pub fn new(table: CurrentRouteTable, age: Arc<MirrorAge>, settings: &GatewaySettings) -> Self {
         Self {
             table,
             age,
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -5,7 +5,7 @@
 
 use http::HeaderName;
 
-use super::ReadTable;
+use super::ParsedConfig;
 use super::RouteTable;
 use crate::model::LoadReport;
 use crate::model::ServerRow;
@@ -87,8 +87,8 @@
         &self,
         value: &[u8],
         before: Option<&RouteTable>,
-    ) -> Result<ReadTable, String> {
-        RouteTable::read(value, before)
+    ) -> Result<ParsedConfig, String> {
+        RouteTable::parse(value, before)
     }
 
     /// A version of the configuration with the hashes of keys in their place, as it is kept and handed
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -38,7 +38,7 @@
     }
 
     fn release_address(&mut self, row: &ServerRow) {
-        if let Some(holder) = self.claims.give_up(row.address, &row.id) {
+        if let Some(holder) = self.claims.release(row.address, &row.id) {
             self.set_superseded(&holder, false);
         }
     }
@@ -80,7 +80,7 @@
             if !kept {
                 starts.mark_gone(id, now_us);
                 by_key.remove(&server.key);
-                holders.extend(claims.give_up(server.row.address, id));
+                holders.extend(claims.release(server.row.address, id));
             }
             kept
         });
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -20,12 +20,12 @@
 use rand::RngExt;
 
 use super::feed_source::FeedSource;
-use super::holders::LINGER;
-use super::holders::holds_servers;
 use super::mirror::Mirror;
 use super::mirror::Sink;
-use super::prover::Prover;
-use super::relays::watches;
+use super::proof_schedule::ProofSchedule;
+use super::relays::is_watcher;
+use super::server_list_holders::RETENTION;
+use super::server_list_holders::holds_server_list;
 use super::shunned::RelayCooldowns;
 use super::store_outage::StoreOutage;
 use crate::board::Blackboard;
@@ -41,28 +41,28 @@
 
 /// How long a watch waits in the store; each turn is a call. A connection that went silent hides
 /// changes for as long at most; the other watchers are asked meanwhile.
-const WAIT: Duration = Duration::from_secs(4);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause after a change, so that changes that come together are one call: this part of the time
 /// that a change, or the leaving of a server, may take.
-const GATHER_PART: u64 = 5;
+const BATCH_PAUSE_DIVISOR: u64 = 5;
 /// Pause after a call that the store refused or did not answer, doubling up to the second: each
 /// is paid for, and one that is back should be noticed within a second.
-const REFUSED_PAUSE_MS: u64 = 200;
-const REFUSED_PAUSE_MAX_MS: u64 = 1_000;
+const REFUSED_BACKOFF_MS: u64 = 200;
+const REFUSED_BACKOFF_MAX_MS: u64 = 1_000;
 /// Pause after a connection that could not be opened; nobody pays for those.
-const UNREACHABLE_PAUSE_MS: u64 = 100;
+const UNREACHABLE_BACKOFF_MS: u64 = 100;
 /// What another instance knows is believed when it was certain within this; above it, the store
 /// may have turned that instance away while it serves this one.
-pub const AGE_MAX: Duration = Duration::from_millis(900);
+pub const FRESH_AGE_MAX: Duration = Duration::from_millis(900);
 /// Part of the bound after which an instance that is not certain turns to the store itself; the
 /// call, its connection and what is asked before it have the rest.
-const PATIENCE_PART: u32 = 2;
+const STALE_MAX_DIVISOR: u32 = 2;
 /// An instance that knows no other one takes itself for one that watches. For so long after it
 /// got its copy it waits for others first; a call that waits in the store is paid for like any other.
-const ALONE_PAUSE: Duration = Duration::from_millis(700);
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A watch that was given up because the store did not answer a check meanwhile.
-fn interrupted() -> StoreError {
+fn watch_interrupted() -> StoreError {
     StoreError::AnswerLost("no answer to a check while a watch waited".into())
 }
 
@@ -76,18 +76,18 @@
     pub feed: Feed,
     pub prefix: &'static str,
     /// Pause after a change.
-    gather: Duration,
+    batch_pause: Duration,
     /// How long this instance goes on without being certain before it turns to the store.
-    pub(super) patience: Duration,
+    pub(super) stale_max: Duration,
     pub(super) outage: StoreOutage,
     /// The store lost the history, so all keys are to be read.
-    read_all: AtomicBool,
+    snapshot_needed: AtomicBool,
     /// Relays that are not asked for a while.
-    pub(super) shunned: Mutex<RelayCooldowns>,
+    pub(super) relay_cooldowns: Mutex<RelayCooldowns>,
     /// When this instance last needed the copy.
-    needed_us: AtomicU64,
+    last_needed_us: AtomicU64,
     /// Proves that the copy is the newest, where that is asked of it.
-    pub(super) prover: Option<Prover>,
+    pub(super) proof_schedule: Option<ProofSchedule>,
 }
 
 impl<S: EventStore, K: Sink, P: FeedSource> Follower<S, K, P> {
@@ -107,7 +107,7 @@
         let bound = Duration::from_millis(bound_ms);
         let revocation_ms = bounds.and_then(|bounds| bounds.key_revocation_ms);
         let revocation_ms = revocation_ms.filter(|_| feed == Feed::Config);
-        let prover = revocation_ms.map(|ms| Prover::new(Duration::from_millis(ms)));
+        let proof_schedule = revocation_ms.map(|ms| ProofSchedule::new(Duration::from_millis(ms)));
         Self {
             store,
             peers,
@@ -115,65 +115,65 @@
             mirror,
             feed,
             prefix,
-            gather: Duration::from_millis(bound_ms / GATHER_PART),
-            patience: bound / PATIENCE_PART,
+            batch_pause: Duration::from_millis(bound_ms / BATCH_PAUSE_DIVISOR),
+            stale_max: bound / STALE_MAX_DIVISOR,
             outage: StoreOutage::default(),
-            read_all: AtomicBool::new(false),
-            shunned: Mutex::default(),
-            needed_us: AtomicU64::new(0),
-            prover,
+            snapshot_needed: AtomicBool::new(false),
+            relay_cooldowns: Mutex::default(),
+            last_needed_us: AtomicU64::new(0),
+            proof_schedule,
         }
     }
 
     /// Follows until the process ends.
     pub async fn run(self) {
         loop {
-            self.first_copy().await;
-            let _ = tokio::time::timeout(ALONE_PAUSE, self.others_there()).await;
-            while self.needed_lately() {
-                self.follow_once().await;
+            self.load_initial().await;
+            let _ = tokio::time::timeout(PEER_DISCOVERY_TIMEOUT, self.wait_for_any_peer()).await;
+            while self.needed_recently() {
+                self.sync_once().await;
             }
             info!(event = "copy-dropped", prefix = self.prefix; "this instance is no home");
-            self.mirror.begin_anew(false);
-            while !self.needed() {
-                self.follow_sample().await;
+            self.mirror.reset(false);
+            while !self.needs_full_mirror() {
+                self.sync_sample().await;
             }
-            self.mirror.begin_anew(true);
+            self.mirror.reset(true);
         }
     }
 
-    async fn follow_once(&self) {
-        if watches(&self.board) {
+    async fn sync_once(&self) {
+        if is_watcher(&self.board) {
             tokio::select! {
-                () = self.follow_store() => {}
-                () = self.relieved() => {}
+                () = self.sync_from_store() => {}
+                () = self.wait_until_not_watcher() => {}
             }
         } else {
-            self.learn_from_others().await;
+            self.sync_from_peers().await;
         }
     }
 
     /// Whether this instance needs the whole copy, as far as it knows the others.
-    pub(super) fn needed(&self) -> bool {
-        self.feed != Feed::Servers || holds_servers(&self.board)
+    pub(super) fn needs_full_mirror(&self) -> bool {
+        self.feed != Feed::Servers || holds_server_list(&self.board)
     }
 
     /// The same, now or, where it has the copy, a moment ago.
-    fn needed_lately(&self) -> bool {
+    fn needed_recently(&self) -> bool {
         let now_us = now_us();
-        if self.needed() {
-            self.needed_us.store(now_us, Ordering::Release);
+        if self.needs_full_mirror() {
+            self.last_needed_us.store(now_us, Ordering::Release);
             return true;
         }
-        let since_us = now_us.saturating_sub(self.needed_us.load(Ordering::Acquire));
-        self.mirror.revision().is_some() && Duration::from_micros(since_us) < LINGER
+        let since_us = now_us.saturating_sub(self.last_needed_us.load(Ordering::Acquire));
+        self.mirror.revision().is_some() && Duration::from_micros(since_us) < RETENTION
     }
 
     /// Returns once another instance is to watch. A watch whose answer was lost waits on
     /// for seconds; this one is asked about what it missed no more, and must ask itself.
-    async fn relieved(&self) {
+    async fn wait_until_not_watcher(&self) {
         let mut changes = self.board.changes();
-        while watches(&self.board) {
+        while is_watcher(&self.board) {
             if changes.changed().await.is_err() {
                 return;
             }
@@ -181,39 +181,39 @@
     }
 
     /// One turn at the store, and the pause after it.
-    pub(super) async fn follow_store(&self) {
+    pub(super) async fn sync_from_store(&self) {
         let began_us = now_us();
-        match self.turn_at_store().await {
+        match self.poll_store().await {
             Ok(changed) => {
-                self.answered();
+                self.record_store_success();
                 if changed {
-                    tokio::time::sleep(self.gather).await;
+                    tokio::time::sleep(self.batch_pause).await;
                 }
             }
-            Err(error) => self.failed(&error, began_us).await,
+            Err(error) => self.back_off(&error, began_us).await,
         }
     }
 
-    fn answered(&self) {
-        self.mirror.confirm(now_us());
+    fn record_store_success(&self) {
+        self.mirror.record_confirmation(now_us());
         self.board.note_store(None);
-        let failures = self.outage.answered();
+        let failures = self.outage.record_success();
         if failures > 0 {
             info!(event = "follow-resumed", prefix = self.prefix, failures = failures; "");
         }
     }
 
-    pub(super) async fn failed(&self, error: &StoreError, began_us: u64) {
+    pub(super) async fn back_off(&self, error: &StoreError, began_us: u64) {
         self.board.note_store(Some(error.to_string()));
-        let failures = self.outage.failed(began_us);
+        let failures = self.outage.record_failure(began_us);
         if failures == 0 {
             let why = error.to_string();
             warn!(event = "follow-failed", prefix = self.prefix, why = why.as_str(); "");
         }
         let pause_ms = match error {
-            StoreError::Unreachable(_) => UNREACHABLE_PAUSE_MS,
+            StoreError::Unreachable(_) => UNREACHABLE_BACKOFF_MS,
             StoreError::AnswerLost(_) | StoreError::Refused(_) => {
-                (REFUSED_PAUSE_MS << failures.min(6)).min(REFUSED_PAUSE_MAX_MS)
+                (REFUSED_BACKOFF_MS << failures.min(6)).min(REFUSED_BACKOFF_MAX_MS)
             }
         };
         let jitter_ms = rand::rng().random_range(0..=pause_ms / 4);
@@ -224,23 +224,25 @@
     ///
     /// After a failure it looks first whether the store serves this instance again: a look costs a tenth of
     /// a call that brings nothing.
-    async fn turn_at_store(&self) -> Result<bool, StoreError> {
-        if self.outage.lasts() {
+    async fn poll_store(&self) -> Result<bool, StoreError> {
+        if self.outage.is_ongoing() {
             self.store.alive().await?;
         }
         match self.mirror.revision() {
-            Some(revision) if !self.read_all.load(Ordering::Acquire) => self.watch(revision).await,
-            _ => self.read_store().await,
+            Some(revision) if !self.snapshot_needed.load(Ordering::Acquire) => {
+                self.watch_store(revision).await
+            }
+            _ => self.read_snapshot().await,
         }
     }
 
     /// Reads all keys. Pages are no snapshot, so the watch goes on from before the first one.
-    async fn read_store(&self) -> Result<bool, StoreError> {
+    async fn read_snapshot(&self) -> Result<bool, StoreError> {
         let asked_us = boot_us();
         let (items, read_at) = self.read_pages(Freshness::Latest).await?;
-        self.mirror.replace(&items, read_at, self.outage.lapse_grace());
-        self.mirror.prove(asked_us);
-        self.read_all.store(false, Ordering::Release);
+        self.mirror.replace(&items, read_at, self.outage.expiry_grace());
+        self.mirror.record_proof(asked_us);
+        self.snapshot_needed.store(false, Ordering::Release);
         Ok(false)
     }
 
@@ -256,40 +258,40 @@
             let page = self.store.page(self.prefix, after.as_deref(), freshness).await?;
             let at = *read_at.get_or_insert(page.revision);
             let last = !page.more || page.items.is_empty();
-            items.extend(page.items.into_iter().map(|item| self.mirror.sealed(item)));
+            items.extend(page.items.into_iter().map(|item| self.mirror.redacted(item)));
             if last {
                 return Ok((items, at));
             }
         }
     }
 
-    async fn watch(&self, revision: u64) -> Result<bool, StoreError> {
+    async fn watch_store(&self, revision: u64) -> Result<bool, StoreError> {
         // A store that is back answers at once; one that is not holds a call that waits for nothing
         // as long as it waits for changes.
-        let wait = if self.outage.lasts() { Duration::ZERO } else { WAIT };
+        let wait = if self.outage.is_ongoing() { Duration::ZERO } else { WATCH_TIMEOUT };
         let asked_us = boot_us();
-        let watching = self.mirror.watching();
+        let watching = self.mirror.start_watch();
         let watched = tokio::select! {
             watched = self.store.events(self.prefix, revision, wait) => watched?,
-            () = self.mirror.interrupted() => return Err(interrupted()),
+            () = self.mirror.wait_for_interrupt() => return Err(watch_interrupted()),
         };
         drop(watching);
-        Ok(self.take_in_watched(watched, revision, asked_us))
+        Ok(self.apply_watched(watched, revision, asked_us))
     }
 
     /// Takes in what the store answered to a watch from `revision` that was asked at `asked_us`; tells whether
     /// it brought a change.
-    pub(super) fn take_in_watched(&self, watched: Watched, revision: u64, asked_us: u64) -> bool {
+    pub(super) fn apply_watched(&self, watched: Watched, revision: u64, asked_us: u64) -> bool {
         match watched {
             Watched::HistoryLost => {
-                self.read_all.store(true, Ordering::Release);
+                self.snapshot_needed.store(true, Ordering::Release);
                 false
             }
             Watched::Events { events, revision: upto } => {
-                let events = events.into_iter().map(|event| self.mirror.sealed_event(event));
+                let events = events.into_iter().map(|event| self.mirror.redacted_event(event));
                 let events: Vec<ItemEvent> = events.collect();
-                self.mirror.apply(&events, upto.max(revision), self.outage.lapse_grace());
-                self.mirror.prove(asked_us);
+                self.mirror.apply(&events, upto.max(revision), self.outage.expiry_grace());
+                self.mirror.record_proof(asked_us);
                 !events.is_empty()
             }
         }
--- a/src/gateway/homes.rs
+++ b/src/gateway/homes.rs
@@ -19,25 +19,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomesPlan {
     /// Homes at least, while there are so many instances.
-    pub least: usize,
+    pub homes_min: usize,
     /// Requests a second that the homes of a zone must be able to carry together.
     pub demand_per_s: u32,
 }
 
 impl HomesPlan {
     /// The first instance of each zone, which does for the zone what one must do.
-    pub const FIRST: Self = Self { least: 1, demand_per_s: 0 };
+    pub const FIRST_ONLY: Self = Self { homes_min: 1, demand_per_s: 0 };
 
     /// The plan in force.
     #[must_use]
     pub fn of(board: &Blackboard) -> Self {
-        let least = board.settings.gateway.as_ref().map_or(1, |gateway| gateway.homes_per_zone);
-        Self { least, demand_per_s: board.zone_demand_per_s() }
+        let homes_min = board.settings.gateway.as_ref().map_or(1, |gateway| gateway.homes_per_zone);
+        Self { homes_min, demand_per_s: board.zone_demand_per_s() }
     }
 
     /// Whether homes that carry so much together are enough.
-    const fn satisfied(self, homes: usize, carried_per_s: u32) -> bool {
-        homes >= self.least && carried_per_s >= self.demand_per_s || homes == HOMES_MAX
+    const fn is_met(self, homes: usize, carried_per_s: u32) -> bool {
+        homes >= self.homes_min && carried_per_s >= self.demand_per_s || homes == HOMES_MAX
     }
 }
 
@@ -53,7 +53,7 @@
     // The others are looked up only by a zone that has too few.
     let elsewhere = std::iter::once_with(|| view.ranked_elsewhere(zone, HOMES_MAX)).flatten();
     for row in view.ranked(zone).iter().chain(elsewhere) {
-        if plan.satisfied(homes.len(), carried_per_s) {
+        if plan.is_met(homes.len(), carried_per_s) {
             break;
         }
         carried_per_s = carried_per_s.saturating_add(row.capacity_per_s);
@@ -75,7 +75,7 @@
 /// The place of this instance among the homes of its zone, and their number; `None` where it is
 /// no home.
 #[must_use]
-pub fn place_among_homes(board: &Blackboard, plan: HomesPlan) -> Option<(usize, usize)> {
+pub fn home_index(board: &Blackboard, plan: HomesPlan) -> Option<(usize, usize)> {
     let view = board.members_view();
     let homes = homes_of_zone(&view, &board.settings.instance.zone, plan);
     let place = homes.iter().position(|row| row.incarnation == board.incarnation)?;
@@ -85,5 +85,5 @@
 /// Whether this instance is a home of its zone.
 #[must_use]
 pub fn is_home(board: &Blackboard, plan: HomesPlan) -> bool {
-    place_among_homes(board, plan).is_some()
+    home_index(board, plan).is_some()
 }
--- a/src/gateway/copy_age.rs
+++ b/src/gateway/mirror_age.rs
@@ -10,7 +10,7 @@
 
 /// What is known of the age of one copy.
 #[derive(Debug, Default)]
-pub struct CopyAge {
+pub struct MirrorAge {
     /// When an instance that the store serves was last certain that nothing is missing; 0 before the
     /// first time.
     confirmed_us: AtomicU64,
@@ -21,9 +21,9 @@
     outdated: AtomicBool,
 }
 
-impl CopyAge {
+impl MirrorAge {
     /// Takes note that nothing was missing at `at_us`.
-    pub fn confirm(&self, at_us: u64) {
+    pub fn record_confirmation(&self, at_us: u64) {
         self.confirmed_us.fetch_max(at_us, Ordering::AcqRel);
     }
 
@@ -35,7 +35,7 @@
 
     /// Takes note that the copy, as it is now, holds all that the store had acknowledged at `at_us` on the
     /// clock of [`boot_us`].
-    pub fn prove(&self, at_us: u64) {
+    pub fn record_proof(&self, at_us: u64) {
         self.proved_us.fetch_max(at_us, Ordering::AcqRel);
     }
 
--- a/src/gateway/mirror_sample.rs
+++ b/src/gateway/mirror_sample.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::follower::AGE_MAX;
+use super::follower::FRESH_AGE_MAX;
 use super::mirror::Mirror;
+use super::mirror::MirrorState;
 use super::mirror::Sink;
-use super::mirror::State;
 use crate::clock::boot_us;
 use crate::peer::FeedReply;
 use crate::peer::FeedTold;
@@ -17,7 +17,7 @@
 pub(super) struct Sample {
     items: Packed<Vec<Item>>,
     /// The revision at which it last changed.
-    changed: u64,
+    changed_at: u64,
 }
 
 impl<K: Sink> Mirror<K> {
@@ -25,37 +25,38 @@
     /// since; waits up to `wait` for that.
     pub async fn serve_sample(&self, zone: u64, after: Option<u64>, wait: Duration) -> FeedTold {
         let asked_us = boot_us();
-        let mut sampled = self.sampled.subscribe();
-        let changed = self.state.lock().sample(zone).map(|sample| sample.changed);
+        let mut sample_rx = self.sample_revision.subscribe();
+        let changed = self.state.lock().sample(zone).map(|sample| sample.changed_at);
         if let (Some(changed), Some(after)) = (changed, after)
             && after >= changed
         {
-            let wait = wait.min(AGE_MAX.saturating_sub(self.age()));
+            let wait = wait.min(FRESH_AGE_MAX.saturating_sub(self.age()));
             // Without news in time, the answer says so.
-            let _ = tokio::time::timeout(wait, sampled.wait_for(|changed| *changed > after)).await;
+            let _ =
+                tokio::time::timeout(wait, sample_rx.wait_for(|changed| *changed > after)).await;
         }
-        self.told(asked_us, |state| state.sampled(zone, after))
+        self.reply_with_age(asked_us, |state| state.sample_reply(zone, after))
     }
 }
 
-impl<K: Sink> State<K> {
+impl<K: Sink> MirrorState<K> {
     fn sample_items(&self, zone: u64) -> Vec<Item> {
-        let keys = self.sink.sample(zone);
+        let keys = self.sink.sample_keys(zone);
         keys.iter().filter_map(|key| self.items.get(key).cloned()).collect()
     }
 
     /// The sample of a zone; `None` without a whole copy.
     fn sample(&mut self, zone: u64) -> Option<&Sample> {
-        let revision = self.revision.filter(|_| self.whole)?;
+        let revision = self.revision.filter(|_| self.full)?;
         if !self.samples.contains_key(&zone) {
             let items = self.sample_items(zone).into();
-            self.samples.insert(zone, Sample { items, changed: revision });
+            self.samples.insert(zone, Sample { items, changed_at: revision });
         }
         self.samples.get(&zone)
     }
 
     /// Draws the samples again that were asked for; returns the revision if one changed.
-    pub(super) fn resample(&mut self) -> Option<u64> {
+    pub(super) fn refresh_samples(&mut self) -> Option<u64> {
         let revision = self.revision?;
         let zones: Vec<u64> = self.samples.keys().copied().collect();
         let mut any = None;
@@ -64,19 +65,19 @@
             if let Some(sample) = self.samples.get_mut(&zone)
                 && *sample.items != items
             {
-                *sample = Sample { items: items.into(), changed: revision };
+                *sample = Sample { items: items.into(), changed_at: revision };
                 any = Some(revision);
             }
         }
         any
     }
 
-    fn sampled(&mut self, zone: u64, after: Option<u64>) -> FeedReply {
+    fn sample_reply(&mut self, zone: u64, after: Option<u64>) -> FeedReply {
         let revision = self.revision;
         let (Some(sample), Some(revision)) = (self.sample(zone), revision) else {
             return FeedReply::Unknown;
         };
-        if after.is_some_and(|after| after >= sample.changed) {
+        if after.is_some_and(|after| after >= sample.changed_at) {
             return FeedReply::Events { events: Vec::new().into(), revision };
         }
         FeedReply::All { items: sample.items.clone(), revision }
--- a/src/gateway/declaration.rs
+++ b/src/gateway/parsed_config.rs
@@ -23,11 +23,11 @@
 use crate::workspace::WorkspaceTable;
 
 /// Timeout and aim of a route that takes no requests; neither is ever used.
-const CLOSED_ROUTE_MS: u64 = 1;
+const REFUSING_ROUTE_MS: u64 = 1;
 
 /// A part of the configuration that could not be read as written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PartFault {
+pub struct ConfigFault {
     pub code: Code,
     /// The name of the route or service, as far as it can be read.
     pub name: String,
@@ -38,9 +38,9 @@
 
 /// A configuration that was read, with the parts that could not be.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ReadTable {
+pub struct ParsedConfig {
     pub table: RouteTable,
-    pub faults: Vec<PartFault>,
+    pub faults: Vec<ConfigFault>,
 }
 
 /// The document, its parts unread. Each list may be missing.
@@ -69,13 +69,13 @@
 
 /// What is needed of a route that cannot be read whole, to know which requests it concerns.
 #[derive(Debug, Default)]
-struct Stub {
+struct RouteStub {
     name: String,
     host: Option<String>,
     prefix: Option<String>,
 }
 
-impl Stub {
+impl RouteStub {
     fn of(part: &RawValue) -> Self {
         // Only valid JSON gets here; of any other shape than a table there is nothing to learn.
         let value: Value = serde_json::from_str(part.get()).unwrap_or_default();
@@ -85,14 +85,14 @@
 
     /// A route that takes no requests: they are told that they did not run, not that there is no
     /// such route, which would be final for them.
-    fn closed(self) -> Option<Route> {
+    fn into_refusing_route(self) -> Option<Route> {
         Some(Route {
             name: self.name,
             host: self.host?,
             prefix: self.prefix?,
             kind: RouteKind::Unknown,
-            timeout_ms: CLOSED_ROUTE_MS,
-            aim_ms: CLOSED_ROUTE_MS,
+            timeout_ms: REFUSING_ROUTE_MS,
+            aim_ms: REFUSING_ROUTE_MS,
             attempts_max: 1,
             priority: 0,
             key_exempt: false,
@@ -120,14 +120,14 @@
 }
 
 /// Reads the parts of one document, in the light of the table before it.
-struct Reader<'a> {
-    before: Option<&'a RouteTable>,
-    faults: Vec<PartFault>,
+struct ConfigParser<'a> {
+    previous: Option<&'a RouteTable>,
+    faults: Vec<ConfigFault>,
 }
 
-impl Reader<'_> {
-    fn fault(&mut self, code: Code, name: String, why: String, kept: bool) {
-        self.faults.push(PartFault { code, name, why, kept });
+impl ConfigParser<'_> {
+    fn record_fault(&mut self, code: Code, name: String, why: String, kept: bool) {
+        self.faults.push(ConfigFault { code, name, why, kept });
     }
 
     fn route(&mut self, part: &RawValue) -> Option<Arc<Route>> {
@@ -135,15 +135,20 @@
             Ok(route) => {
                 if route.kind == RouteKind::Unknown {
                     let why = "a kind that is not known: its requests are not repeated";
-                    self.fault(Code::RouteKindUnknown, route.name.clone(), why.into(), false);
+                    self.record_fault(
+                        Code::RouteKindUnknown,
+                        route.name.clone(),
+                        why.into(),
+                        false,
+                    );
                 }
                 Some(Arc::new(route))
             }
             Err(why) => {
-                let stub = Stub::of(part);
-                let kept = self.before.and_then(|table| table.route_named(&stub.name)).cloned();
-                self.fault(Code::RouteUnreadable, stub.name.clone(), why, kept.is_some());
-                kept.or_else(|| stub.closed().map(Arc::new))
+                let stub = RouteStub::of(part);
+                let kept = self.previous.and_then(|table| table.route_named(&stub.name)).cloned();
+                self.record_fault(Code::RouteUnreadable, stub.name.clone(), why, kept.is_some());
+                kept.or_else(|| stub.into_refusing_route().map(Arc::new))
             }
         }
     }
@@ -152,9 +157,9 @@
         match parse::<ServiceConfig>(part) {
             Ok(rule) => Some(rule),
             Err(why) => {
-                let name = Stub::of(part).name;
-                let before = self.before.and_then(|table| table.services.get(name.as_str()));
-                self.fault(Code::ServiceUnreadable, name, why, before.is_some());
+                let name = RouteStub::of(part).name;
+                let before = self.previous.and_then(|table| table.services.get(name.as_str()));
+                self.record_fault(Code::ServiceUnreadable, name, why, before.is_some());
                 before.cloned()
             }
         }
@@ -168,14 +173,14 @@
         for part in parts {
             match parse_workspace(part) {
                 Ok(workspace) => table.add(workspace),
-                Err(why) => self.unreadable_workspace(part, why, &mut table, &mut closed),
+                Err(why) => self.recover_workspace(part, why, &mut table, &mut closed),
             }
         }
         table.suspend(&closed);
         table
     }
 
-    fn unreadable_workspace(
+    fn recover_workspace(
         &mut self,
         part: &RawValue,
         why: String,
@@ -184,7 +189,7 @@
     ) {
         let stub: WorkspaceStub = parse(part).unwrap_or_default();
         let name = stub.name.unwrap_or_default();
-        let before = self.before.and_then(|before| before.workspaces.as_ref()?.by_name(&name));
+        let before = self.previous.and_then(|before| before.workspaces.as_ref()?.by_name(&name));
         let before = before.cloned();
         let kept = before.is_some() && stub.key_hashes.is_some();
         match (before, stub.key_hashes) {
@@ -195,13 +200,18 @@
             (None, Some(key_hashes)) => closed.extend(key_hashes),
             (None, None) => {}
         }
-        self.fault(Code::WorkspaceUnreadable, name.to_string(), why, kept);
+        self.record_fault(Code::WorkspaceUnreadable, name.to_string(), why, kept);
     }
 
     fn limits(&mut self, part: &RawValue) -> CallerLimits {
         parse(part).unwrap_or_else(|why| {
-            self.fault(Code::LimitsUnreadable, "limits".into(), why, self.before.is_some());
-            self.before.map_or_else(CallerLimits::default, |table| table.limits)
+            self.record_fault(
+                Code::LimitsUnreadable,
+                "limits".into(),
+                why,
+                self.previous.is_some(),
+            );
+            self.previous.map_or_else(CallerLimits::default, |table| table.limits)
         })
     }
 }
@@ -214,9 +224,9 @@
     ///
     /// # Errors
     /// When it is no JSON, has no version, or no lists: then nothing of it can be used.
-    pub fn read(text: &[u8], before: Option<&Self>) -> Result<ReadTable, String> {
+    pub fn parse(text: &[u8], before: Option<&Self>) -> Result<ParsedConfig, String> {
         let document: Document<'_> = serde_json::from_slice(text).map_err(|err| err.to_string())?;
-        let mut reader = Reader { before, faults: Vec::new() };
+        let mut reader = ConfigParser { previous: before, faults: Vec::new() };
         let routes = document.routes.iter().filter_map(|part| reader.route(part)).collect();
         let services = document.services.iter().filter_map(|part| reader.service(part)).collect();
         let limits = match document.limits {
@@ -226,6 +236,6 @@
         let workspaces = document.workspaces.as_ref().map(|parts| reader.workspaces(parts));
         let mut table = Self::new(document.version, routes, services, limits);
         table.workspaces = workspaces;
-        Ok(ReadTable { table, faults: reader.faults })
+        Ok(ParsedConfig { table, faults: reader.faults })
     }
 }
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -26,11 +26,11 @@
 /// How long callers keep an address answer. An instance that fails is left out of the next one,
 /// so this bounds how long callers go on trying it; a shorter time buys little, since the failure
 /// itself takes most of a second to be noticed.
-const ADDRESS_KEEP: Duration = Duration::from_secs(1);
+const ADDRESS_TTL: Duration = Duration::from_secs(1);
 /// The same while this instance knows no other: it can name only itself, and callers that keep that
 /// answer go on using an instance that is no home once the others are found.
-const ADDRESS_KEEP_ALONE: Duration = Duration::from_millis(200);
-const LIMITS: ConnLimits =
+const ADDRESS_TTL_ALONE: Duration = Duration::from_millis(200);
+const CONN_LIMITS: ConnLimits =
     ConnLimits { header_bytes_max: 16 << 10, head_timeout: Duration::from_secs(30) };
 
 fn respond(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
@@ -60,7 +60,7 @@
     }
 
     fn limits(&self) -> ConnLimits {
-        LIMITS
+        CONN_LIMITS
     }
 }
 
@@ -75,10 +75,10 @@
 impl<D: Dialect> AddressHandler<D> {
     fn addresses(&self, zone: &str) -> (Vec<SocketAddr>, Duration) {
         let settings = self.board.settings.gateway.as_ref();
-        let keep_max = settings.map_or(ADDRESS_KEEP, GatewaySettings::address_keep_max);
+        let keep_max = settings.map_or(ADDRESS_TTL, GatewaySettings::address_keep_max);
         let view = self.board.members_view();
         let homes = homes_of_zone(&view, zone, HomesPlan::of(&self.board));
-        let keep = if view.serving() > 1 { ADDRESS_KEEP } else { ADDRESS_KEEP_ALONE };
+        let keep = if view.serving() > 1 { ADDRESS_TTL } else { ADDRESS_TTL_ALONE };
         let relied_on = self.admission.accepts_callers();
         let named =
             homes.iter().filter(|row| relied_on || row.incarnation != self.board.incarnation);
@@ -109,6 +109,6 @@
     }
 
     fn limits(&self) -> ConnLimits {
-        LIMITS
+        CONN_LIMITS
     }
 }
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -19,37 +19,37 @@
 /// Health checks a second to a server by one home, as long as the operators' bound allows them.
 /// They only have to find servers that fell silent, and to tell which look fast; each request asks
 /// the one it is meant for. At thirty a second the share answered in time was the same.
-const PROBES_PER_S: u32 = 8;
+const PROBES_PER_SERVER_PER_S: u32 = 8;
 /// Seconds between two checks of a server that tells no load. There a check waits for a slot like
 /// any request: it takes one from a request, and says nothing of the server if it is not answered
 /// soon.
-const UNTOLD_INTERVAL_S: u32 = 2;
+const NO_LOAD_INTERVAL_S: u32 = 2;
 /// A server in the own zone answers a health check within some milliseconds; one that takes
 /// longer than this does not answer at all.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// One health check a second for so many requests a second that the instance can carry: a check
 /// takes about a fifth of the processor's time of a request, so this leaves nine tenths to these.
-const REQUESTS_PER_CHECK: u32 = 2;
+const CAPACITY_PER_PROBE: u32 = 2;
 
 /// Checks a second for each request a second: a request chooses among servers that were looked at lately,
 /// and more looks than that tell the next one nothing.
-const CHECKS_PER_REQUEST: f64 = 3.0;
+const PROBES_PER_REQUEST: f64 = 3.0;
 /// Seconds in which each server is checked once where there are few requests: one that fell silent is found
 /// before they come.
-const IDLE_CHECK_S: u32 = 2;
+const IDLE_PROBE_INTERVAL_S: u32 = 2;
 /// Weight of one turn in the rate of requests.
-const RATE_WEIGHT: f64 = 0.1;
+const RATE_EWMA_WEIGHT: f64 = 0.1;
 
 /// The servers that this home checks, looked up again only when the list or its part changed.
 #[derive(Debug, Default)]
-struct OwnServers {
+struct ProbedServers {
     servers: Vec<Arc<Server>>,
     part: Option<ServerSubset>,
     list_version: u64,
 }
 
-impl OwnServers {
+impl ProbedServers {
     fn refresh(&mut self, dispatcher: &Dispatcher, part: ServerSubset) {
         let list_version = dispatcher.list_version();
         if self.part.as_ref() == Some(&part) && self.list_version == list_version {
@@ -64,16 +64,16 @@
 /// Requests a second of this instance, over the last turns.
 #[derive(Debug, Default)]
 struct RequestRate {
-    counted: u64,
+    last_count: u64,
     per_s: f64,
 }
 
 impl RequestRate {
     #[expect(clippy::cast_precision_loss, reason = "requests of one turn")]
-    fn turn(&mut self, counted: u64, turns_per_s: u32) {
-        let now_per_s = counted.saturating_sub(self.counted) as f64 * f64::from(turns_per_s);
-        self.counted = counted;
-        self.per_s += RATE_WEIGHT * (now_per_s - self.per_s);
+    fn update(&mut self, counted: u64, turns_per_s: u32) {
+        let now_per_s = counted.saturating_sub(self.last_count) as f64 * f64::from(turns_per_s);
+        self.last_count = counted;
+        self.per_s += RATE_EWMA_WEIGHT * (now_per_s - self.per_s);
     }
 }
 
@@ -91,24 +91,24 @@
     /// Checks until the process ends.
     pub async fn run(self) {
         // Instances may disagree for a moment on who checks a server: half of the bound is left.
-        let rate = PROBES_PER_S.min(self.settings.probes_per_s_max / 2);
+        let rate = PROBES_PER_SERVER_PER_S.min(self.settings.probes_per_s_max / 2);
         if rate == 0 {
             return;
         }
         let mut turns = tokio::time::interval(Duration::from_secs(1) / rate);
         turns.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut turn = 0;
-        let mut own = OwnServers::default();
+        let mut own = ProbedServers::default();
         let mut requests = RequestRate::default();
         loop {
             turns.tick().await;
             turn += 1;
-            requests.turn(self.board.counters.get(Counter::Requests), rate);
+            requests.update(self.board.counters.get(Counter::Requests), rate);
             if let Some(part) = near_part(&self.board) {
                 own.refresh(&self.dispatcher, part);
-                let untold = turn % (rate * UNTOLD_INTERVAL_S) == 0;
+                let untold = turn % (rate * NO_LOAD_INTERVAL_S) == 0;
                 if !self.dispatcher.is_evacuated(&self.board.settings.instance.zone) {
-                    self.probe_own(&own.servers, turn, untold, requests.per_s);
+                    self.probe_due(&own.servers, turn, untold, requests.per_s);
                 }
             }
         }
@@ -116,8 +116,8 @@
 
     /// Checks this home's part of the zone's servers; those that tell no load only once, and where
     /// `untold` says so.
-    fn probe_own(&self, servers: &[Arc<Server>], turn: u32, untold: bool, requests_per_s: f64) {
-        let turns = self.turns_of_one_check(servers.len(), requests_per_s);
+    fn probe_due(&self, servers: &[Arc<Server>], turn: u32, untold: bool, requests_per_s: f64) {
+        let turns = self.ticks_per_probe(servers.len(), requests_per_s);
         for server in servers {
             let first = !server.health_checked.swap(true, Ordering::Relaxed);
             let due =
@@ -135,13 +135,13 @@
         clippy::cast_sign_loss,
         reason = "some hundred requests a second"
     )]
-    fn turns_of_one_check(&self, servers: usize, requests_per_s: f64) -> u32 {
+    fn ticks_per_probe(&self, servers: usize, requests_per_s: f64) -> u32 {
         let servers = u32::try_from(servers).unwrap_or(u32::MAX);
-        let useful_per_s = (CHECKS_PER_REQUEST * requests_per_s) as u32;
-        let useful_per_s = useful_per_s.max(servers / IDLE_CHECK_S);
-        let affordable_per_s = self.board.own_capacity_per_s() / REQUESTS_PER_CHECK;
+        let useful_per_s = (PROBES_PER_REQUEST * requests_per_s) as u32;
+        let useful_per_s = useful_per_s.max(servers / IDLE_PROBE_INTERVAL_S);
+        let affordable_per_s = self.board.own_capacity_per_s() / CAPACITY_PER_PROBE;
         let affordable_per_s = affordable_per_s.min(useful_per_s);
-        let wanted_per_s = servers.saturating_mul(PROBES_PER_S);
+        let wanted_per_s = servers.saturating_mul(PROBES_PER_SERVER_PER_S);
         wanted_per_s.div_ceil(affordable_per_s.max(1)).max(1)
     }
 
--- a/src/gateway/suspect_keeper.rs
+++ b/src/gateway/quarantine_store.rs
@@ -16,40 +16,40 @@
 use crate::store::StoreError;
 
 /// As long as a first conviction holds, and the longest lease that the platform gives.
-const KEEP: Duration = Duration::from_mins(10);
+const LEASE_TTL: Duration = Duration::from_mins(10);
 /// Before this a starting instance does not know whether it is a home.
-const SETTLE: Duration = Duration::from_millis(300);
+const SETTLE_DELAY: Duration = Duration::from_millis(300);
 /// How often an instance looks whether it has become a home.
-const HOME_INTERVAL: Duration = Duration::from_secs(1);
-const RETRY: Duration = Duration::from_secs(1);
+const HOME_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Writes of one conviction before it is left to the other instances' memories.
-const WRITES_MAX: u32 = 30;
+const WRITE_ATTEMPTS_MAX: u32 = 30;
 
 /// Keeps convictions in the store, and reads them when an instance becomes the first of its zone:
 /// the others learn them from it, so a start costs one call a zone and a conviction two.
 #[derive(Clone, Debug)]
-pub struct SuspectKeeper<D, S> {
+pub struct QuarantineStore<D, S> {
     pub dialect: D,
     pub store: S,
     pub board: Arc<Blackboard>,
 }
 
-impl<D: Dialect, S: EventStore> SuspectKeeper<D, S> {
+impl<D: Dialect, S: EventStore> QuarantineStore<D, S> {
     /// Writes convictions until the process ends.
-    pub async fn write_all(self) {
+    pub async fn run_writer(self) {
         loop {
             let rows = self.board.quarantine.next_quarantined().await;
-            self.write_in_time(&rows).await;
+            self.write_with_retries(&rows).await;
         }
     }
 
-    async fn write_in_time(&self, rows: &[SuspectRecord]) {
-        for _ in 0..WRITES_MAX {
+    async fn write_with_retries(&self, rows: &[SuspectRecord]) {
+        for _ in 0..WRITE_ATTEMPTS_MAX {
             match self.write(rows).await {
                 Ok(()) => return,
                 Err(error) => self.board.note_store(Some(error.to_string())),
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         warn!(event = "suspects-not-kept", rows = rows.len(); "the store took no write");
     }
@@ -60,7 +60,7 @@
         };
         let (prefix, name) = (self.dialect.store_keys().suspects_prefix, first.fingerprint);
         let value = serde_json::to_vec(rows).map_err(|err| StoreError::Refused(err.to_string()))?;
-        let lease = self.store.open_lease(KEEP).await?;
+        let lease = self.store.open_lease(LEASE_TTL).await?;
         if self.store.write_leased(&format!("{prefix}{name}"), &value, lease).await? {
             return Ok(());
         }
@@ -68,13 +68,13 @@
     }
 
     /// Reads what is kept, once this instance is the first of its zone.
-    pub async fn read(self) {
-        tokio::time::sleep(SETTLE).await;
-        while !is_home(&self.board, HomesPlan::FIRST) {
-            tokio::time::sleep(HOME_INTERVAL).await;
+    pub async fn load_when_first_home(self) {
+        tokio::time::sleep(SETTLE_DELAY).await;
+        while !is_home(&self.board, HomesPlan::FIRST_ONLY) {
+            tokio::time::sleep(HOME_CHECK_INTERVAL).await;
         }
         loop {
-            match self.read_once().await {
+            match self.read_all().await {
                 Ok(rows) => {
                     self.board.quarantine.merge(&rows);
                     info!(event = "suspects-read", rows = rows.len(); "from the store");
@@ -82,18 +82,18 @@
                 }
                 Err(error) => self.board.note_store(Some(error.to_string())),
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    async fn read_once(&self) -> Result<Vec<SuspectRecord>, StoreError> {
+    async fn read_all(&self) -> Result<Vec<SuspectRecord>, StoreError> {
         let prefix = self.dialect.store_keys().suspects_prefix;
         let mut rows = Vec::new();
         let mut after: Option<String> = None;
         loop {
             let page = self.store.page(prefix, after.as_deref(), Freshness::Latest).await?;
             for item in &page.items {
-                rows.extend(read_rows(&item.key, &item.value));
+                rows.extend(decode_rows(&item.key, &item.value));
             }
             after = page.items.last().map(|item| item.key.clone());
             if !page.more || after.is_none() {
@@ -104,7 +104,7 @@
 }
 
 /// The rows of one key; none of one that another version wrote.
-fn read_rows(key: &str, value: &[u8]) -> Vec<SuspectRecord> {
+fn decode_rows(key: &str, value: &[u8]) -> Vec<SuspectRecord> {
     serde_json::from_slice(value).unwrap_or_else(|err| {
         let why = err.to_string();
         warn!(event = "suspects-unreadable", key = key, why = why.as_str(); "passed over");
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -17,7 +17,7 @@
 use crate::store::StoreError;
 
 /// Homes are settled some time after a start.
-const SETTLE_INTERVAL: Duration = Duration::from_millis(1_500);
+const HOME_CHECK_INTERVAL: Duration = Duration::from_millis(1_500);
 /// An entry outlives its instance for at most this. It is only read by instances that look for
 /// others, which stand a dead address among living ones.
 const LEASE_TTL: Duration = Duration::from_mins(1);
@@ -33,7 +33,7 @@
 }
 
 impl<D: Dialect, S: EventStore> Registry<D, S> {
-    async fn enter(&self) -> Result<u64, StoreError> {
+    async fn register(&self) -> Result<u64, StoreError> {
         let lease = self.store.open_lease(LEASE_TTL).await?;
         let prefix = self.dialect.store_keys().instances_prefix;
         let key = format!("{prefix}{}", self.board.settings.instance.name);
@@ -50,12 +50,12 @@
     /// each entry costs calls to the store.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep(SETTLE_INTERVAL).await;
-            if !is_home(&self.board, HomesPlan::FIRST) {
+            tokio::time::sleep(HOME_CHECK_INTERVAL).await;
+            if !is_home(&self.board, HomesPlan::FIRST_ONLY) {
                 continue;
             }
-            match self.enter().await {
-                Ok(lease) => self.keep(lease).await,
+            match self.register().await {
+                Ok(lease) => self.renew_until_expired(lease).await,
                 Err(error) => {
                     self.board.note_store(Some(error.to_string()));
                     tokio::time::sleep(RETRY_INTERVAL).await;
@@ -65,7 +65,7 @@
     }
 
     /// Renews the lease until the store says that it ended.
-    async fn keep(&self, lease: u64) {
+    async fn renew_until_expired(&self, lease: u64) {
         loop {
             tokio::time::sleep(RENEW_INTERVAL).await;
             match self.store.renew_lease(lease).await {
--- a/src/gateway/relays.rs
+++ b/src/gateway/relays.rs
@@ -22,30 +22,30 @@
 /// change costs a call for each of them and each part that is followed. With two, other zones learn at
 /// two removes, and in an outage of the store for a third of 472 instances a server that had left was
 /// used once too long.
-const WATCHING_ZONES: usize = 32;
+const WATCHING_ZONES_MAX: usize = 32;
 
 /// Addresses of some instances.
-pub type Peers = SmallVec<[SocketAddr; 16]>;
+pub type PeerAddresses = SmallVec<[SocketAddr; 16]>;
 
 /// Whether this instance is one of those that watch the store.
-pub fn watches(board: &Blackboard) -> bool {
-    place_among_watchers(board).is_some()
+pub fn is_watcher(board: &Blackboard) -> bool {
+    watcher_index(board).is_some()
 }
 
 /// The first homes of the first zones.
 fn watchers(view: &MembersView) -> impl Iterator<Item = &Arc<MemberRow>> {
-    view.zones().take(WATCHING_ZONES).filter_map(|zone| view.ranked(zone).first())
+    view.zones().take(WATCHING_ZONES_MAX).filter_map(|zone| view.ranked(zone).first())
 }
 
 /// This instance's place among those that watch the store; `None` for one that does not.
-pub fn place_among_watchers(board: &Blackboard) -> Option<usize> {
+pub fn watcher_index(board: &Blackboard) -> Option<usize> {
     let view = board.members_view();
     watchers(&view).position(|row| row.incarnation == board.incarnation)
 }
 
 /// This instance's place among those of its zone that read the store when nobody is certain;
 /// `None` for one that leaves it to them.
-pub fn place_among_readers(board: &Blackboard) -> Option<usize> {
+pub fn reader_index(board: &Blackboard) -> Option<usize> {
     let view = board.members_view();
     let readers = readers_of_zone(&view, &board.settings.instance.zone);
     readers.iter().position(|row| row.incarnation == board.incarnation)
@@ -53,32 +53,32 @@
 
 /// Whom this instance asks for what changed: the first home of its zone, which hands on what it
 /// learns, then those that watch the store.
-pub fn relays(board: &Blackboard) -> Peers {
+pub fn relay_addresses(board: &Blackboard) -> PeerAddresses {
     let view = board.members_view();
     let nearest = view.ranked(&board.settings.instance.zone).first();
     let rows: Vec<Arc<MemberRow>> = nearest.into_iter().chain(watchers(&view)).cloned().collect();
-    others(board, &rows)
+    other_addresses(board, &rows)
 }
 
 /// The other readers of the own zone.
-pub fn readers_nearby(board: &Blackboard) -> Peers {
-    others(board, readers_of_zone(&board.members_view(), &board.settings.instance.zone))
+pub fn zone_readers(board: &Blackboard) -> PeerAddresses {
+    other_addresses(board, readers_of_zone(&board.members_view(), &board.settings.instance.zone))
 }
 
 /// The other readers of the own zone, and those that watch the store.
-pub fn near_readers(board: &Blackboard) -> Peers {
+pub fn zone_readers_and_watchers(board: &Blackboard) -> PeerAddresses {
     let view = board.members_view();
     let mut rows = readers_of_zone(&view, &board.settings.instance.zone).to_vec();
     rows.extend(watchers(&view).cloned());
-    others(board, &rows)
+    other_addresses(board, &rows)
 }
 
 /// All other instances that read the store when nobody is certain.
-pub fn all_readers(board: &Blackboard) -> Peers {
+pub fn all_readers(board: &Blackboard) -> PeerAddresses {
     let view = board.members_view();
     let rows: Vec<Arc<MemberRow>> =
         view.zones().flat_map(|zone| readers_of_zone(&view, zone)).cloned().collect();
-    others(board, &rows)
+    other_addresses(board, &rows)
 }
 
 fn readers_of_zone<'a>(view: &'a MembersView, zone: &str) -> &'a [Arc<MemberRow>] {
@@ -87,8 +87,8 @@
 }
 
 /// Their addresses, each once and without the own.
-fn others(board: &Blackboard, rows: &[Arc<MemberRow>]) -> Peers {
-    let mut peers = Peers::new();
+fn other_addresses(board: &Blackboard, rows: &[Arc<MemberRow>]) -> PeerAddresses {
+    let mut peers = PeerAddresses::new();
     for row in rows.iter().filter(|row| row.incarnation != board.incarnation) {
         if !peers.contains(&row.peer) {
             peers.push(row.peer);
--- a/src/gateway/told_loads.rs
+++ b/src/gateway/reported_loads.rs
@@ -6,7 +6,7 @@
 
 /// What a peer believes of this instance's requests at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Told {
+struct ReportedLoad {
     /// `None` where the last word may have been lost.
     in_flight: Option<u16>,
     pace_percent: u16,
@@ -14,11 +14,11 @@
 
 /// What a peer believes; of a server that is not named here, that this instance has nothing there.
 #[derive(Debug, Default)]
-pub(super) struct ToldLoads {
-    by_server: HashMap<u32, Told>,
+pub(super) struct ReportedLoads {
+    by_server: HashMap<u32, ReportedLoad>,
 }
 
-impl ToldLoads {
+impl ReportedLoads {
     /// The rows that the peer is to be told, of all that there are now: none, however many servers
     /// there are, while nothing changes. That a pace grew old is no news; the peer lets it fade.
     pub(super) fn changes(&self, now: &[ServerLoadRow]) -> Vec<ServerLoadRow> {
@@ -43,9 +43,10 @@
     }
 
     /// The peer heard these rows.
-    pub(super) fn heard(&mut self, rows: &[ServerLoadRow]) {
+    pub(super) fn record_delivered(&mut self, rows: &[ServerLoadRow]) {
         for row in rows {
-            let told = Told { in_flight: Some(row.in_flight), pace_percent: row.pace_percent };
+            let told =
+                ReportedLoad { in_flight: Some(row.in_flight), pace_percent: row.pace_percent };
             self.by_server.insert(row.server, told);
         }
         self.by_server.retain(|_, told| told.in_flight != Some(0) || told.pace_percent != 0);
@@ -53,20 +54,20 @@
 
     /// The peer may have heard these rows, or nothing for so long that it forgot others: all that it
     /// may believe is told again.
-    pub(super) fn maybe_heard(&mut self, rows: &[ServerLoadRow]) {
-        self.heard(rows);
+    pub(super) fn record_maybe_delivered(&mut self, rows: &[ServerLoadRow]) {
+        self.record_delivered(rows);
         for told in self.by_server.values_mut() {
-            *told = Told { in_flight: None, pace_percent: 0 };
+            *told = ReportedLoad { in_flight: None, pace_percent: 0 };
         }
     }
 
     /// The peer did not hear from this instance for so long that it forgot everything.
-    pub(super) fn forgotten(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.by_server.clear();
     }
 
     /// Whether the peer believes that nothing runs anywhere.
-    pub(super) fn nothing(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.by_server.values().all(|told| told.in_flight == Some(0))
     }
 }
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -7,14 +7,14 @@
 use log::error;
 use log::info;
 
+use super::ConfigFault;
 use super::Dialect;
-use super::PartFault;
 use super::RouteTable;
 use super::ServiceConfig;
 use super::caller_handler::CurrentRouteTable;
-use super::copy_age::CopyAge;
 use super::dispatcher::Dispatcher;
 use super::mirror::Sink;
+use super::mirror_age::MirrorAge;
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::cold::ColdLimit;
@@ -25,10 +25,10 @@
 use crate::workspace::WorkspaceTable;
 
 /// Entries that cannot be read and are remembered as logged; beyond that some are logged again.
-const UNREADABLE_MAX: usize = 1_000;
+const UNREADABLE_LOGGED_MAX: usize = 1_000;
 /// Changes that come together and have a line each. At a start each of hundreds of instances hears of
 /// hundreds of servers, where one line with their number and revision tells as much.
-const TOGETHER_LINES_MAX: usize = 8;
+const BATCH_LINES_MAX: usize = 8;
 
 /// Puts what the operators write in force: versions of the configuration, and evacuations.
 #[derive(Debug)]
@@ -38,11 +38,11 @@
     pub board: Arc<Blackboard>,
     pub dispatcher: Dispatcher,
     /// Of the copy that this is told from.
-    pub age: Arc<CopyAge>,
+    pub age: Arc<MirrorAge>,
 }
 
 /// One line for each part of a configuration that could not be read.
-fn log_faults(faults: &[PartFault], version: u64) {
+fn log_faults(faults: &[ConfigFault], version: u64) {
     for fault in faults {
         error!(
             event = "config-part-unreadable", code = fault.code.number(), version = version,
@@ -54,7 +54,7 @@
 
 impl<D: Dialect> OperatorSink<D> {
     /// The zone that a key evacuates.
-    fn zone_of<'a>(&self, key: &'a str) -> Option<&'a str> {
+    fn evacuated_zone<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.dialect.store_keys().evacuations_prefix)
     }
 
@@ -102,9 +102,9 @@
         table.services.iter().map(|(name, service)| (Arc::clone(name), rule(service))).collect()
     }
 
-    fn configure(&self, item: &Item) {
+    fn apply_config(&self, item: &Item) {
         let before = self.table.load_full();
-        let read = match self.dialect.decode_config(&item.value, before.as_deref()) {
+        let decode = match self.dialect.decode_config(&item.value, before.as_deref()) {
             Ok(read) => read,
             Err(why) => {
                 error!(
@@ -119,25 +119,25 @@
         self.age.set_outdated(false);
         // A read that answers late must not take a newer version back.
         let before = before.map(|table| table.version);
-        if before.is_some_and(|before| before >= read.table.version) {
+        if before.is_some_and(|before| before >= decode.table.version) {
             return;
         }
-        log_faults(&read.faults, read.table.version);
+        log_faults(&decode.faults, decode.table.version);
         info!(
-            event = "config-in-force", version = read.table.version, before = before.unwrap_or(0),
-            routes = read.table.route_count(),
-            workspaces = read.table.workspaces.as_ref().map(WorkspaceTable::len), faults = read.faults.len(),
+            event = "config-in-force", version = decode.table.version, before = before.unwrap_or(0),
+            routes = decode.table.route_count(),
+            workspaces = decode.table.workspaces.as_ref().map(WorkspaceTable::len), faults = decode.faults.len(),
             revision = item.revision;
             "configuration changed"
         );
-        self.dispatcher.set_cold_policies(self.cold_rules(&read.table));
-        self.table.store(Some(Arc::new(read.table)));
+        self.dispatcher.set_cold_policies(self.cold_rules(&decode.table));
+        self.table.store(Some(Arc::new(decode.table)));
         self.board.counters.add(Counter::ConfigMerged);
     }
 }
 
 impl<D: Dialect> Sink for OperatorSink<D> {
-    fn seal(&self, item: &mut Item) {
+    fn redact(&self, item: &mut Item) {
         if item.key == self.dialect.store_keys().config {
             item.value = self.dialect.redact_config(std::mem::take(&mut item.value));
         }
@@ -145,14 +145,14 @@
 
     fn written(&mut self, item: &Item) {
         if item.key == self.dialect.store_keys().config {
-            self.configure(item);
-        } else if let Some(zone) = self.zone_of(&item.key) {
+            self.apply_config(item);
+        } else if let Some(zone) = self.evacuated_zone(&item.key) {
             self.evacuate(zone, item.revision);
         }
     }
 
     fn removed(&mut self, key: &str, _: Duration) {
-        match self.zone_of(key) {
+        match self.evacuated_zone(key) {
             Some(zone) => self.readmit(zone),
             None => info!(event = "config-removed", key = key; "the last version stays in force"),
         }
@@ -168,20 +168,20 @@
     /// its writer repeats it.
     unreadable: HashMap<String, String>,
     /// While changes that came together are told.
-    together: Option<Together>,
+    batch: Option<BatchCounts>,
 }
 
 /// How many changes came together so far.
 #[derive(Clone, Copy, Debug, Default)]
-struct Together {
+struct BatchCounts {
     listed: usize,
     unlisted: usize,
 }
 
-impl Together {
+impl BatchCounts {
     /// Whether the next change still has a line of its own.
-    const fn has_line(self) -> bool {
-        self.listed + self.unlisted <= TOGETHER_LINES_MAX
+    const fn logs_each(self) -> bool {
+        self.listed + self.unlisted <= BATCH_LINES_MAX
     }
 }
 
@@ -189,7 +189,7 @@
     /// A sink that lists servers at `dispatcher`.
     #[must_use]
     pub fn new(dialect: D, dispatcher: Dispatcher) -> Self {
-        Self { dialect, dispatcher, unreadable: HashMap::new(), together: None }
+        Self { dialect, dispatcher, unreadable: HashMap::new(), batch: None }
     }
 
     fn read(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
@@ -210,18 +210,18 @@
             revision = revision, why = why.as_str();
             "{}", Code::ServerUnreadable
         );
-        if self.unreadable.len() >= UNREADABLE_MAX {
+        if self.unreadable.len() >= UNREADABLE_LOGGED_MAX {
             self.unreadable.clear();
         }
         self.unreadable.insert(id.to_owned(), why);
     }
 
     /// Counts a change; tells whether it has a line of its own.
-    fn count(&mut self, listed: usize, unlisted: usize) -> bool {
-        self.together.as_mut().is_none_or(|together| {
+    fn count_change(&mut self, listed: usize, unlisted: usize) -> bool {
+        self.batch.as_mut().is_none_or(|together| {
             together.listed += listed;
             together.unlisted += unlisted;
-            together.has_line()
+            together.logs_each()
         })
     }
 }
@@ -235,7 +235,7 @@
             Err(why) => return self.reject(id, why, item.revision),
         };
         self.unreadable.remove(id);
-        if self.count(1, 0) {
+        if self.count_change(1, 0) {
             info!(
                 event = "server-listed", server = id, service = &*row.service,
                 address = row.address.to_string().as_str(), zone = &*row.zone,
@@ -250,25 +250,25 @@
     fn removed(&mut self, key: &str, grace: Duration) {
         let id = key.strip_prefix(self.dialect.store_keys().servers_prefix).unwrap_or(key);
         self.unreadable.remove(id);
-        if self.count(0, 1) {
+        if self.count_change(0, 1) {
             info!(event = "server-unlisted", server = id, grace_ms = grace.as_millis(); "");
         }
         self.dispatcher.unlist_server(id, grace);
     }
 
-    fn sample(&self, zone: u64) -> Vec<String> {
+    fn sample_keys(&self, zone: u64) -> Vec<String> {
         let prefix = self.dialect.store_keys().servers_prefix;
         let ids = self.dispatcher.sample(zone);
         ids.iter().map(|id| format!("{prefix}{id}")).collect()
     }
 
-    fn together_begins(&mut self) {
-        self.together = Some(Together::default());
+    fn begin_batch(&mut self) {
+        self.batch = Some(BatchCounts::default());
     }
 
-    fn together_ends(&mut self, revision: u64) {
-        let together = self.together.take().unwrap_or_default();
-        if !together.has_line() {
+    fn end_batch(&mut self, revision: u64) {
+        let together = self.batch.take().unwrap_or_default();
+        if !together.logs_each() {
             info!(
                 event = "servers-changed", listed = together.listed,
                 unlisted = together.unlisted, revision = revision;
--- a/src/gateway/store_check.rs
+++ b/src/gateway/store_check.rs
@@ -5,15 +5,15 @@
 
 use super::mirror::Mirror;
 use super::mirror::Sink;
-use super::relays::watches;
+use super::relays::is_watcher;
 use crate::board::Blackboard;
 use crate::clock::now_us;
 use crate::store::EventStore;
 
 /// A watch that waits does not tell that the store turned this instance away; others that rely on
 /// it must learn of that well within the two seconds that a change may take.
-const INTERVAL: Duration = Duration::from_millis(400);
-const TIMEOUT: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Checks now and then while this instance watches, until the process ends.
 pub async fn run_store_check<S: EventStore, A: Sink, B: Sink>(
@@ -23,18 +23,18 @@
     second: Arc<Mirror<B>>,
 ) {
     loop {
-        tokio::time::sleep(INTERVAL).await;
-        if !watches(&board) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if !is_watcher(&board) {
             continue;
         }
         let began_us = now_us();
-        let alive = tokio::time::timeout(TIMEOUT, store.alive()).await;
+        let alive = tokio::time::timeout(CHECK_TIMEOUT, store.alive()).await;
         if matches!(alive, Ok(Ok(()))) {
-            first.served(began_us);
-            second.served(began_us);
+            first.record_store_reply(began_us);
+            second.record_store_reply(began_us);
         } else {
-            first.interrupt();
-            second.interrupt();
+            first.interrupt_watches();
+            second.interrupt_watches();
         }
     }
 }
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -154,7 +154,7 @@
             let row = MemberRow { generation, ..member(77) };
             assert!(board.members.lock().merge(&row, 1_000));
             board.publish_members();
-            black_box(homes_of_zone(&board.members_view(), "z2", HomesPlan::FIRST));
+            black_box(homes_of_zone(&board.members_view(), "z2", HomesPlan::FIRST_ONLY));
         })
     };
     let (few, many) = (board_with(450), board_with(4_500));
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -29,7 +29,7 @@
 mod common;
 
 /// Half of the bound that operators set by default.
-const IN_FORCE: Duration = Duration::from_millis(2_500);
+const APPLY_MAX: Duration = Duration::from_millis(2_500);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
 
@@ -80,7 +80,7 @@
 
 /// Requests, hedges and servers listed during an evacuation: each way to a server of the zone.
 #[tokio::test]
-async fn no_way_leads_to_a_server_of_an_evacuated_zone() {
+async fn no_request_is_sent_to_evacuated_zone() {
     let dispatcher = dispatcher();
     let change = dispatcher.evacuate("a").expect("it was not evacuated");
     assert_eq!((change.servers, change.running), (2, 0));
@@ -102,7 +102,7 @@
 
 /// All zones evacuated: a request that waits, and one that comes, would be held for nothing.
 #[tokio::test]
-async fn without_a_zone_left_requests_are_refused_at_once() {
+async fn requests_are_refused_at_once_when_all_zones_are_evacuated() {
     let dispatcher = dispatcher();
     let running = tokio::spawn(dispatcher.clone().run());
     let service: Arc<str> = "parts".into();
@@ -148,7 +148,7 @@
     })
 }
 
-fn pass_on(reply: FeedReply, to: &Mirror<OperatorSink<PlainDialect>>) {
+fn apply_reply(reply: FeedReply, to: &Mirror<OperatorSink<PlainDialect>>) {
     match reply {
         FeedReply::Events { events, revision } => to.apply(&events, revision, Duration::ZERO),
         FeedReply::All { items, revision } => to.replace(&items, revision, Duration::ZERO),
@@ -158,7 +158,7 @@
 
 /// A word that comes twice, late or not at all leaves a zone evacuated, or used, against the last one.
 #[test]
-fn whatever_is_lost_the_last_word_on_each_zone_holds() {
+fn last_write_per_zone_wins_despite_lost_events() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     let runtime = runtime.expect("a runtime");
     common::property(300, |u| {
@@ -188,12 +188,12 @@
             if u.ratio(1, 2)? {
                 let after = follower.revision();
                 let reply = runtime.block_on(relay.serve(after, Duration::ZERO)).reply;
-                pass_on(reply, &follower);
+                apply_reply(reply, &follower);
             }
         }
         relay.apply(&events[seen..], events.len() as u64, Duration::ZERO);
         let reply = runtime.block_on(relay.serve(follower.revision(), Duration::ZERO)).reply;
-        pass_on(reply, &follower);
+        apply_reply(reply, &follower);
         for dispatcher in [&first, &second] {
             let in_force = dispatcher.evacuated_zones();
             assert!(in_force.iter().map(|zone| &**zone).eq(written.iter().copied()));
@@ -208,7 +208,7 @@
 
 /// A key that names no zone, or one in which no server lies, must not hide the others.
 #[test]
-fn a_key_that_names_no_zone_costs_only_itself() {
+fn malformed_evacuation_key_does_not_affect_others() {
     let dispatcher = dispatcher();
     let mirror = mirror(&dispatcher);
     for (number, zone) in ["", "a/b", "nowhere", "b"].into_iter().enumerate() {
@@ -235,7 +235,7 @@
 async fn until_only(bed: &RoutedBed, at: usize, server: &RawServer, since: Instant) {
     let mut in_a_row = 0;
     while in_a_row < 10 {
-        assert!(since.elapsed() < IN_FORCE, "instance {at}");
+        assert!(since.elapsed() < APPLY_MAX, "instance {at}");
         let ran = server.ran().len();
         let answer = bed.call(at, "GET /look/a", "probe", &[]).await;
         in_a_row = if answer.status == 200 && server.ran().len() > ran { in_a_row + 1 } else { 0 };
@@ -244,7 +244,7 @@
 
 /// Requests go on reaching an evacuated zone through instances that the store turns away or that start.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_is_in_force_at_each_instance_in_half_of_its_bound() {
+async fn evacuation_is_applied_everywhere_in_half_the_time_limit() {
     let (mut bed, [in_a, in_b]) = two_zones().await;
     until_only(&bed, 0, &in_a, Instant::now()).await;
     bed.views[1].set_fault(Fault::Busy);
--- a/tests/first_copy.rs
+++ b/tests/first_copy.rs
@@ -20,9 +20,9 @@
 
 /// What is in force: the value of each key.
 #[derive(Clone, Debug, Default)]
-struct InForce(Arc<Mutex<BTreeMap<String, String>>>);
+struct ValuesSink(Arc<Mutex<BTreeMap<String, String>>>);
 
-impl Sink for InForce {
+impl Sink for ValuesSink {
     fn written(&mut self, item: &Item) {
         let value = String::from_utf8_lossy(&item.value).into_owned();
         self.0.lock().insert(item.key.clone(), value);
@@ -33,14 +33,14 @@
     }
 }
 
-impl InForce {
+impl ValuesSink {
     fn keys(&self) -> Vec<(String, String)> {
         self.0.lock().clone().into_iter().collect()
     }
 }
 
 /// An instance that starts alone; the one that all settings name is not there yet.
-fn start(store: &MemoryEvents, first_start: bool) -> InForce {
+fn start(store: &MemoryEvents, first_start: bool) -> ValuesSink {
     let text = serde_json::json!({
         "instance": { "name": "a2", "zone": "z" },
         "gateway": {
@@ -51,7 +51,7 @@
     });
     let settings = parse_settings("t", &text.to_string()).expect("valid");
     let board = Arc::new(Blackboard::new(settings, 1));
-    let in_force = InForce::default();
+    let in_force = ValuesSink::default();
     let mirror = Arc::new(Mirror::new(in_force.clone()));
     let links = MemoryLinks::default().add(&board, Some(Arc::clone(&mirror)), 1_000_000);
     let follower = Follower::new(store.clone(), links, board, mirror, Feed::Servers, "servers/");
@@ -71,7 +71,7 @@
 /// later; it turned them all away until then, though the store is there. Cause: it waited for others
 /// to hand it a copy, to save the price of reading.
 #[tokio::test(start_paused = true)]
-async fn an_instance_that_starts_alone_goes_by_a_cheap_reading_at_once() {
+async fn lone_instance_uses_stale_read_at_once() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "one");
     let in_force = start(&store, false);
@@ -83,7 +83,7 @@
 /// The same, and the cheap reading was seconds old: a server had left since, another had come, and a
 /// third had changed. What was read must not stay, although it came first.
 #[tokio::test(start_paused = true)]
-async fn what_was_read_old_is_replaced_and_removed_by_what_is_certain() {
+async fn stale_read_is_replaced_by_fresh_snapshot() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "one");
     store.put("servers/s2", "two");
@@ -101,7 +101,7 @@
 
 /// The store does not answer the cheap reading. The instance must not stop there.
 #[tokio::test(start_paused = true)]
-async fn a_store_that_comes_back_is_read_although_the_first_reading_failed() {
+async fn store_is_read_after_failed_stale_read() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "one");
     store.set_fault(Fault::Silent);
@@ -115,7 +115,7 @@
 
 /// At the first start of all there are no callers yet: nothing is read before others had their time.
 #[tokio::test(start_paused = true)]
-async fn at_the_first_start_of_all_nothing_is_read_in_haste() {
+async fn first_start_waits_for_peers_before_reading() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "one");
     let in_force = start(&store, true);
@@ -129,8 +129,8 @@
 /// until their time was over, and each read the store itself. Cause: it told of its copy only once a
 /// revision was above 0.
 #[tokio::test(start_paused = true)]
-async fn a_copy_of_an_empty_store_is_handed_on_at_once() {
-    let mirror = Mirror::new(InForce::default());
+async fn mirror_of_empty_store_is_served_at_once() {
+    let mirror = Mirror::new(ValuesSink::default());
     let asked = mirror.serve(None, Duration::from_millis(400));
     let began = tokio::time::Instant::now();
     let read = async {
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_is_removed_is_gone_at_once() {
+async fn removed_server_gets_no_grace() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "{}");
     let removals = follow(&store);
@@ -58,7 +58,7 @@
 /// Every request is refused for two seconds after an outage of the store: all entries had lapsed,
 /// although the servers live.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_lapsed_in_an_outage_has_two_seconds_from_the_stores_return() {
+async fn entry_expired_in_outage_gets_grace_after_store_returns() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "{}");
     let removals = follow(&store);
@@ -77,7 +77,7 @@
 /// and takes it for one whose entry lapsed. Seen with site figures on the day
 /// `scale-2 --seed 758175539419`: 3.3 s after the cut had ended.
 #[tokio::test(start_paused = true)]
-async fn the_grace_ends_by_the_clock_of_the_outage_not_of_the_news() {
+async fn grace_is_counted_from_outage_not_from_notification() {
     let store = MemoryEvents::default();
     store.put("servers/s1", "{}");
     let removals = follow(&store);
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -10,9 +10,9 @@
 use standins::routed::two_routes;
 
 /// The bound of a change, from its acknowledgement by the store.
-const APPLY: Duration = Duration::from_secs(2);
+const APPLY_MAX: Duration = Duration::from_secs(2);
 /// By then no instance reads the store for its start any more, also one that is the last in its turn.
-const START: Duration = Duration::from_secs(1);
+const START_MAX: Duration = Duration::from_secs(1);
 const ZONES: [&str; 6] = ["a", "a", "b", "b", "c", "c"];
 
 fn without_order(version: u64) -> String {
@@ -25,7 +25,7 @@
 async fn until_dropped(bed: &RoutedBed, asked: &[usize], since: Instant) -> Duration {
     for at in asked {
         while bed.call(*at, "POST /order/a", "dropped", &[]).await.status != 404 {
-            assert!(since.elapsed() < APPLY * 3, "instance {at} still has the route");
+            assert!(since.elapsed() < APPLY_MAX * 3, "instance {at} still has the route");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
@@ -40,14 +40,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_in_force_everywhere_and_few_instances_call_the_store() {
+async fn change_is_applied_everywhere_with_few_store_callers() {
     let bed = fleet().await;
-    tokio::time::sleep(START).await;
+    tokio::time::sleep(START_MAX).await;
     let before: Vec<u64> = bed.views.iter().map(standins::routed::MemoryEvents::calls).collect();
     let since = Instant::now();
     bed.store.put(CONFIG_KEY, &without_order(2));
     let took = until_dropped(&bed, &[0, 1, 2, 3, 4, 5], since).await;
-    assert!(took < APPLY, "{took:?}");
+    assert!(took < APPLY_MAX, "{took:?}");
     let after = bed.views.iter().map(standins::routed::MemoryEvents::calls);
     let called = after.zip(&before).filter(|(after, before)| after > *before).count();
     assert!(called <= 3, "{called} instances called the store");
@@ -56,7 +56,7 @@
 /// An operator's change is acknowledged, and most instances go on without it: the store turned away
 /// just those instances that watch it, and the others believed them.
 #[tokio::test(flavor = "multi_thread")]
-async fn instances_that_the_store_serves_do_not_rely_on_those_it_turns_away() {
+async fn served_instances_do_not_rely_on_rejected_watchers() {
     for fault in [Fault::Busy, Fault::Silent] {
         let bed = fleet().await;
         for watching in [0, 2, 4] {
@@ -65,26 +65,26 @@
         let since = Instant::now();
         bed.store.put(CONFIG_KEY, &without_order(2));
         let took = until_dropped(&bed, &[1, 3, 5], since).await;
-        assert!(took < APPLY, "{fault:?}: {took:?}");
+        assert!(took < APPLY_MAX, "{fault:?}: {took:?}");
     }
 }
 
 /// The same, seen from those that are turned away: they hear it from the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_that_the_store_turns_away_hears_of_changes_from_others() {
+async fn rejected_instance_learns_changes_from_peers() {
     let bed = fleet().await;
     bed.views[0].set_fault(Fault::Busy);
     bed.views[1].set_fault(Fault::Silent);
     let since = Instant::now();
     bed.store.put(CONFIG_KEY, &without_order(2));
     let took = until_dropped(&bed, &[0, 1], since).await;
-    assert!(took < APPLY, "{took:?}");
+    assert!(took < APPLY_MAX, "{took:?}");
 }
 
 /// A shop's order goes by a route that was dropped an hour ago: a late answer with an old version
 /// came after the new one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_never_goes_back() {
+async fn config_version_never_regresses() {
     let bed = fleet().await;
     bed.store.put(CONFIG_KEY, &without_order(5));
     until_dropped(&bed, &[0, 1, 2, 3, 4, 5], Instant::now()).await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn history_that_the_store_forgot_is_read_anew() {
+async fn lost_store_history_triggers_snapshot() {
     let bed = fleet().await;
     for view in &bed.views {
         view.set_fault(Fault::Busy);
@@ -112,14 +112,14 @@
     until_dropped(&bed, &[0, 1, 2, 3, 4, 5], since).await;
     // Servers are followed apart from the configuration, and may be heard of a little later.
     while bed.call(0, "GET /look/a", "served", &[]).await.status != 200 {
-        assert!(since.elapsed() < APPLY, "the server is not known");
+        assert!(since.elapsed() < APPLY_MAX, "the server is not known");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 /// Callers are sent to the homes of their zone, and to another instance once a home is gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_are_told_of_homes_and_not_of_instances_that_are_gone() {
+async fn address_answers_name_homes_and_omit_dead_instances() {
     let mut bed = fleet().await;
     let home = bed.board(2).settings.listen.caller;
     for at in 0..ZONES.len() {
@@ -138,7 +138,7 @@
 /// as soon as it is back, since its name comes first, and all of the zone's callers are refused: it
 /// waits for the store's word on the routes, which each of its neighbours has.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_home_that_restarts_while_the_store_is_silent_learns_from_its_neighbours() {
+async fn restarted_home_learns_from_peers_during_store_outage() {
     let mut bed = fleet().await;
     let server = RawServer::spawn("p1").await;
     bed.store.put("servers/p1", &server.entry("parts", "a", 4, "ready"));
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -33,7 +33,7 @@
 }
 
 /// Two large instances and many small ones, as in a fleet that grew.
-fn grown() -> Vec<Arc<MemberRow>> {
+fn mixed_fleet() -> Vec<Arc<MemberRow>> {
     let mut rows: Vec<Arc<MemberRow>> =
         (10..40).map(|n| row(&format!("a-{n}"), "a", 60, MemberState::Alive)).collect();
     rows.push(row("a-8", "a", 500, MemberState::Alive));
@@ -44,10 +44,10 @@
 /// Counter staff wait while the large instances idle: callers were sent to whichever instance came
 /// first by name, one with a tenth of a core.
 #[test]
-fn the_largest_instances_become_homes_as_many_as_callers_need() {
-    let rows = grown();
+fn largest_instances_become_homes_until_demand_is_met() {
+    let rows = mixed_fleet();
     let homes = |demand_per_s| {
-        homes_of_zone(&MembersView::of(&rows), "a", HomesPlan { least: 1, demand_per_s })
+        homes_of_zone(&MembersView::of(&rows), "a", HomesPlan { homes_min: 1, demand_per_s })
     };
     assert_eq!(names(&homes(0)), ["a-8"]);
     assert_eq!(names(&homes(500)), ["a-8"]);
@@ -57,20 +57,20 @@
 
 /// A large instance that does not answer must not be named before small ones that do.
 #[test]
-fn suspects_come_last_and_leaving_ones_not_at_all() {
-    let mut rows = grown();
+fn suspects_rank_last_and_leaving_instances_are_excluded() {
+    let mut rows = mixed_fleet();
     rows.retain(|row| row.capacity_per_s < 500);
     rows.push(row("a-8", "a", 500, MemberState::Suspect));
     rows.push(row("a-9", "a", 500, MemberState::Leaving));
     let homes =
-        homes_of_zone(&MembersView::of(&rows), "a", HomesPlan { least: 1, demand_per_s: 100 });
+        homes_of_zone(&MembersView::of(&rows), "a", HomesPlan { homes_min: 1, demand_per_s: 100 });
     assert_eq!(names(&homes), ["a-10", "a-11"]);
 }
 
 /// A zone without instances of its own sends its callers to another zone's, never nowhere; and
 /// however rows come in, every instance names the same homes.
 #[test]
-fn zones_borrow_and_the_order_of_rows_does_not_matter() {
+fn zones_borrow_homes_regardless_of_row_order() {
     common::property(200, |u| {
         let mut rows = Vec::new();
         for number in 0..u.int_in_range(1..=20)? {
@@ -78,7 +78,7 @@
             let capacity_per_s = u.int_in_range(1..=500)?;
             rows.push(row(&format!("i-{number}"), zone, capacity_per_s, MemberState::Alive));
         }
-        let plan = HomesPlan { least: 1, demand_per_s: u.int_in_range(0..=2_000)? };
+        let plan = HomesPlan { homes_min: 1, demand_per_s: u.int_in_range(0..=2_000)? };
         let mut turned = rows.clone();
         turned.rotate_left(u.int_in_range(0..=rows.len() - 1)?);
         for zone in ["a", "b", "c"] {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -50,9 +50,9 @@
 
 /// A store's list that names nobody.
 #[derive(Clone, Debug)]
-struct NoList;
+struct EmptyRoster;
 
-impl Roster for NoList {
+impl Roster for EmptyRoster {
     async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
         Ok(Vec::new())
     }
@@ -64,28 +64,28 @@
 
 /// Keeps nothing of the copy beside it.
 #[derive(Clone, Copy, Debug)]
-struct Nothing {
+struct SampleSink {
     /// Whether instances that are no homes are told of a sample, and not of all.
     sampled: bool,
 }
 
-impl Sink for Nothing {
+impl Sink for SampleSink {
     fn written(&mut self, _: &Item) {}
 
     fn removed(&mut self, _: &str, _: Duration) {}
 
-    fn sample(&self, _: u64) -> Vec<String> {
+    fn sample_keys(&self, _: u64) -> Vec<String> {
         let sampled = 0..if self.sampled { SAMPLED } else { ENTRIES };
         sampled.map(|number| format!("servers/i-{number:06}")).collect()
     }
 }
 
-type FleetLinks = MemoryLinks<Nothing>;
+type FleetLinks = MemoryLinks<SampleSink>;
 
 /// One instance, running until it is dropped.
 struct Instance {
     board: Arc<Blackboard>,
-    mirror: Arc<Mirror<Nothing>>,
+    mirror: Arc<Mirror<SampleSink>>,
     links: FleetLinks,
     store: MemoryEvents,
     _tasks: JoinSet<()>,
@@ -96,7 +96,7 @@
     net: FleetLinks,
     store: MemoryEvents,
     instances: Vec<Instance>,
-    sink: Nothing,
+    sink: SampleSink,
     random: Pcg64,
 }
 
@@ -134,10 +134,10 @@
     /// Starts so many instances within a moment; the settings of all name the last three, which
     /// are small.
     async fn start(count: usize, seed: u64) -> Self {
-        Self::start_with(count, seed, Nothing { sampled: false }).await
+        Self::start_with(count, seed, SampleSink { sampled: false }).await
     }
 
-    async fn start_with(count: usize, seed: u64, sink: Nothing) -> Self {
+    async fn start_with(count: usize, seed: u64, sink: SampleSink) -> Self {
         let store = MemoryEvents::default();
         for number in 0..ENTRIES {
             store.put(&format!("servers/i-{number:06}"), &"x".repeat(ENTRY_BYTES));
@@ -166,7 +166,7 @@
         let store = self.store.for_another();
         let mut tasks = JoinSet::new();
         tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
-        tasks.spawn(run_joiner(Arc::clone(&board), NoList, links.clone()));
+        tasks.spawn(run_joiner(Arc::clone(&board), EmptyRoster, links.clone()));
         tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         let new = || {
             let (store, links) = (store.clone(), links.clone());
@@ -225,7 +225,7 @@
 
 /// What a start came to, per instance.
 #[derive(Debug)]
-struct Start {
+struct StartCost {
     messages: u64,
     bytes: u64,
     store_calls: u64,
@@ -234,7 +234,7 @@
 /// Starts of a size that are added up: the calls of one hang on who happens to be asked first.
 const STARTS: usize = 3;
 
-async fn start_of(count: usize) -> Start {
+async fn start_cost(count: usize) -> StartCost {
     let fleet = Fleet::start(count, 1).await;
     fleet
         .until(Duration::from_secs(4), "all known", |one| {
@@ -246,7 +246,7 @@
         .await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (count, net) = (count as u64, &fleet.net);
-    Start {
+    StartCost {
         messages: net.messages() / count,
         bytes: net.bytes() / count,
         store_calls: fleet.store_calls(),
@@ -258,10 +258,10 @@
 /// spoils the answers of all. Cause: each instance read the whole store itself, the three were asked
 /// for all members by everybody at once, and each member was told to everybody nine times over.
 #[tokio::test(start_paused = true)]
-async fn a_fleet_that_starts_at_once_costs_each_instance_about_the_same_whatever_its_size() {
+async fn simultaneous_start_cost_per_instance_does_not_grow_with_fleet() {
     let (mut calls_of_half, mut calls_of_whole) = (0, 0);
     for _ in 0..STARTS {
-        let (half, whole) = (start_of(250).await, start_of(500).await);
+        let (half, whole) = (start_cost(250).await, start_cost(500).await);
         println!("250: {half:?}; 500: {whole:?}");
         assert!(whole.messages < half.messages * 13 / 10, "{half:?}, {whole:?}");
         // Each instance hears of each other once, and gets one copy.
@@ -277,11 +277,11 @@
 /// Callers ask any instance which address to use, from the first second on. As long as instances
 /// name different ones, requests go to homes that do not know of each other.
 #[tokio::test(start_paused = true)]
-async fn within_a_second_of_a_start_all_instances_name_the_same_homes() {
+async fn instances_agree_on_homes_within_a_second_of_start() {
     let fleet = Fleet::start(500, 2).await;
     let homes = |one: &Instance| -> BTreeSet<u64> {
         let view = one.board.members_view();
-        let plan = HomesPlan { least: 2, demand_per_s: 0 };
+        let plan = HomesPlan { homes_min: 2, demand_per_s: 0 };
         let zones: Vec<&str> = view.zones().collect();
         let all = zones.iter().flat_map(|zone| homes_of_zone(&view, zone, plan));
         all.map(|row| row.incarnation).collect()
@@ -301,7 +301,7 @@
 /// Half of the fleet is killed at one moment. The other half must not take itself for dead, must
 /// notice within seconds, and must not drown in its own news of it.
 #[tokio::test(start_paused = true)]
-async fn the_loss_of_half_of_a_fleet_is_noticed_by_the_other_half() {
+async fn loss_of_half_the_fleet_is_detected() {
     let mut fleet = Fleet::start(500, 3).await;
     fleet
         .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
@@ -326,7 +326,7 @@
 /// A rolling restart of a third of the fleet. Each instance that stops tells that to everybody, twice,
 /// on a connection of its own each time: a thousand for each of 160.
 #[tokio::test(start_paused = true)]
-async fn an_instance_that_leaves_tells_a_few_others_and_all_hear_of_it() {
+async fn leaving_instance_notifies_few_peers_and_all_learn() {
     let fleet = Fleet::start(500, 4).await;
     fleet
         .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
@@ -353,7 +353,7 @@
 /// A request ends three servers at one instance of five hundred, and comes again at any other. All must
 /// refuse it before the bound of four seconds, and the one that found out must not tell each of them.
 #[tokio::test(start_paused = true)]
-async fn all_refuse_a_request_that_crashed_three_servers_at_one_of_them() {
+async fn conviction_reaches_all_instances() {
     let fleet = Fleet::start(500, 6).await;
     fleet
         .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
@@ -406,7 +406,7 @@
 /// asked for an answer at once. It lasts longest where the store turns a third of the instances away, the
 /// first homes of two zones among them, while backend servers come and go.
 #[tokio::test(start_paused = true)]
-async fn a_store_that_turns_a_third_away_does_not_set_the_others_asking_in_a_loop() {
+async fn partial_store_rejection_does_not_cause_poll_loop() {
     let mut fleet = Fleet::start(500, 7).await;
     fleet
         .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
@@ -447,7 +447,7 @@
 
 /// In calm, nothing is sent but pings of a few bytes, and the store is asked by a few only.
 #[tokio::test(start_paused = true)]
-async fn a_calm_fleet_sends_a_few_messages_an_instance() {
+async fn idle_fleet_sends_few_messages() {
     let fleet = Fleet::start(500, 5).await;
     tokio::time::sleep(Duration::from_secs(12)).await;
     let (messages, bytes, calls) = (fleet.net.messages(), fleet.net.bytes(), fleet.store_calls());
@@ -464,16 +464,16 @@
 
 /// The copy of the servers, and what its changes cost, in a fleet of so many instances.
 #[derive(Debug)]
-struct Held {
+struct HolderCost {
     holders: usize,
     /// While a server changes each 50 ms, an instance and second.
     bytes_per_s: u64,
     store_calls: u64,
 }
 
-async fn held_by(count: usize) -> Held {
+async fn holder_cost(count: usize) -> HolderCost {
     const CHANGES: usize = 60;
-    let fleet = Fleet::start_with(count, 8, Nothing { sampled: true }).await;
+    let fleet = Fleet::start_with(count, 8, SampleSink { sampled: true }).await;
     tokio::time::sleep(Duration::from_secs(14)).await;
     let (began, bytes, calls) = (Instant::now(), fleet.net.bytes(), fleet.store_calls());
     for change in 0..CHANGES {
@@ -488,8 +488,8 @@
     let known: Vec<u64> = known.collect();
     assert_eq!(known.len(), count, "{count}: somebody knows no server at all");
     assert!(known.iter().all(|known| *known >= revision), "{count}: somebody missed a change");
-    Held {
-        holders: fleet.instances.iter().filter(|one| one.mirror.holds_all()).count(),
+    HolderCost {
+        holders: fleet.instances.iter().filter(|one| one.mirror.is_full()).count(),
         bytes_per_s: (fleet.net.bytes() - bytes) / count as u64 / seconds,
         store_calls: fleet.store_calls() - calls,
     }
@@ -498,10 +498,10 @@
 /// Guards against memory, bytes and work for thousands of servers on each of a thousand instances, of which
 /// forty choose among them.
 #[tokio::test(start_paused = true)]
-async fn who_holds_the_list_of_servers_does_not_grow_with_the_fleet() {
+async fn server_list_holder_count_does_not_grow_with_fleet() {
     let mut all = Vec::new();
     for count in [250, 500, 1_000] {
-        let held = held_by(count).await;
+        let held = holder_cost(count).await;
         println!("{count} instances: {held:?}");
         // One home and four that stand by, in each zone.
         assert_eq!(held.holders, 5 * ZONES, "{count} instances");
--- a/tests/load_words.rs
+++ b/tests/load_words.rs
@@ -10,7 +10,7 @@
 use sorrelwick::balance::RetryAllowance;
 use sorrelwick::board::Blackboard;
 use sorrelwick::gateway::Dispatcher;
-use sorrelwick::gateway::LoadShare;
+use sorrelwick::gateway::LoadReporter;
 use sorrelwick::gateway::ServerNotice;
 use sorrelwick::member::MemberRow;
 use sorrelwick::member::MemberState;
@@ -120,7 +120,7 @@
     (1..=SERVERS).for_each(|port| dispatcher.list_server(server(port)));
     let servers = dispatcher.servers();
     let links = Recorder::default();
-    let share = LoadShare { board, links: links.clone(), dispatcher: dispatcher.clone() };
+    let share = LoadReporter { board, links: links.clone(), dispatcher: dispatcher.clone() };
     let running = tokio::spawn(share.run());
     // A request keeps the instance busy, as on a day.
     let ask = long_ask();
@@ -168,7 +168,7 @@
     let dispatcher = Dispatcher::new("a", allowance);
     dispatcher.list_server(server(1));
     let links = Recorder::default();
-    let share = LoadShare { board, links: links.clone(), dispatcher: dispatcher.clone() };
+    let share = LoadReporter { board, links: links.clone(), dispatcher: dispatcher.clone() };
     let running = tokio::spawn(share.run());
     let grant = dispatcher.try_acquire_spare("parts", &long_ask()).expect("a slot");
     tokio::time::sleep(Duration::from_secs(SECONDS)).await;
--- a/tests/mirror_schedules.rs
+++ b/tests/mirror_schedules.rs
@@ -15,16 +15,16 @@
 
 /// What the sink was told, as a map, and whether it was ever told something older.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct RecordingSink {
     values: Arc<Mutex<BTreeMap<String, u64>>>,
     newest: Arc<Mutex<BTreeMap<String, u64>>>,
-    went_back: Arc<Mutex<bool>>,
+    regressed: Arc<Mutex<bool>>,
 }
 
-impl Sink for Told {
+impl Sink for RecordingSink {
     fn written(&mut self, item: &Item) {
         let newest = self.newest.lock().insert(item.key.clone(), item.revision);
-        *self.went_back.lock() |= newest.is_some_and(|newest| newest >= item.revision);
+        *self.regressed.lock() |= newest.is_some_and(|newest| newest >= item.revision);
         self.values.lock().insert(item.key.clone(), item.revision);
     }
 
@@ -55,12 +55,12 @@
 /// A route or server comes back from the dead: an old read or a relay's answer arrives after newer
 /// events, and overwrites them.
 #[test]
-fn a_copy_never_goes_back_and_ends_as_the_store() {
+fn mirror_never_regresses_and_converges_to_store() {
     common::property(400, |u| {
         let mut store = Store::default();
-        let told = Told::default();
+        let told = RecordingSink::default();
         let mirror = Mirror::new(told.clone());
-        let relay = Mirror::new(Told::default());
+        let relay = Mirror::new(RecordingSink::default());
         for _ in 0..u.int_in_range(5..=60)? {
             match u.int_in_range(0..=5)? {
                 0..=2 => {
@@ -77,7 +77,7 @@
                     // Events after what the copy has, up to some point, told late or twice.
                     let from = u.int_in_range(0..=mirror.revision().unwrap_or(0))?;
                     let upto = u.int_in_range(from..=store.events.len() as u64)?;
-                    let part = &store.events[at(from)..at(upto)];
+                    let part = &store.events[event_index(from)..event_index(upto)];
                     mirror.apply(part, upto, Duration::ZERO);
                 }
                 4 => {
@@ -86,27 +86,27 @@
                     let items: Vec<Item> = store.items(read_at).into_values().collect();
                     relay.replace(&items, read_at as u64, Duration::ZERO);
                 }
-                _ => answer_of(&relay, &mirror),
+                _ => sync_from_relay(&relay, &mirror),
             }
         }
         let all = store.events.len();
-        let from = at(mirror.revision().unwrap_or(0));
+        let from = event_index(mirror.revision().unwrap_or(0));
         mirror.apply(&store.events[from.min(all)..], all as u64, Duration::ZERO);
         let expected: BTreeMap<String, u64> =
             store.items(all).into_iter().map(|(key, item)| (key, item.revision)).collect();
         assert_eq!(*told.values.lock(), expected);
-        assert!(!*told.went_back.lock());
+        assert!(!*told.regressed.lock());
         Ok(())
     });
 }
 
 /// The place of the event after a revision.
-fn at(revision: u64) -> usize {
+fn event_index(revision: u64) -> usize {
     usize::try_from(revision).expect("a few events")
 }
 
 /// Takes in what a relay answers to an instance that knows what `mirror` knows.
-fn answer_of(relay: &Mirror<Told>, mirror: &Mirror<Told>) {
+fn sync_from_relay(relay: &Mirror<RecordingSink>, mirror: &Mirror<RecordingSink>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
     let runtime = runtime.expect("a runtime");
     let reply = runtime.block_on(relay.serve(mirror.revision(), Duration::ZERO)).reply;
--- a/tests/declaration.rs
+++ b/tests/parsed_config.rs
@@ -4,8 +4,8 @@
 
 use arbtest::arbitrary::Arbitrary;
 use sorrelwick::errors::Code;
-use sorrelwick::gateway::PartFault;
-use sorrelwick::gateway::ReadTable;
+use sorrelwick::gateway::ConfigFault;
+use sorrelwick::gateway::ParsedConfig;
 use sorrelwick::gateway::RouteKind;
 use sorrelwick::gateway::RouteTable;
 use standins::routed::two_routes;
@@ -21,20 +21,20 @@
     document.to_string().into_bytes()
 }
 
-fn read(text: &[u8], before: Option<&RouteTable>) -> ReadTable {
-    RouteTable::read(text, before).expect("the document can be read")
+fn read(text: &[u8], before: Option<&RouteTable>) -> ParsedConfig {
+    RouteTable::parse(text, before).expect("the document can be read")
 }
 
-fn codes(faults: &[PartFault]) -> Vec<(Code, bool)> {
+fn codes(faults: &[ConfigFault]) -> Vec<(Code, bool)> {
     faults.iter().map(|fault| (fault.code, fault.kept)).collect()
 }
 
 /// All callers of a deployment were refused: one route was of a kind that the instances did not
 /// know, and none of the others came in force for it.
 #[test]
-fn a_kind_that_is_not_known_costs_no_route_and_is_not_repeated() {
+fn unknown_route_kind_keeps_route_without_repeats() {
     let text = changed(1, |document| document["routes"][0]["kind"] = "streamed".into());
-    let ReadTable { table, faults } = read(&text, None);
+    let ParsedConfig { table, faults } = read(&text, None);
     let look = table.find_route(HOST, "/look/a").expect("the route is there");
     assert_eq!((look.kind, look.idempotent()), (RouteKind::Unknown, false));
     assert!(look.has_target());
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn a_download_is_a_kind_of_its_own_and_may_be_repeated() {
+fn download_kind_is_repeatable() {
     let text = changed(1, |document| document["routes"][0]["kind"] = "download".into());
-    let ReadTable { table, faults } = read(&text, None);
+    let ParsedConfig { table, faults } = read(&text, None);
     let look = table.find_route(HOST, "/look/a").expect("a route");
     assert_eq!((look.kind, look.idempotent()), (RouteKind::Download, true));
     assert!(faults.is_empty(), "{faults:?}");
@@ -54,13 +54,13 @@
 /// An operator's tool writes a timeout as a text. Callers of that route are served as before; those
 /// of all others see the new version.
 #[test]
-fn a_route_that_cannot_be_read_stays_as_it_was() {
+fn unreadable_route_keeps_previous_version() {
     let before = read(two_routes(1).as_bytes(), None).table;
     let text = changed(2, |document| {
         document["routes"][0]["timeout_ms"] = "soon".into();
         document["routes"][1]["aim_ms"] = 333.into();
     });
-    let ReadTable { table, faults } = read(&text, Some(&before));
+    let ParsedConfig { table, faults } = read(&text, Some(&before));
     assert_eq!(table.version, 2);
     assert_eq!(table.find_route(HOST, "/look/a"), before.find_route(HOST, "/look/a"));
     assert_eq!(table.find_route(HOST, "/order/a").map(|route| route.aim_ms), Some(333));
@@ -71,9 +71,9 @@
 /// A route that is new and cannot be read: a final "no such route" would end requests for good that
 /// the next version serves.
 #[test]
-fn a_new_route_that_cannot_be_read_refuses_for_a_while() {
+fn unreadable_new_route_refuses_requests() {
     let text = changed(1, |document| document["routes"][0]["timeout_ms"] = "soon".into());
-    let ReadTable { table, faults } = read(&text, None);
+    let ParsedConfig { table, faults } = read(&text, None);
     let look = table.find_route(HOST, "/look/a").expect("it is known that there is one");
     assert!(!look.has_target() && !look.idempotent());
     assert!(table.find_route(HOST, "/order/a").expect("the other holds").has_target());
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn services_and_limits_that_cannot_be_read_stay_as_they_were() {
+fn unreadable_services_and_limits_keep_previous_version() {
     let first = changed(1, |document| document["limits"]["body_bytes_max"] = 77.into());
     let before = read(&first, None).table;
     let text = changed(2, |document| {
         document["services"][0]["health_path"] = 7.into();
         document["limits"]["body_bytes_max"] = "many".into();
     });
-    let ReadTable { table, faults } = read(&text, Some(&before));
+    let ParsedConfig { table, faults } = read(&text, Some(&before));
     assert_eq!(table.services.get("parts"), before.services.get("parts"));
     assert_eq!(table.limits.body_bytes_max, 77);
     assert_eq!(codes(&faults), [(Code::ServiceUnreadable, true), (Code::LimitsUnreadable, true)]);
@@ -96,7 +96,7 @@
 
 /// Any part replaced by anything: the document is read, and the other route is as it was written.
 #[test]
-fn no_part_costs_another() {
+fn unreadable_part_does_not_affect_others() {
     let whole = read(two_routes(1).as_bytes(), None).table;
     common::property(2_000, |u| {
         let at = usize::from(bool::arbitrary(u)?);
@@ -122,8 +122,8 @@
 }
 
 #[test]
-fn what_is_no_document_is_rejected_whole() {
+fn malformed_document_is_rejected() {
     for text in ["", "[]", "{}", r#"{"version":"7"}"#, r#"{"version":7,"routes":{}}"#] {
-        assert!(RouteTable::read(text.as_bytes(), None).is_err(), "{text}");
+        assert!(RouteTable::parse(text.as_bytes(), None).is_err(), "{text}");
     }
 }
--- a/tests/relay_schedules.rs
+++ b/tests/relay_schedules.rs
@@ -30,7 +30,7 @@
 /// The bound of a change, from its acknowledgement by the store.
 const BOUND: Duration = Duration::from_secs(2);
 /// Played in CI; `SORRELWICK_SCHEDULES` gives another number.
-const SEEDS: u64 = 60;
+const DEFAULT_SEEDS: u64 = 60;
 /// A schedule of the large fleet takes as long as so many of the others.
 const LARGE_SEED_COST: u64 = 15;
 /// Time before the change, so that all instances have settled.
@@ -40,10 +40,10 @@
 
 /// How the instances learn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    Ours,
+enum Strategy {
+    Follower,
     /// One other after the other, each with its own timeout, and the store at last.
-    OneByOne,
+    Sequential,
 }
 
 /// What became of one change.
@@ -56,7 +56,7 @@
 
 /// A follower that asks its relays one after the other, and the store when none of them is certain:
 /// the watching instances, then two neighbours, and all of them again after a pause by its place.
-async fn one_by_one(
+async fn run_sequential_follower(
     size: FleetSize,
     at: usize,
     store: MemoryEvents,
@@ -70,12 +70,12 @@
     let relays: Vec<usize> = std::iter::once(zone).chain(others).chain(near).collect();
     loop {
         if at >= zones {
-            if ask_in_turn(&relays, &mirror, &peers, Duration::from_millis(600)).await {
+            if poll_sequentially(&relays, &mirror, &peers, Duration::from_millis(600)).await {
                 continue;
             }
             tokio::time::sleep(Duration::from_millis(60) * u32::try_from(at / zones).unwrap())
                 .await;
-            if ask_in_turn(&relays, &mirror, &peers, Duration::ZERO).await {
+            if poll_sequentially(&relays, &mirror, &peers, Duration::ZERO).await {
                 continue;
             }
         }
@@ -83,7 +83,7 @@
         match store.events("config", revision, Duration::from_secs(4)).await {
             Ok(Watched::Events { events, revision }) => {
                 mirror.apply(&events, revision, Duration::ZERO);
-                mirror.confirm(sorrelwick::clock::now_us());
+                mirror.record_confirmation(sorrelwick::clock::now_us());
             }
             _ => tokio::time::sleep(Duration::from_millis(200)).await,
         }
@@ -91,7 +91,7 @@
 }
 
 /// Asks each with its own timeout until one is certain; only the first holds the question.
-async fn ask_in_turn(
+async fn poll_sequentially(
     relays: &[usize],
     mirror: &Mirror<Seen>,
     peers: &RelayPeers,
@@ -117,16 +117,16 @@
 }
 
 /// One change, while some instances fail.
-async fn play(seed: u64, size: FleetSize, way: Way) -> Outcome {
+async fn run_schedule(seed: u64, size: FleetSize, way: Strategy) -> Outcome {
     let mut random = Pcg64::seed_from_u64(seed);
     let store = MemoryEvents::default();
     store.put("config", "1");
     let fleet = match way {
-        Way::Ours => RelayFleet::start(&store, size),
-        Way::OneByOne => RelayFleet::start_with(&store, size, |fleet, at| {
+        Strategy::Follower => RelayFleet::start(&store, size),
+        Strategy::Sequential => RelayFleet::start_with(&store, size, |fleet, at| {
             let (view, peers) = (fleet.views[at].clone(), fleet.peers(at));
             let mirror = Arc::clone(&fleet.net.mirrors[at]);
-            fleet.run(one_by_one(size, at, view, peers, mirror));
+            fleet.run(run_sequential_follower(size, at, view, peers, mirror));
         }),
     };
     let RelayFleet { sinks, net, views, .. } = &fleet;
@@ -156,21 +156,21 @@
 
 fn seeds() -> u64 {
     let given = std::env::var("SORRELWICK_SCHEDULES").ok();
-    given.and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
+    given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEEDS)
 }
 
 /// An operator's change is acknowledged, and an instance that nothing is wrong with goes on by the
 /// version before: those from whom it learns are frozen, slow or turned away, one after the other.
 #[tokio::test(start_paused = true)]
-async fn whoever_fails_the_others_learn_of_a_change_in_its_bound() {
+async fn change_reaches_healthy_instances_in_time_under_any_loss() {
     let mut naive_breaks = 0;
     let mut slowest = Duration::ZERO;
     for seed in 0..seeds() {
-        let ours = play(seed, FleetSize::SMALL, Way::Ours).await;
+        let ours = run_schedule(seed, FleetSize::SMALL, Strategy::Follower).await;
         let longest = ours.took.iter().max().copied().unwrap_or_default();
         assert!(longest < BOUND, "seed {seed}: {longest:?}");
         slowest = slowest.max(longest);
-        let naive = play(seed, FleetSize::SMALL, Way::OneByOne).await;
+        let naive = run_schedule(seed, FleetSize::SMALL, Strategy::Sequential).await;
         naive_breaks += u32::from(naive.took.iter().any(|took| *took >= BOUND));
     }
     println!("slowest {slowest:?}; one by one {naive_breaks} schedules break the bound");
@@ -180,9 +180,10 @@
 /// The same with five hundred instances in five zones. What a change may cost must not grow with them:
 /// whoever fails, only those that read the store call it, and each of the others asks a few.
 #[tokio::test(start_paused = true)]
-async fn of_five_hundred_instances_all_learn_of_a_change_in_its_bound() {
+async fn change_reaches_five_hundred_instances_in_time() {
     for seed in 0..seeds() / LARGE_SEED_COST {
-        let Outcome { took, calls } = play(seed, FleetSize::LARGE, Way::Ours).await;
+        let Outcome { took, calls } =
+            run_schedule(seed, FleetSize::LARGE, Strategy::Follower).await;
         let longest = took.iter().max().copied().unwrap_or_default();
         println!("seed {seed}: {longest:?}, {calls} calls, {} whole", took.len());
         assert!(longest < BOUND, "seed {seed}: {longest:?}");
@@ -194,7 +195,7 @@
 /// in the outage, wait for answers on connections that are dead. Seen as `CONFIG` on the second
 /// site's day `pairs_that_share_a_mechanism --vary --seed 53884187977`.
 #[tokio::test(start_paused = true)]
-async fn after_a_silence_of_the_store_a_change_is_learned_in_its_bound() {
+async fn change_after_store_hang_is_applied_in_time() {
     for silent_ms in [700, 1_500, 2_500, 4_500, 6_000] {
         let store = MemoryEvents::default();
         store.put("config", "1");
@@ -221,7 +222,7 @@
 /// starts that takes its place. It waits for an answer that does not come, and nobody asks it about
 /// what it missed any more. Seen as `CONFIG` on the second site's day `hunt-67e7-19`.
 #[tokio::test(start_paused = true)]
-async fn an_instance_that_is_relieved_of_watching_asks_the_one_that_took_over() {
+async fn replaced_watcher_learns_from_its_successor() {
     let store = MemoryEvents::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
@@ -249,7 +250,7 @@
 /// The store is away for eight seconds. Every instance goes on calling it once a second for each
 /// part that it follows, which brings nothing and is paid for.
 #[tokio::test(start_paused = true)]
-async fn in_an_outage_of_the_store_only_the_readers_go_on_calling_it() {
+async fn only_readers_call_store_during_outage() {
     let store = MemoryEvents::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
@@ -275,7 +276,7 @@
 
 /// Each instance goes on paying for calls that an outage of the store leaves unanswered.
 #[tokio::test(start_paused = true)]
-async fn in_an_outage_of_the_store_an_instance_pays_for_next_to_no_call() {
+async fn outage_costs_at_most_two_paid_calls_per_instance() {
     let store = MemoryEvents::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
@@ -295,7 +296,7 @@
 
 /// Zones evacuated, taken back and evacuated again at once: some of 500 instances keep an older word.
 #[tokio::test(start_paused = true)]
-async fn evacuations_reach_five_hundred_instances_in_half_of_their_bound() {
+async fn evacuations_reach_five_hundred_instances_in_half_the_time_limit() {
     const HALF: Duration = Duration::from_millis(2_500);
     /// Two calls of each zone's first home for each change, as docs/CAPACITY.md allows: the one that brings it
     /// and the next watch.
@@ -322,14 +323,14 @@
 
 /// Without a loss, a change costs a few calls, however many instances there are.
 #[tokio::test(start_paused = true)]
-async fn a_change_without_a_loss_costs_calls_of_the_watching_instances_only() {
+async fn change_without_loss_costs_only_watcher_calls() {
     let no_loss = |seed: &u64| {
         losses(FleetSize::SMALL, &mut Pcg64::seed_from_u64(*seed))
             .iter()
             .all(|loss| *loss == Loss::None)
     };
     let seed = (0..10_000).find(no_loss).expect("one of these draws no loss");
-    let outcome = play(seed, FleetSize::SMALL, Way::Ours).await;
+    let outcome = run_schedule(seed, FleetSize::SMALL, Strategy::Follower).await;
     // Three watch, look whether the store still serves them every 0.4 s, and watch anew.
     assert!(outcome.calls <= 3 * (10 + 4), "{} calls", outcome.calls);
     assert!(outcome.took.iter().all(|took| *took < Duration::from_millis(700)));
--- a/tests/relay_size.rs
+++ b/tests/relay_size.rs
@@ -42,7 +42,7 @@
 /// half a megabyte each, over links of 10 Mbit/s. Calls between instances give up after 0.8 s, so
 /// that many of them began again and again.
 #[tokio::test]
-async fn a_change_of_a_large_configuration_travels_in_few_bytes() {
+async fn large_config_change_is_sent_in_few_bytes() {
     let mirror = Mirror::new(NoSink);
     mirror.replace(&[configuration(1)], 1, Duration::ZERO);
     mirror.replace(&[configuration(2)], 2, Duration::ZERO);
@@ -69,7 +69,7 @@
 }
 
 /// How long a home takes to take in `CHANGES` and to tell so many others of them.
-async fn told_to(others: usize) -> Duration {
+async fn time_to_serve(others: usize) -> Duration {
     let mirror = Mirror::new(NoSink);
     let servers: Vec<Item> = (0..SERVERS).map(|number| server(number, 1)).collect();
     mirror.replace(&servers, 1, Duration::ZERO);
@@ -97,8 +97,8 @@
 /// each. That their processors are what held up their answers to pings is not shown yet; what a change costs
 /// them is.
 #[tokio::test]
-async fn what_a_home_tells_a_hundred_others_is_written_and_compressed_once() {
-    let (one, hundred) = (told_to(1).await, told_to(100).await);
+async fn reply_is_encoded_once_for_a_hundred_peers() {
+    let (one, hundred) = (time_to_serve(1).await, time_to_serve(100).await);
     println!("{one:?} for one, {hundred:?} for a hundred");
     // A copy of some kilobytes for each is left; a tenth of the work for each is not.
     assert!(hundred < one * 10, "{one:?} for one, {hundred:?} for a hundred");
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -50,7 +50,7 @@
 
 fn read_routes(document: &serde_json::Value, before: Option<&RouteTable>) -> RouteTable {
     let redacted = redact_keys(document.to_string().into_bytes());
-    RouteTable::read(&redacted, before).expect("readable routes").table
+    RouteTable::parse(&redacted, before).expect("readable routes").table
 }
 
 fn key_access(table: &RouteTable, key: &str) -> Option<KeyAccess> {
@@ -117,7 +117,7 @@
     let redacted = redact_keys(routes_with_workspaces(1, &misplaced).into_bytes());
     let text = String::from_utf8(redacted.clone()).expect("UTF-8");
     assert!(!text.contains(MILL_KEY) && !text.contains(FARM_KEY), "{text}");
-    let read = RouteTable::read(&redacted, None).expect("readable routes");
+    let read = RouteTable::parse(&redacted, None).expect("readable routes");
     assert_eq!(read.faults.len(), 4, "{:?}", read.faults);
     assert!(read.faults.iter().all(|fault| fault.code == Code::WorkspaceUnreadable));
     assert!(read.faults.iter().all(|fault| !fault.why.contains(FARM_KEY)), "{:?}", read.faults);
