--- a/src/gateway/address_claims.rs
+++ b/src/gateway/address_claims.rs
@@ -1,4 +1,4 @@
-//! Which backend server holds an address, where the entries of several name it.
+//! Decides which backend server owns an address when several store entries name it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,15 +6,17 @@
 
 use smallvec::SmallVec;
 
-/// Servers by address, the one that was listed last at the end: it holds the address. The entry of
-/// one that crashed stands for some seconds, while the one that took its place is listed already.
+/// Server ids by address, in the order in which they were listed; the last one owns the address.
+/// After a crash, the old server's entry remains for some seconds while its successor is already
+/// listed.
 #[derive(Debug, Default)]
 pub(super) struct AddressClaims {
     by_address: HashMap<SocketAddr, SmallVec<[Arc<str>; 1]>>,
 }
 
 impl AddressClaims {
-    /// A server was listed at an address; returns the one that held it until then.
+    /// Records that a server was listed at `address`. Returns the previous owner if it was another
+    /// server.
     pub(super) fn claim(&mut self, address: SocketAddr, id: &Arc<str>) -> Option<Arc<str>> {
         let claims = self.by_address.entry(address).or_default();
         let holder = claims.last().filter(|holder| *holder != id).cloned();
@@ -23,8 +25,8 @@
         holder
     }
 
-    /// A server is gone, or another one answered at its address; returns who holds the address now, if
-    /// that changed.
+    /// Removes a server's claim because its entry was removed or another server answered at the
+    /// address. Returns the new owner if the ownership changed.
     pub(super) fn release(&mut self, address: SocketAddr, id: &str) -> Option<Arc<str>> {
         let claims = self.by_address.get_mut(&address)?;
         let held = claims.last().is_some_and(|holder| **holder == *id);
--- a/src/gateway/feed_source.rs
+++ b/src/gateway/feed_source.rs
@@ -1,4 +1,4 @@
-//! How an instance asks another one for a part of the store.
+//! Requests for store contents that one instance sends to another.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,24 @@
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
-/// What another instance told.
+/// A peer's answer to a feed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedAnswer {
     pub reply: FeedReply,
-    /// How long ago it was last certain that nothing is missing.
+    /// Time since the peer's mirror was last confirmed complete.
     pub age: Duration,
-    /// When that is proved to have been the newest, on the clock of [`boot_us`]; `None` without a proof.
+    /// The time for which the reply is proved up to date, on the local [`boot_us`] clock; `None`
+    /// without a proof.
     pub proved_us: Option<u64>,
-    /// What the homes of each zone must carry; 0 where the other knows no server.
+    /// Requests per second that the homes of each zone must be able to carry; 0 if the peer knows
+    /// no server.
     pub zone_demand_per_s: u32,
 }
 
 impl FeedAnswer {
-    /// What was told to a question that was sent at `asked_us`. It came there at that moment or later, so a
-    /// proof that is counted from its coming is no newer than if it is counted from then.
+    /// Converts the reply to a request sent at `asked_us`. The peer counts the proof's age from
+    /// when the request arrived, which is no earlier than `asked_us`, so the proof is never dated
+    /// too late.
     #[must_use]
     pub fn of(told: FeedTold, asked_us: u64) -> Self {
         let FeedTold { reply, age_ms, proof_after_ms, zone_demand_per_s } = told;
@@ -35,10 +38,10 @@
     }
 }
 
-/// Asks other instances; the links between them do so, and tests with faults in between.
+/// Sends feed requests to other instances. Tests implement it with injected faults.
 pub trait FeedSource: Clone + Send + Sync + 'static {
-    /// What changed after a revision; the other may wait for news for up to `hold`. `None` when no
-    /// answer came `within`.
+    /// Requests the changes after a revision; the peer may hold the request for up to `hold` until
+    /// there are some. `None` if no answer came `within` that time.
     fn ask(
         &self,
         peer: SocketAddr,
@@ -61,7 +64,7 @@
         let hold_ms = u64::try_from(hold.as_millis()).unwrap_or(0);
         let request = PeerRequest::Feed { feed, after, hold_ms };
         let asked_us = boot_us();
-        // Why there is no answer makes no difference: another instance is asked.
+        // The cause does not matter: the caller asks another instance.
         let reply = self.call(peer, &request, within).await.ok()?;
         let PeerReply::Feed(told) = reply else {
             return None;
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -1,12 +1,13 @@
-//! Keeps a [`Mirror`] up to date: from the platform's store, or from an instance that does so.
+//! Keeps a [`Mirror`] in sync with the platform's store, directly or through another instance.
 //!
-//! Each call to the store has its price, and a change that wakes a watch on each instance costs a
-//! call of each. So only the first home of each zone watches; the others ask that of their zone, or
-//! that of another, and when none is certain, several others at once.
+//! Store calls are paid for, and a change that wakes a watch on every instance would cost one call
+//! per instance. So only the first home of each zone watches the store. The other instances
+//! long-poll a relay: the first home of their zone or a watcher. If no relay's mirror is fresh,
+//! they poll several instances at once.
 //!
-//! What holds a change back at most: an instance that was not certain for [`PATIENCE_PART`] of the
-//! bound turns to the store itself, however its relays fail (slow, frozen, cut, turned away), unless
-//! as many others as read the store say that it serves none of them either.
+//! The delay of a change is bounded however the relays fail (slow, frozen, disconnected, rejected
+//! by the store): an instance whose mirror was not confirmed for `stale_max` calls the store
+//! itself, unless enough instances that read the store report that it serves none of them either.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -39,34 +40,38 @@
 use crate::store::StoreError;
 use crate::store::Watched;
 
-/// How long a watch waits in the store; each turn is a call. A connection that went silent hides
-/// changes for as long at most; the other watchers are asked meanwhile.
+/// How long a watch waits in the store for a change; each watch is one paid call. If the connection
+/// goes silent, changes are hidden for at most this long; cross-checks with other watchers cover
+/// that time.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause after a change, so that changes that come together are one call: this part of the time
-/// that a change, or the leaving of a server, may take.
+/// Divides the shortest time limit for a change (configuration, drain or evacuation). The quotient
+/// is the pause after a change, in which further changes accumulate and are then fetched by one
+/// call.
 const BATCH_PAUSE_DIVISOR: u64 = 5;
-/// Pause after a call that the store refused or did not answer, doubling up to the second: each
-/// is paid for, and one that is back should be noticed within a second.
+/// Initial and maximum backoff after a call that the store rejected or did not answer; it doubles
+/// with each failure. Failed calls are paid for too, and a store that is back must be noticed
+/// within a second.
 const REFUSED_BACKOFF_MS: u64 = 200;
 const REFUSED_BACKOFF_MAX_MS: u64 = 1_000;
-/// Pause after a connection that could not be opened; nobody pays for those.
+/// Backoff after a connection that could not be opened; these attempts are free.
 const UNREACHABLE_BACKOFF_MS: u64 = 100;
-/// What another instance knows is believed when it was certain within this; above it, the store
-/// may have turned that instance away while it serves this one.
+/// A mirror that was confirmed complete within this time is *fresh*, and peers may rely on it. If
+/// it is older, the store may be rejecting that instance while it serves this one.
 pub const FRESH_AGE_MAX: Duration = Duration::from_millis(900);
-/// Part of the bound after which an instance that is not certain turns to the store itself; the
-/// call, its connection and what is asked before it have the rest.
+/// Divides the same time limit. The quotient is the age of the mirror at which an instance stops
+/// waiting for peers and calls the store; the remaining time covers the call, its connection and a
+/// last poll of peers.
 const STALE_MAX_DIVISOR: u32 = 2;
-/// An instance that knows no other one takes itself for one that watches. For so long after it
-/// got its copy it waits for others first; a call that waits in the store is paid for like any other.
+/// How long an instance that knows no other, and so would consider itself a watcher, waits for
+/// peers after its initial load. A watch is paid for like any other call.
 const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A watch that was given up because the store did not answer a check meanwhile.
+/// The error of a watch that was abandoned because the store failed a health check.
 fn watch_interrupted() -> StoreError {
     StoreError::AnswerLost("no answer to a check while a watch waited".into())
 }
 
-/// Keeps one mirror up to date.
+/// Keeps one mirror in sync.
 #[derive(Debug)]
 pub struct Follower<S, K, P> {
     pub store: S,
@@ -75,23 +80,23 @@
     pub mirror: Arc<Mirror<K>>,
     pub feed: Feed,
     pub prefix: &'static str,
-    /// Pause after a change.
+    /// Pause after a change, to batch further changes into one call.
     batch_pause: Duration,
-    /// How long this instance goes on without being certain before it turns to the store.
+    /// Age of the mirror from which on this instance calls the store itself.
     pub(super) stale_max: Duration,
     pub(super) outage: StoreOutage,
-    /// The store lost the history, so all keys are to be read.
+    /// The store has discarded the history after the mirror's revision, so all keys must be read.
     snapshot_needed: AtomicBool,
-    /// Relays that are not asked for a while.
+    /// Relays that are temporarily not asked.
     pub(super) relay_cooldowns: Mutex<RelayCooldowns>,
-    /// When this instance last needed the copy.
+    /// When this instance last needed the full mirror, on the clock of [`now_us`].
     last_needed_us: AtomicU64,
-    /// Proves that the copy is the newest, where that is asked of it.
+    /// When to prove that the mirror is up to date; `None` if no proof is required.
     pub(super) proof_schedule: Option<ProofSchedule>,
 }
 
 impl<S: EventStore, K: Sink, P: FeedSource> Follower<S, K, P> {
-    /// A follower of the keys below `prefix`.
+    /// Creates a follower of the keys below `prefix`.
     pub fn new(
         store: S,
         peers: P,
@@ -100,12 +105,12 @@
         feed: Feed,
         prefix: &'static str,
     ) -> Self {
-        let bounds = board.settings.gateway.as_ref();
-        let bound_ms = bounds.map_or(0, |bounds| {
-            bounds.config_apply_ms.min(bounds.drain_ms).min(bounds.evacuate_ms)
+        let gateway = board.settings.gateway.as_ref();
+        let apply_max_ms = gateway.map_or(0, |gateway| {
+            gateway.config_apply_ms.min(gateway.drain_ms).min(gateway.evacuate_ms)
         });
-        let bound = Duration::from_millis(bound_ms);
-        let revocation_ms = bounds.and_then(|bounds| bounds.key_revocation_ms);
+        let apply_max = Duration::from_millis(apply_max_ms);
+        let revocation_ms = gateway.and_then(|gateway| gateway.key_revocation_ms);
         let revocation_ms = revocation_ms.filter(|_| feed == Feed::Config);
         let proof_schedule = revocation_ms.map(|ms| ProofSchedule::new(Duration::from_millis(ms)));
         Self {
@@ -115,8 +120,8 @@
             mirror,
             feed,
             prefix,
-            batch_pause: Duration::from_millis(bound_ms / BATCH_PAUSE_DIVISOR),
-            stale_max: bound / STALE_MAX_DIVISOR,
+            batch_pause: Duration::from_millis(apply_max_ms / BATCH_PAUSE_DIVISOR),
+            stale_max: apply_max / STALE_MAX_DIVISOR,
             outage: StoreOutage::default(),
             snapshot_needed: AtomicBool::new(false),
             relay_cooldowns: Mutex::default(),
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Follows until the process ends.
+    /// Runs until the process ends.
     pub async fn run(self) {
         loop {
             self.load_initial().await;
@@ -133,7 +138,10 @@
             while self.needed_recently() {
                 self.sync_once().await;
             }
-            info!(event = "copy-dropped", prefix = self.prefix; "this instance is no home");
+            info!(
+                event = "copy-dropped", prefix = self.prefix;
+                "the full server list is no longer needed"
+            );
             self.mirror.reset(false);
             while !self.needs_full_mirror() {
                 self.sync_sample().await;
@@ -153,12 +161,12 @@
         }
     }
 
-    /// Whether this instance needs the whole copy, as far as it knows the others.
+    /// Whether this instance needs the full mirror, judging by the members that it knows.
     pub(super) fn needs_full_mirror(&self) -> bool {
         self.feed != Feed::Servers || holds_server_list(&self.board)
     }
 
-    /// The same, now or, where it has the copy, a moment ago.
+    /// Whether the full mirror is needed now or, if it is loaded, was needed within [`RETENTION`].
     fn needed_recently(&self) -> bool {
         let now_us = now_us();
         if self.needs_full_mirror() {
@@ -169,8 +177,9 @@
         self.mirror.revision().is_some() && Duration::from_micros(since_us) < RETENTION
     }
 
-    /// Returns once another instance is to watch. A watch whose answer was lost waits on
-    /// for seconds; this one is asked about what it missed no more, and must ask itself.
+    /// Returns when this instance stops being a watcher. Its pending watch may wait for seconds for
+    /// a lost answer, and cross-checks of watchers no longer cover it, so it must sync from peers
+    /// at once.
     async fn wait_until_not_watcher(&self) {
         let mut changes = self.board.changes();
         while is_watcher(&self.board) {
@@ -180,9 +189,9 @@
         }
     }
 
-    /// One turn at the store, and the pause after it.
+    /// Syncs once from the store, then pauses: to batch changes, or to back off after an error.
     pub(super) async fn sync_from_store(&self) {
-        let began_us = now_us();
+        let started_us = now_us();
         match self.poll_store().await {
             Ok(changed) => {
                 self.record_store_success();
@@ -190,7 +199,7 @@
                     tokio::time::sleep(self.batch_pause).await;
                 }
             }
-            Err(error) => self.back_off(&error, began_us).await,
+            Err(error) => self.back_off(&error, started_us).await,
         }
     }
 
@@ -203,9 +212,9 @@
         }
     }
 
-    pub(super) async fn back_off(&self, error: &StoreError, began_us: u64) {
+    pub(super) async fn back_off(&self, error: &StoreError, started_us: u64) {
         self.board.note_store(Some(error.to_string()));
-        let failures = self.outage.record_failure(began_us);
+        let failures = self.outage.record_failure(started_us);
         if failures == 0 {
             let why = error.to_string();
             warn!(event = "follow-failed", prefix = self.prefix, why = why.as_str(); "");
@@ -220,10 +229,10 @@
         tokio::time::sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
     }
 
-    /// One turn at the store; tells whether it brought a change.
+    /// Calls the store once; returns whether there was a change.
     ///
-    /// After a failure it looks first whether the store serves this instance again: a look costs a tenth of
-    /// a call that brings nothing.
+    /// After a failure it first checks that the store serves this instance again: such a check
+    /// costs a tenth of a call.
     async fn poll_store(&self) -> Result<bool, StoreError> {
         if self.outage.is_ongoing() {
             self.store.alive().await?;
@@ -236,7 +245,8 @@
         }
     }
 
-    /// Reads all keys. Pages are no snapshot, so the watch goes on from before the first one.
+    /// Reads all keys. The pages are not a consistent snapshot, so the mirror takes the revision of
+    /// the first page and the next watch starts there.
     async fn read_snapshot(&self) -> Result<bool, StoreError> {
         let asked_us = boot_us();
         let (items, read_at) = self.read_pages(Freshness::Latest).await?;
@@ -246,7 +256,7 @@
         Ok(false)
     }
 
-    /// All keys, and the store's counter when the first page was read.
+    /// Returns all keys and the store's revision when the first page was read.
     pub(super) async fn read_pages(
         &self,
         freshness: Freshness,
@@ -266,8 +276,8 @@
     }
 
     async fn watch_store(&self, revision: u64) -> Result<bool, StoreError> {
-        // A store that is back answers at once; one that is not holds a call that waits for nothing
-        // as long as it waits for changes.
+        // After a failure the watch must return at once: a failing store would hold it for the full
+        // wait.
         let wait = if self.outage.is_ongoing() { Duration::ZERO } else { WATCH_TIMEOUT };
         let asked_us = boot_us();
         let watching = self.mirror.start_watch();
@@ -279,8 +289,8 @@
         Ok(self.apply_watched(watched, revision, asked_us))
     }
 
-    /// Takes in what the store answered to a watch from `revision` that was asked at `asked_us`; tells whether
-    /// it brought a change.
+    /// Applies the result of a watch from `revision` that was sent at `asked_us`; returns whether
+    /// there was a change.
     pub(super) fn apply_watched(&self, watched: Watched, revision: u64, asked_us: u64) -> bool {
         match watched {
             Watched::HistoryLost => {
--- a/src/gateway/follower_relays.rs
+++ b/src/gateway/follower_relays.rs
@@ -1,4 +1,4 @@
-//! What a follower learns from other instances, and when it turns to the store instead.
+//! How a follower syncs from other instances, and when it falls back to the store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,61 +25,62 @@
 use crate::peer::zone_hash;
 use crate::store::EventStore;
 
-/// How long another instance holds a question, and how long this one waits for the answer at most.
+/// How long a peer may hold a request until there are changes.
 const HOLD_TIME: Duration = Duration::from_millis(600);
-/// The same for the first home of a zone, on which the zone relies: what it hears may be 0.4 s old
-/// already, and held for as long as others it would pass for uncertain before the next answer; 500
-/// instances then asked all readers for seconds.
+/// The hold time for requests of a zone's first home, on which the whole zone relies. What it
+/// receives may be 0.4 s old already; with [`HOLD_TIME`] its mirror would stop being fresh before
+/// the next answer, which made 500 instances poll all readers for seconds.
 const FIRST_HOME_HOLD_TIME: Duration = Duration::from_millis(200);
 const HELD_REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long the answer to a question that is not held may take: a whole configuration of two
-/// thousand routes, compressed, takes a tenth of this over a link of 10 Mbit/s.
+/// Timeout of a request that is not held. A configuration of two thousand routes, compressed, takes
+/// a tenth of this over a 10 Mbit/s link.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// The same, once more before a call to the store: who knows by now is near, and has little to tell.
+/// Timeout of the last poll of peers before a store call. A peer that is fresh by then is nearby
+/// and has few changes to send.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_millis(120);
-/// An instance that did not answer a held question is not asked one again for so long.
+/// How long a relay is skipped after it did not answer a held request.
 const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(3);
-/// The same for one that is not certain: it asks others itself as often as this.
+/// How long a relay is skipped when its mirror is not fresh; a relay cross-checks at this interval.
 const STALE_COOLDOWN: Duration = CROSS_CHECK_INTERVAL;
-/// Between two instances of a zone that turn to the store because no other one is certain: the
-/// first that is served tells the others.
+/// Delay between the readers of a zone that call the store because no peer is fresh. The first one
+/// that the store serves passes the changes on.
 const READER_STAGGER: Duration = Duration::from_millis(60);
-/// Pause before all readers are asked again, whether one was certain or not. Without it a relay that was
-/// not certain set each instance of its zone asking all of them in a loop: hundreds of questions a
-/// second from each, in which a large zone's answers drown.
+/// Pause before the readers are polled again, whether or not one was fresh. Without it, a relay
+/// that was not fresh made every instance of its zone poll all readers in a loop: hundreds of
+/// requests per second each, which overloaded large zones.
 const POLL_PAUSE: Duration = Duration::from_millis(150);
-/// While all who read the store say that it does not serve them, the others try it themselves only
-/// as often as this: in an outage each call is paid for and brings nothing.
+/// Interval of store calls by instances that are not readers, while the readers report that the
+/// store serves none of them: calls during an outage are paid for and bring nothing.
 const OUTAGE_RETRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Instances that must say so.
+/// Number of stale peers from which on a store outage is assumed.
 const OUTAGE_STALE_PEERS: usize = 6;
-/// How often a watching instance asks another whether it missed something.
+/// Interval at which a watcher asks another instance for changes that it may have missed.
 const CROSS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What asking several instances at once came to.
+/// The result of polling several instances at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct PollResult {
     fresh: bool,
-    /// Instances that answered that they are not certain, for longer than a reader's turn takes.
+    /// Peers whose mirror has been stale for longer than a reader's turn at the store takes.
     stale_peers: usize,
 }
 
 impl<S: EventStore, K: Sink, P: FeedSource> Follower<S, K, P> {
-    /// Returns once another instance is known, at once where none can be found.
+    /// Returns when another instance is known; at once if there are no seeds to find one by.
     pub(super) async fn wait_for_any_peer(&self) {
         if self.board.settings.peers.seeds.is_empty() {
             return;
         }
         let mut changes = self.board.changes();
         while self.board.members_view().serving() <= 1 {
-            // Ends only with the board, which outlives its controllers.
+            // An error means that the board was dropped, which outlives all controllers.
             if changes.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Learns from other instances what there is, or takes the next step towards the store.
+    /// Syncs from other instances, or moves one step closer to calling the store.
     pub(super) async fn sync_from_peers(&self) {
         if self.long_poll_relays(self.feed).await {
             return;
@@ -93,11 +94,10 @@
         }
     }
 
-    /// Reads the store in place of those that watch it, unless another instance is certain, which it
-    /// tells.
+    /// Calls the store as a fallback reader, unless a peer becomes fresh first.
     ///
-    /// The store may turn some instances away and serve the others: those that watch may all be
-    /// among the former, and know nothing of what changes.
+    /// The store may reject some instances while it serves others. If it rejects all watchers, they
+    /// do not learn of any change.
     async fn sync_as_reader(&self, place: usize) -> bool {
         if self
             .poll_peers(self.feed, zone_readers_and_watchers(&self.board), REQUEST_TIMEOUT)
@@ -119,16 +119,16 @@
         false
     }
 
-    /// Waits for an instance that reads the store to become certain, and tells whether one is; turns to
-    /// the store itself when that takes too long.
+    /// Polls the readers until one is fresh and returns whether one was; calls the store itself
+    /// once the mirror is too old.
     async fn sync_from_readers(&self) -> bool {
-        let asked = self.poll_peers(self.feed, all_readers(&self.board), REQUEST_TIMEOUT).await;
-        if asked.fresh {
+        let polled = self.poll_peers(self.feed, all_readers(&self.board), REQUEST_TIMEOUT).await;
+        if polled.fresh {
             return true;
         }
         let age = self.mirror.age();
-        // Where the store serves nobody there is nothing to learn, and no bound runs.
-        let outage = asked.stale_peers >= OUTAGE_STALE_PEERS;
+        // During an outage nobody has newer data, so the time limit for changes does not apply.
+        let outage = polled.stale_peers >= OUTAGE_STALE_PEERS;
         let due = if outage {
             age.min(self.outage.time_since_failure()) >= OUTAGE_RETRY_INTERVAL
         } else {
@@ -140,8 +140,8 @@
         }
         info!(
             event = "relays-uncertain", prefix = self.prefix, age_ms = age.as_millis(),
-            witnesses = asked.stale_peers;
-            "asks the store itself"
+            witnesses = polled.stale_peers;
+            "no peer is fresh: calling the store"
         );
         if outage {
             self.outage.assume_ongoing();
@@ -150,8 +150,8 @@
         false
     }
 
-    /// One turn at the store, unless another instance is certain before it ends: a store that is
-    /// slow to answer must not keep this one from hearing what others know already.
+    /// Syncs once from the store, or stops early when a peer becomes fresh: a slow store must not
+    /// delay what peers already know.
     async fn sync_from_store_or_peers(&self) {
         tokio::select! {
             () = self.sync_from_store() => {}
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Returns once another instance is certain again.
+    /// Returns when a peer is fresh again.
     async fn wait_for_fresh_peer(&self) {
         loop {
             tokio::time::sleep(CROSS_CHECK_INTERVAL).await;
@@ -173,37 +173,40 @@
         }
     }
 
-    /// Keeps a sample of the servers up to date while this instance is no home. It never reads the store for
-    /// that: when nobody is certain for as long as a server that leaves may be used, it uses none.
+    /// Keeps a sample of the servers in sync while this instance does not hold the full list. It
+    /// never calls the store: once no peer was fresh for as long as a removed server may still be
+    /// used, it drops all servers.
     pub(super) async fn sync_sample(&self) {
         let zone = zone_hash(&self.board.settings.instance.zone);
         let feed = Feed::SomeServers { zone };
         if self.long_poll_relays(feed).await {
             return;
         }
-        let asked =
+        let polled =
             self.poll_peers(feed, zone_readers_and_watchers(&self.board), REQUEST_TIMEOUT).await;
-        if !asked.fresh && self.mirror.age() >= self.stale_max {
+        if !polled.fresh && self.mirror.age() >= self.stale_max {
             self.mirror.replace(&[], self.mirror.revision().unwrap_or(0), Duration::ZERO);
             self.mirror.reset(false);
         }
         tokio::time::sleep(POLL_PAUSE).await;
     }
 
-    /// Asks a relay, which answers when there is news. One that is not certain answers at once, and
-    /// the next is asked; `false` when none is certain or one does not answer.
+    /// Long-polls a relay; a relay that is not fresh answers at once, and the next one is tried.
+    /// Returns `false` if none is fresh or one does not answer.
     async fn long_poll_relays(&self, feed: Feed) -> bool {
         let hold =
             if reader_index(&self.board) == Some(0) { FIRST_HOME_HOLD_TIME } else { HOLD_TIME };
         while let Some(peer) = self.pick_relay() {
-            // The bound runs while this one waits: it must not wait past its patience.
-            let within = HELD_REQUEST_TIMEOUT.min(self.stale_max.saturating_sub(self.mirror.age()));
-            if within < LAST_REQUEST_TIMEOUT {
-                // Too short to say anything of the one that is asked.
+            // The mirror ages while the request is held, so the request must end before
+            // `stale_max`.
+            let timeout =
+                HELD_REQUEST_TIMEOUT.min(self.stale_max.saturating_sub(self.mirror.age()));
+            if timeout < LAST_REQUEST_TIMEOUT {
+                // A timeout this short says nothing about the relay.
                 return false;
             }
             let after = self.mirror.revision();
-            let Some(answer) = self.peers.ask(peer, feed, after, hold, within).await else {
+            let Some(answer) = self.peers.ask(peer, feed, after, hold, timeout).await else {
                 self.relay_cooldowns.lock().start(peer, UNRESPONSIVE_COOLDOWN);
                 return false;
             };
@@ -215,46 +218,46 @@
         false
     }
 
-    /// The first home of the zone; while that is shunned, any other relay, so that those of a zone do not
-    /// all turn to the same one.
+    /// Returns the first home of the zone or, while that is in cooldown, a random other relay, so
+    /// that the instances of a zone do not all switch to the same one.
     fn pick_relay(&self) -> Option<SocketAddr> {
         let relays = relay_addresses(&self.board);
-        let shunned = self.relay_cooldowns.lock();
-        let open = relays.iter().copied().filter(|peer| !shunned.is_active(*peer));
-        let mut open: PeerAddresses = open.collect();
-        if open.first() != relays.first() {
-            open.shuffle(&mut rand::rng());
+        let cooldowns = self.relay_cooldowns.lock();
+        let available = relays.iter().copied().filter(|peer| !cooldowns.is_active(*peer));
+        let mut available: PeerAddresses = available.collect();
+        if available.first() != relays.first() {
+            available.shuffle(&mut rand::rng());
         }
-        open.first().copied()
+        available.first().copied()
     }
 
-    /// Asks several instances at once, so that those that do not answer cost no time; returns with
-    /// the first that is certain.
-    async fn poll_peers(&self, feed: Feed, peers: PeerAddresses, within: Duration) -> PollResult {
-        let mut asked = PollResult::default();
-        let mut asking = JoinSet::new();
+    /// Polls several instances in parallel, so that unresponsive ones cost no time; returns at the
+    /// first fresh one.
+    async fn poll_peers(&self, feed: Feed, peers: PeerAddresses, timeout: Duration) -> PollResult {
+        let mut polled = PollResult::default();
+        let mut requests = JoinSet::new();
         for peer in peers {
             let (source, after) = (self.peers.clone(), self.mirror.revision());
-            asking
-                .spawn(async move { source.ask(peer, feed, after, Duration::ZERO, within).await });
+            requests
+                .spawn(async move { source.ask(peer, feed, after, Duration::ZERO, timeout).await });
         }
-        while let Some(answer) = asking.join_next().await {
+        while let Some(answer) = requests.join_next().await {
             let Ok(Some(answer)) = answer else {
                 continue;
             };
             let age = answer.age;
             if self.apply_answer(answer) {
-                asked.fresh = true;
-                return asked;
+                polled.fresh = true;
+                return polled;
             }
             if age > FRESH_AGE_MAX + READER_STAGGER {
-                asked.stale_peers += 1;
+                polled.stale_peers += 1;
             }
         }
-        asked
+        polled
     }
 
-    /// Takes in what another instance told; whether that one is certain.
+    /// Applies a peer's answer; returns whether the peer's mirror is fresh.
     pub(super) fn apply_answer(&self, answer: FeedAnswer) -> bool {
         let grace = self.outage.expiry_grace();
         match answer.reply {
@@ -262,7 +265,7 @@
             FeedReply::All { items, revision } => self.mirror.replace(&items, revision, grace),
             FeedReply::Unknown => return false,
         }
-        // Who holds the servers works it out itself.
+        // Instances that hold the server list compute the demand themselves.
         if self.feed == Feed::Config
             && answer.zone_demand_per_s > 0
             && !holds_server_list(&self.board)
@@ -277,11 +280,11 @@
         answer.age <= FRESH_AGE_MAX
     }
 
-    /// Asks other watching instances now and then, until the process ends.
+    /// Cross-checks with other watchers periodically, until the process ends.
     ///
-    /// A watch whose connection went silent, or that the store turns away, hides changes from a
-    /// whole zone: everyone there relies on this instance. Several are asked, since those that the
-    /// store turns away as well answer too, with what they know.
+    /// A watch whose connection went silent, or that the store rejects, would hide changes from the
+    /// whole zone, which relies on this instance. If the first answer is not fresh, several
+    /// instances are asked, since watchers that the store rejects answer too, with stale data.
     pub async fn cross_check(self) {
         loop {
             tokio::time::sleep(CROSS_CHECK_INTERVAL).await;
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -1,4 +1,4 @@
-//! How many homes there are, and what part each instance has of what all of them share.
+//! Plans the homes of each zone and this instance's share of the resources that all homes share.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,17 +21,17 @@
 use crate::starts::HomeShare;
 use crate::workspace::WorkspaceTable;
 
-/// Requests a second that callers of a zone may send for each slot of its share of the servers.
-/// Work takes 0.2 to 0.5 s, so this fills most of the slots; more cannot be served for long.
+/// Requests per second that are planned for each slot in a zone's share of the servers. A request
+/// takes 0.2 to 0.5 s, so this rate uses most slots; a higher one cannot be sustained.
 const REQUESTS_PER_SLOT_PER_S: f64 = 1.5;
-/// Part of the connections that a server accepts for all homes together.
+/// Fraction of a server's connections that is reserved for the homes together.
 const HOMES_CONNECTION_SHARE: f64 = 0.75;
-/// How often the servers and the members are looked at.
+/// How often the servers and the members are checked for changes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The part of a server's connections that an instance may use: nearly all of the requests come
-/// by the homes, and the rest by callers that keep an old address answer.
-#[expect(clippy::cast_precision_loss, reason = "some hundred instances")]
+/// The fraction of a server's connections that one instance may use. Nearly all requests arrive
+/// through the homes, the rest from callers that still use an old address answer.
+#[expect(clippy::cast_precision_loss, reason = "there are some hundred instances")]
 fn connection_share(homes: usize, others: usize, is_home: bool) -> f64 {
     let (homes, others) = (homes.max(1) as f64, others as f64);
     match (is_home, others > 0.0) {
@@ -41,13 +41,13 @@
     }
 }
 
-/// The servers that this instance chooses among first, as one of the homes of its zone.
+/// Which servers this instance prefers as one of the homes of its zone; `None` if it is not a home.
 pub(super) fn near_part(board: &Blackboard) -> Option<ServerSubset> {
     let (place, homes) = home_index(board, HomesPlan::of(board))?;
     Some(ServerSubset { zone: board.settings.instance.zone.as_str().into(), index: place, homes })
 }
 
-/// Keeps the plan of homes, and this instance's parts, up to date.
+/// Keeps the plan of homes and this instance's shares up to date.
 #[derive(Clone, Debug)]
 pub struct HomePlanner {
     pub board: Arc<Blackboard>,
@@ -56,31 +56,31 @@
     pub quotas: Arc<Quotas>,
 }
 
-/// What the last plan was made of; while it stays, nothing is worked out anew.
+/// The inputs of the last plan; while they stay the same, nothing is recomputed.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct PlanInputs {
-    /// Homes, by incarnation.
+    /// Incarnations of the homes of all zones.
     homes: Vec<u64>,
     others: usize,
-    /// Version of the configuration; `None` without one.
-    table: Option<u64>,
-    servers: u64,
+    /// Version of the configuration; `None` before the first one.
+    config_version: Option<u64>,
+    list_version: u64,
 }
 
 impl HomePlanner {
-    /// Plans until the process ends.
+    /// Runs until the process ends.
     pub async fn run(self) {
-        let mut before = PlanInputs::default();
-        let mut sight = ZoneMajority::default();
+        let mut previous = PlanInputs::default();
+        let mut zone_majority = ZoneMajority::default();
         loop {
-            before = self.plan(before);
-            self.update_quota_homes(&mut sight);
+            previous = self.plan(previous);
+            self.update_quota_homes(&mut zone_majority);
             tokio::time::sleep(PLAN_INTERVAL).await;
         }
     }
 
-    /// Who holds the tokens of workspaces, as long as any has a quota.
-    fn update_quota_homes(&self, sight: &mut ZoneMajority) {
+    /// Updates which homes hold the quota tokens, if any workspace has a quota.
+    fn update_quota_homes(&self, zone_majority: &mut ZoneMajority) {
         let table = self.table.load();
         let workspaces = table.as_ref().and_then(|table| table.workspaces.as_ref());
         if !workspaces.is_some_and(WorkspaceTable::any_limited) {
@@ -88,87 +88,93 @@
         }
         let view = self.board.members_view();
         let settings = &self.board.settings;
-        let one_of_many = self.may_lack_members(view.serving());
+        let lacks_members = self.may_lack_members(view.serving());
         let homes =
-            if one_of_many { Vec::new() } else { all_homes(&view, HomesPlan::of(&self.board)) };
+            if lacks_members { Vec::new() } else { all_homes(&view, HomesPlan::of(&self.board)) };
         let home = |row: &Arc<MemberRow>| QuotaHome {
             zone: row.zone.as_str().into(),
             incarnation: row.incarnation,
             peer: row.peer,
         };
         let zones = settings.gateway.as_ref().map_or(&[][..], |gateway| &gateway.zones);
-        let share = QuotaPlacement {
+        let placement = QuotaPlacement {
             zones: zones.iter().map(|zone| zone.as_str().into()).collect(),
             own_zone: settings.instance.zone.as_str().into(),
             own_incarnation: self.board.incarnation,
             homes: homes.iter().map(home).collect(),
-            sees_zone_majority: sight.has_majority(&view, &settings.instance.zone, now_us()),
+            sees_zone_majority: zone_majority.has_majority(
+                &view,
+                &settings.instance.zone,
+                now_us(),
+            ),
         };
-        self.quotas.set_placement(share, now_us());
+        self.quotas.set_placement(placement, now_us());
     }
 
     fn plan_inputs(&self) -> (PlanInputs, Vec<Arc<MemberRow>>) {
         let view = self.board.members_view();
         let homes = all_homes(&view, HomesPlan::of(&self.board));
-        let basis = PlanInputs {
+        let inputs = PlanInputs {
             homes: homes.iter().map(|row| row.incarnation).collect(),
             others: view.serving().saturating_sub(homes.len()),
-            table: self.table.load().as_ref().map(|table| table.version),
-            servers: self.dispatcher.list_version(),
+            config_version: self.table.load().as_ref().map(|table| table.version),
+            list_version: self.dispatcher.list_version(),
         };
-        (basis, homes)
+        (inputs, homes)
     }
 
-    /// Works out what the homes of a zone must carry, who they are, and the own parts.
-    fn plan(&self, before: PlanInputs) -> PlanInputs {
-        let (basis, _) = self.plan_inputs();
-        if basis == before {
-            return before;
+    /// Recomputes the demand that the homes of a zone must carry, the homes, and this instance's
+    /// shares.
+    fn plan(&self, previous: PlanInputs) -> PlanInputs {
+        let (inputs, _) = self.plan_inputs();
+        if inputs == previous {
+            return previous;
         }
-        let known_anew = (basis.table, basis.servers) != (before.table, before.servers);
-        if known_anew && self.dispatcher.has_servers() {
+        let demand_changed = (inputs.config_version, inputs.list_version)
+            != (previous.config_version, previous.list_version);
+        if demand_changed && self.dispatcher.has_servers() {
             self.board.set_zone_demand_per_s(self.zone_demand_per_s());
         }
-        let (basis, homes) = self.plan_inputs();
-        if basis.homes != before.homes {
+        let (inputs, homes) = self.plan_inputs();
+        if inputs.homes != previous.homes {
             let names: Vec<&str> = homes.iter().map(|row| row.name.as_str()).collect();
             info!(
                 event = "homes-changed", homes = names.join(" ").as_str(),
-                instances = basis.others + homes.len(),
+                instances = inputs.others + homes.len(),
                 zone_demand_per_s = self.board.zone_demand_per_s();
                 ""
             );
         }
-        self.dispatcher.set_home_set(self.home_share(&basis));
-        let own = basis.homes.contains(&self.board.incarnation);
+        self.dispatcher.set_home_set(self.home_share(&inputs));
+        let own = inputs.homes.contains(&self.board.incarnation);
         self.dispatcher.set_home_count(homes.len(), own);
         self.dispatcher.set_subset(near_part(&self.board).as_ref());
-        let part = connection_share(homes.len(), basis.others, own);
+        let share = connection_share(homes.len(), inputs.others, own);
         if let Some(table) = self.table.load().as_ref() {
-            self.dispatcher.set_connection_share(&table.services, part);
+            self.dispatcher.set_connection_share(&table.services, share);
         }
-        basis
+        inputs
     }
 
-    /// An instance that knows no other, though there are some, may be one of hundreds that start at this
-    /// moment.
+    /// Whether this instance knows no other although seeds are configured: it may be one of
+    /// hundreds that start at this moment.
     fn may_lack_members(&self, known: usize) -> bool {
         known <= 1 && !self.board.settings.peers.seeds.is_empty()
     }
 
-    /// Who shares what servers in need may get.
-    fn home_share(&self, basis: &PlanInputs) -> HomeShare {
-        let one_of_many = self.may_lack_members(basis.homes.len() + basis.others);
-        let homes = (!one_of_many).then(|| basis.homes.clone());
+    /// The homes among which the starts of requests at overloaded servers are divided.
+    fn home_share(&self, inputs: &PlanInputs) -> HomeShare {
+        let lacks_members = self.may_lack_members(inputs.homes.len() + inputs.others);
+        let homes = (!lacks_members).then(|| inputs.homes.clone());
         HomeShare { homes, own: self.board.incarnation }
     }
 
-    /// Requests a second that the homes of one zone must be able to carry.
+    /// Requests per second that the homes of one zone must be able to carry.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss,
-        reason = "some thousand slots"
+        reason = "there are some thousand slots"
     )]
     fn zone_demand_per_s(&self) -> u32 {
         let table = self.table.load();
--- a/src/gateway/homes.rs
+++ b/src/gateway/homes.rs
@@ -1,4 +1,4 @@
-//! Which instances the callers of a zone are told of.
+//! Which instances the callers of a zone are directed to: the *homes* of the zone.
 
 use std::sync::Arc;
 
@@ -8,49 +8,51 @@
 use crate::board::MembersView;
 use crate::member::MemberRow;
 
-/// Homes of one zone at most. Each tells all others what it has at the backend servers, which
-/// grows with the square of their number.
+/// Maximum number of homes of a zone. Each reports its load at the backend servers to all others,
+/// so the traffic grows with the square of their number.
 const HOMES_MAX: usize = 8;
 
-/// The homes of one zone, in the order in which they became so.
+/// The homes of one zone, in rank order.
 pub type Homes = SmallVec<[Arc<MemberRow>; HOMES_MAX]>;
 
-/// How many homes a zone has.
+/// How many homes a zone needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomesPlan {
-    /// Homes at least, while there are so many instances.
+    /// Minimum number of homes, if the fleet has that many instances.
     pub homes_min: usize,
-    /// Requests a second that the homes of a zone must be able to carry together.
+    /// Requests per second that the homes of a zone must be able to carry together.
     pub demand_per_s: u32,
 }
 
 impl HomesPlan {
-    /// The first instance of each zone, which does for the zone what one must do.
+    /// Only the first instance of each zone: the one that does the tasks that a zone needs done
+    /// once.
     pub const FIRST_ONLY: Self = Self { homes_min: 1, demand_per_s: 0 };
 
-    /// The plan in force.
+    /// The current plan.
     #[must_use]
     pub fn of(board: &Blackboard) -> Self {
         let homes_min = board.settings.gateway.as_ref().map_or(1, |gateway| gateway.homes_per_zone);
         Self { homes_min, demand_per_s: board.zone_demand_per_s() }
     }
 
-    /// Whether homes that carry so much together are enough.
+    /// Whether this number of homes with this total capacity is enough.
     const fn is_met(self, homes: usize, carried_per_s: u32) -> bool {
         homes >= self.homes_min && carried_per_s >= self.demand_per_s || homes == HOMES_MAX
     }
 }
 
-/// The homes of a zone: a few of its instances, the same in every instance's view.
+/// Returns the homes of a zone: a few of its instances, the same on every instance that knows the
+/// same members.
 ///
-/// Few, so that each knows most of what the zone's callers have at the backend servers and keeps
-/// its connections warm; enough to carry what callers may ask. A zone that has too few of its own
-/// borrows from the others.
+/// Few, so that each knows most of the load of the zone's callers at the backend servers and keeps
+/// its connections warm; enough to carry the demand. A zone with too few instances borrows from
+/// other zones.
 #[must_use]
 pub fn homes_of_zone(view: &MembersView, zone: &str, plan: HomesPlan) -> Homes {
     let mut homes = Homes::new();
     let mut carried_per_s = 0_u32;
-    // The others are looked up only by a zone that has too few.
+    // Evaluated only if the zone has too few instances.
     let elsewhere = std::iter::once_with(|| view.ranked_elsewhere(zone, HOMES_MAX)).flatten();
     for row in view.ranked(zone).iter().chain(elsewhere) {
         if plan.is_met(homes.len(), carried_per_s) {
@@ -62,7 +64,7 @@
     homes
 }
 
-/// The homes of all zones, in the order of their incarnations.
+/// The homes of all zones, without duplicates, ordered by incarnation.
 #[must_use]
 pub fn all_homes(view: &MembersView, plan: HomesPlan) -> Vec<Arc<MemberRow>> {
     let mut all: Vec<Arc<MemberRow>> =
@@ -72,8 +74,8 @@
     all
 }
 
-/// The place of this instance among the homes of its zone, and their number; `None` where it is
-/// no home.
+/// The index of this instance among the homes of its zone, and their number; `None` if it is not a
+/// home.
 #[must_use]
 pub fn home_index(board: &Blackboard, plan: HomesPlan) -> Option<(usize, usize)> {
     let view = board.members_view();
--- a/src/gateway/load_reporter.rs
+++ b/src/gateway/load_reporter.rs
@@ -1,8 +1,8 @@
-//! Tells the other homes how many requests this one has at each backend server, and how fast the
-//! servers of its zone work.
+//! Reports this home's in-flight requests at each backend server, and the pace of the servers of
+//! its zone, to the other homes.
 //!
-//! Without it two homes give out the same slots in a burst: a server that is sent twice what it
-//! has slots for works slower, and everything there is late.
+//! Without the reports, two homes would use the same free slots during a burst; a server that gets
+//! twice as many requests as it has slots slows down for all of them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -27,43 +27,45 @@
 use crate::peer::ServerLoads;
 use crate::task::TaskGuard;
 
-/// Time between two words to a peer, if there is something new. Work takes some 200 ms, so
-/// counts this old are wrong by a tenth of a slot.
+/// Interval of reports to one peer while there are changes. A request takes some 200 ms, so counts
+/// this old are off by about a tenth of a slot.
 const REPORT_INTERVAL: Duration = Duration::from_millis(25);
-/// The same, in intervals, while no request waits: choices between free servers need less.
+/// The same, in units of [`REPORT_INTERVAL`], while no request is queued: choosing among free
+/// servers needs less precision.
 const UNCONTENDED_INTERVALS: u32 = 3;
-/// Without anything new, a peer is told so after this many intervals, or it would forget: it does
-/// so after a second.
+/// Intervals after which an unchanged report is sent as a keepalive: a peer drops reports that are
+/// older than a second.
 const KEEPALIVE_INTERVALS: u32 = 10;
-/// The most by which the intervals are stretched; a calm home is then heard every 0.45 s.
+/// Upper limit of the interval factor; a home without queued requests then reports every 0.45 s.
 const INTERVAL_FACTOR_MAX: u32 = 6;
-/// A peer that does not answer within this may have missed it; it is told everything again.
+/// Timeout of a report. A peer that did not answer may have missed it, so everything is sent again.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
-/// A peer that was not spoken to for so long has forgotten everything, also where the last word
-/// reached it late.
+/// Time without a report, in microseconds, after which a peer has certainly expired everything,
+/// even if the last report arrived late.
 const PEER_EXPIRY_US: u64 = PEER_TIMEOUT_US + 500_000;
-/// Peers that are told at the full rate; with more of them each is told less often, as what
-/// instances may spend on telling each other does not grow with their number.
+/// Number of peers up to which each gets reports at the full rate. The interval grows with the
+/// number of peers beyond it, so that the total cost of reports does not grow with the fleet.
 const PEERS_AT_FULL_RATE: usize = 5;
-/// How often the set of homes is looked at.
+/// How often the set of homes is checked for changes.
 const HOMES_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Looks without requests after which an instance that is no home stops telling: the peers know by
-/// then that it has none.
+/// Number of checks without requests after which an instance that is not a home stops reporting; by
+/// then the peers know that it has none in flight.
 const IDLE_CHECKS_MAX: u32 = 10;
 
-/// Another home that is told of the loads.
+/// A home that receives reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ReportTarget {
-    /// One that starts again has heard nothing.
+    /// Distinguishes a restarted peer, which has received nothing yet.
     incarnation: u64,
     address: SocketAddr,
-    /// Whether it is in the zone of this instance.
+    /// Whether the peer is in this instance's zone.
     same_zone: bool,
 }
 
-/// Leaves what is told to another zone: requests at the servers, without their pace. That shifts several
-/// times a second on each server, so telling it would cost bytes between zones with the square of the
-/// fleet; a home asks a server of another zone for its pace before each request there.
+/// Reduces a report to what another zone needs: in-flight requests without the pace. The pace of
+/// each server changes several times per second, so the bytes sent between zones would grow with
+/// the square of the fleet. A home checks a server of another zone for its pace before each request
+/// to it.
 fn strip_for_other_zone(loads: &mut Vec<ServerLoadRow>) {
     loads.retain(|row| row.in_flight > 0);
     for row in loads {
@@ -71,7 +73,7 @@
     }
 }
 
-/// Tells loads while this instance is a home.
+/// Reports loads while this instance is a home or has requests in flight.
 #[derive(Clone, Debug)]
 pub struct LoadReporter<L> {
     pub board: Arc<Blackboard>,
@@ -80,22 +82,22 @@
 }
 
 impl<L: PeerCalls> LoadReporter<L> {
-    /// Tells loads until the process ends.
+    /// Runs until the process ends.
     pub async fn run(self) {
-        let mut told: HashMap<ReportTarget, TaskGuard> = HashMap::new();
-        let mut calm_turns = 0;
+        let mut reporters: HashMap<ReportTarget, TaskGuard> = HashMap::new();
+        let mut idle_checks = 0;
         loop {
-            // An instance that is no home has nothing to tell but its own requests, if any.
-            let speaks = self.is_home() || !self.dispatcher.is_idle();
-            calm_turns = if speaks { 0 } else { calm_turns + 1 };
-            if calm_turns < IDLE_CHECKS_MAX {
-                self.update_reporters(&mut told);
+            // An instance that is not a home reports only its own in-flight requests.
+            let reports = self.is_home() || !self.dispatcher.is_idle();
+            idle_checks = if reports { 0 } else { idle_checks + 1 };
+            if idle_checks < IDLE_CHECKS_MAX {
+                self.update_reporters(&mut reporters);
             } else {
-                told.clear();
+                reporters.clear();
             }
             let wait =
                 tokio::time::timeout(HOMES_CHECK_INTERVAL, self.dispatcher.wait_until_busy());
-            if speaks {
+            if reports {
                 tokio::time::sleep(HOMES_CHECK_INTERVAL).await;
             } else {
                 let _ = wait.await;
@@ -103,22 +105,25 @@
         }
     }
 
-    /// Keeps one task for each peer.
-    fn update_reporters(&self, told: &mut HashMap<ReportTarget, TaskGuard>) {
-        let peers = self.peers();
-        let stretch = u32::try_from(peers.len().div_ceil(PEERS_AT_FULL_RATE));
-        let stretch = stretch.unwrap_or(INTERVAL_FACTOR_MAX).clamp(1, INTERVAL_FACTOR_MAX);
-        told.retain(|peer, _| peers.contains(peer));
-        for peer in peers {
-            told.entry(peer)
-                .or_insert_with(|| TaskGuard::spawn(self.clone().report_to(peer, stretch)));
+    /// Keeps one reporting task per peer.
+    fn update_reporters(&self, reporters: &mut HashMap<ReportTarget, TaskGuard>) {
+        let targets = self.report_targets();
+        let interval_factor = u32::try_from(targets.len().div_ceil(PEERS_AT_FULL_RATE));
+        let interval_factor =
+            interval_factor.unwrap_or(INTERVAL_FACTOR_MAX).clamp(1, INTERVAL_FACTOR_MAX);
+        reporters.retain(|peer, _| targets.contains(peer));
+        for peer in targets {
+            reporters
+                .entry(peer)
+                .or_insert_with(|| TaskGuard::spawn(self.clone().report_to(peer, interval_factor)));
         }
     }
 
-    /// The other homes. An instance that is none still has the requests of callers that keep an old
-    /// answer, so it tells those of its zone, whose servers it uses: of hundreds each telling the homes of
-    /// all zones, words would grow with instances times homes.
-    fn peers(&self) -> HashSet<ReportTarget> {
+    /// The peers to report to: for a home, all other homes. Another instance still has requests of
+    /// callers that use an old address answer; it reports only to the homes of its zone, whose
+    /// servers it uses. If hundreds of such instances reported to all homes, the traffic would grow
+    /// with instances times homes.
+    fn report_targets(&self) -> HashSet<ReportTarget> {
         let view = self.board.members_view();
         let homes = all_homes(&view, HomesPlan::of(&self.board));
         let others = homes.iter().filter(|row| row.incarnation != self.board.incarnation);
@@ -136,43 +141,43 @@
         is_home(&self.board, HomesPlan::of(&self.board))
     }
 
-    async fn report_to(self, peer: ReportTarget, stretch: u32) {
-        let mut told = ReportedLoads::default();
-        let mut idle_intervals = 0;
-        let mut spoke_us = now_us();
-        let mut turns = tokio::time::interval(REPORT_INTERVAL * stretch);
-        turns.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    async fn report_to(self, peer: ReportTarget, interval_factor: u32) {
+        let mut reported = ReportedLoads::default();
+        let mut intervals_since_report = 0;
+        let mut reported_us = now_us();
+        let mut ticks = tokio::time::interval(REPORT_INTERVAL * interval_factor);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            if self.dispatcher.is_idle() && told.is_idle() && !self.is_home() {
-                // An instance that is no home has nothing to tell but its own requests.
+            if self.dispatcher.is_idle() && reported.is_idle() && !self.is_home() {
+                // An instance that is not a home reports only its own in-flight requests.
                 self.dispatcher.wait_until_busy().await;
             }
-            turns.tick().await;
-            if now_us().saturating_sub(spoke_us) >= PEER_EXPIRY_US {
-                told.clear();
+            ticks.tick().await;
+            if now_us().saturating_sub(reported_us) >= PEER_EXPIRY_US {
+                reported.clear();
             }
             let mut loads = self.dispatcher.own_loads();
             if !peer.same_zone {
                 strip_for_other_zone(&mut loads);
             }
-            let rows = told.changes(&loads);
-            idle_intervals += 1;
-            let idle_due = (KEEPALIVE_INTERVALS / stretch).max(UNCONTENDED_INTERVALS);
-            let due = if rows.is_empty() { idle_due } else { UNCONTENDED_INTERVALS };
-            if idle_intervals < due && (rows.is_empty() || !self.dispatcher.has_queue()) {
+            let rows = reported.changes(&loads);
+            intervals_since_report += 1;
+            let keepalive_due = (KEEPALIVE_INTERVALS / interval_factor).max(UNCONTENDED_INTERVALS);
+            let due = if rows.is_empty() { keepalive_due } else { UNCONTENDED_INTERVALS };
+            if intervals_since_report < due && (rows.is_empty() || !self.dispatcher.has_queue()) {
                 continue;
             }
             if rows.is_empty() && self.dispatcher.is_idle() {
                 continue;
             }
-            idle_intervals = 0;
-            spoke_us = now_us();
+            intervals_since_report = 0;
+            reported_us = now_us();
             let loads = ServerLoads { from: self.board.incarnation, rows };
             let request = PeerRequest::ServerLoads(loads.clone());
             if self.links.call(peer.address, &request, REPORT_TIMEOUT).await.is_ok() {
-                told.record_delivered(&loads.rows);
+                reported.record_delivered(&loads.rows);
             } else {
-                told.record_maybe_delivered(&loads.rows);
+                reported.record_maybe_delivered(&loads.rows);
             }
         }
     }
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -1,4 +1,5 @@
-//! A copy of the keys below a prefix of the platform's store, which other instances may read.
+//! An in-memory copy of the keys below one prefix of the platform's store, which other instances
+//! can read.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -21,52 +22,55 @@
 use crate::store::Item;
 use crate::store::ItemEvent;
 
-/// Events kept for instances that ask for what they missed; who missed more gets everything.
+/// Number of events kept for peers that ask for changes; a peer that missed more gets all keys.
 const RECENT_EVENTS_MAX: usize = 256;
-/// Revisions asked from for which the answer is kept; nearly all ask from the last one or two.
+/// Number of starting revisions for which the reply is cached; nearly all peers ask from the last
+/// one or two.
 const CACHED_REPLIES_MAX: usize = 8;
 
-/// What is done with the keys.
+/// Receives the changes of a mirror.
 pub trait Sink: Send + 'static {
-    /// Takes out of an item what must not be kept or handed on; once for each that the store told.
+    /// Removes from an item what must not be kept or passed on. Called once for each item read from
+    /// the store.
     fn redact(&self, _item: &mut Item) {}
 
-    /// A key was written.
+    /// Called when a key was written.
     fn written(&mut self, item: &Item);
 
-    /// A key was removed. For `grace` it may be missing only because its writer's lease lapsed
-    /// while the store was away.
+    /// Called when a key was removed. During `grace` it may be missing only because its writer's
+    /// lease expired during a store outage.
     fn removed(&mut self, key: &str, grace: Duration);
 
-    /// Keys that are enough for an instance of this availability zone that seldom needs any.
+    /// Keys of a sample that suffices for instances of this zone that rarely serve requests.
     fn sample_keys(&self, _zone: u64) -> Vec<String> {
         Vec::new()
     }
 
-    /// Changes that came together are told next, up to [`Sink::together_ends`].
+    /// Called before the changes of one batch; [`Sink::end_batch`] follows them.
     fn begin_batch(&mut self) {}
 
-    /// All changes that came together, up to `revision`, were told.
+    /// Called after all changes of a batch, which ends at `revision`.
     fn end_batch(&mut self, _revision: u64) {}
 }
 
-/// The copy; tells its sink of each change once, and of nothing older after something newer.
+/// The copy of the keys. It passes each change to its sink once, and never an older one after a
+/// newer one.
 #[derive(Debug)]
 pub struct Mirror<K> {
     pub(super) state: Mutex<MirrorState<K>>,
-    /// Up to where the copy is complete, for those who wait. `None` before there is one: a store to
-    /// which nothing was ever written is at 0, and a copy of it is one.
+    /// Revision up to which the mirror is complete, for tasks that wait for it. `None` before the
+    /// first load: 0 is a valid revision, that of a store to which nothing was ever written.
     revision: watch::Sender<Option<u64>>,
     /// The last revision at which any sample changed.
     pub(super) sample_revision: watch::Sender<u64>,
     age: Arc<MirrorAge>,
-    /// Watches that wait in the store for the next change.
+    /// Number of watches that are waiting in the store for the next change.
     active_watches: AtomicU32,
-    /// Told when the store did not answer a check.
+    /// Notified when the store fails a health check.
     interrupts: Notify,
 }
 
-/// A watch that waits in the store, until it is dropped.
+/// Counts as a waiting watch until it is dropped.
 #[derive(Debug)]
 pub struct WatchGuard<'a>(&'a AtomicU32);
 
@@ -83,31 +87,31 @@
     /// The events after `recent_after`, in order.
     recent: VecDeque<ItemEvent>,
     recent_after: u64,
-    /// Up to where the copy is complete; `None` before it was first read.
+    /// Revision up to which the mirror is complete; `None` before the first load.
     pub(super) revision: Option<u64>,
-    /// Whether all keys are copied, and not a sample of them.
+    /// Whether the mirror follows all keys, not just a sample.
     pub(super) full: bool,
-    /// What instances of each zone are told that need a sample.
+    /// The samples that are served, by zone hash.
     pub(super) samples: HashMap<u64, Sample>,
-    /// What was told since the last change; holds only at `revision`.
+    /// Replies cached since the last change; valid only at `revision`.
     reply_cache: ReplyCache,
 }
 
-/// What others were told at one revision, kept for the next that ask.
+/// Replies at one revision, shared by all peers that ask for the same.
 #[derive(Debug, Default)]
 struct ReplyCache {
-    /// By the revision that was asked from.
+    /// By the revision that the peer already has.
     events: HashMap<u64, Packed<Vec<ItemEvent>>>,
     all_items: Option<Packed<Vec<Item>>>,
 }
 
 impl<K: Sink> Mirror<K> {
-    /// An empty copy.
+    /// Creates an empty mirror.
     pub fn new(sink: K) -> Self {
         Self::with_age(sink, Arc::default())
     }
 
-    /// An empty copy that keeps what is known of its age in `age`.
+    /// Creates an empty mirror that records its age in `age`.
     pub fn with_age(sink: K, age: Arc<MirrorAge>) -> Self {
         let state = MirrorState {
             sink,
@@ -130,19 +134,19 @@
         }
     }
 
-    /// Gives up the watches that wait in the store: it did not answer a check, and what it answers
-    /// them on the connections of before may be lost.
+    /// Abandons the watches that are waiting in the store: it failed a health check, and answers on
+    /// the existing connections may be lost.
     pub fn interrupt_watches(&self) {
         self.interrupts.notify_waiters();
     }
 
-    /// Returns when the store does not answer a check.
+    /// Returns when the store fails a health check.
     pub async fn wait_for_interrupt(&self) {
         self.interrupts.notified().await;
     }
 
-    /// What is known is a sample of the keys from now on, or all of them again: the next copy replaces it.
-    /// Others are told nothing of a sample.
+    /// Discards the revision, so that the next load replaces the content, and switches between all
+    /// keys (`full`) and a sample. A sample is not served to other instances.
     pub fn reset(&self, whole: bool) {
         let mut state = self.state.lock();
         state.full = whole;
@@ -154,57 +158,57 @@
         self.revision.send_replace(None);
     }
 
-    /// Takes note of a watch that waits in the store from now on.
+    /// Registers a watch that waits in the store, until the guard is dropped.
     pub fn start_watch(&self) -> WatchGuard<'_> {
         self.active_watches.fetch_add(1, Ordering::AcqRel);
         WatchGuard(&self.active_watches)
     }
 
-    /// Takes note that the store served this instance at `at_us`. While a watch waits there, it has
-    /// told of all changes until then; between two watches, changes may be missing.
+    /// Records that the store answered this instance at `at_us`. Proof of completeness only while a
+    /// watch is waiting: between two watches, changes may be missed.
     pub fn record_store_reply(&self, at_us: u64) {
         if self.active_watches.load(Ordering::Acquire) > 0 {
             self.record_confirmation(at_us);
         }
     }
 
-    /// Takes note that nothing was missing at `at_us`.
+    /// Records that the mirror was complete at `at_us`, on the clock of [`crate::clock::now_us`].
     pub fn record_confirmation(&self, at_us: u64) {
         self.age.record_confirmation(at_us);
     }
 
-    /// Takes note that the store, or who asked it, told all up to now when it was asked at `at_us` or later,
-    /// on the clock of [`boot_us`].
+    /// Records that the mirror holds everything that the store had acknowledged at `at_us`, on the
+    /// clock of [`boot_us`].
     pub fn record_proof(&self, at_us: u64) {
         self.age.record_proof(at_us);
     }
 
-    /// How long ago the copy is proved to have been the newest; `None` if never.
+    /// Time since the mirror was last proved up to date; `None` if it never was.
     #[must_use]
     pub fn proof_age(&self) -> Option<Duration> {
         self.age.proof_age()
     }
 
-    /// How long ago it was last certain that nothing is missing.
+    /// Time since the mirror was last confirmed complete.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.age.age()
     }
 
-    /// Up to where the copy is complete.
+    /// Revision up to which the mirror is complete; `None` before the first load.
     #[must_use]
     pub fn revision(&self) -> Option<u64> {
         self.state.lock().revision
     }
 
-    /// An item of the store as it is kept and handed on.
+    /// Returns an item with everything removed that must not be kept or passed on.
     #[must_use]
     pub fn redacted(&self, mut item: Item) -> Item {
         self.state.lock().sink.redact(&mut item);
         item
     }
 
-    /// An event of the store as it is kept and handed on.
+    /// Returns an event with everything removed that must not be kept or passed on.
     #[must_use]
     pub fn redacted_event(&self, event: ItemEvent) -> ItemEvent {
         match event {
@@ -213,13 +217,13 @@
         }
     }
 
-    /// Whether all keys are copied, and not a sample of them.
+    /// Whether the mirror follows all keys, not just a sample.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.state.lock().full
     }
 
-    /// Takes in the events after a revision that the copy had, up to `upto`.
+    /// Applies the events between a revision that the mirror had reached and `upto`.
     pub fn apply(&self, events: &[ItemEvent], upto: u64, grace: Duration) {
         let mut state = self.state.lock();
         state.sink.begin_batch();
@@ -235,8 +239,8 @@
         self.notify_waiters(upto);
     }
 
-    /// Takes in keys that may be seconds old, to go by until a copy is there that is certain: it
-    /// replaces them, and what it does not have is removed. Others are not told of them.
+    /// Applies keys that may be seconds old, for use until the next [`Mirror::replace`], which also
+    /// removes those that no longer exist. They are not served to other instances.
     pub fn apply_provisional(&self, items: &[Item]) {
         let mut state = self.state.lock();
         state.sink.begin_batch();
@@ -246,7 +250,7 @@
         state.sink.end_batch(0);
     }
 
-    /// Takes in all keys as they were read at `read_at` or later.
+    /// Replaces the content by all keys, as they were read at revision `read_at` or later.
     pub fn replace(&self, items: &[Item], read_at: u64, grace: Duration) {
         let mut state = self.state.lock();
         state.sink.begin_batch();
@@ -265,15 +269,15 @@
         }
         state.sink.end_batch(read_at);
         state.advance_to(read_at);
-        // Events between the last revision and this one were not seen one by one. A read that is
-        // older than what is known must not hide the events in between either.
+        // The events up to this revision were not seen individually. If this read is older than the
+        // mirror, the events since then must not be lost either, so peers get all keys.
         state.recent.clear();
         state.recent_after = state.revision.unwrap_or(0);
         drop(state);
         self.notify_waiters(read_at);
     }
 
-    /// Tells those who wait how far the copy is complete now.
+    /// Notifies waiting tasks of the revision that the mirror has reached.
     fn notify_waiters(&self, upto: u64) {
         if let Some(changed) = self.state.lock().refresh_samples() {
             self.sample_revision.send_replace(changed);
@@ -282,27 +286,26 @@
         self.revision.send_if_modified(|told| std::mem::replace(told, upto.max(*told)) < upto);
     }
 
-    /// What an instance that knows everything up to `after` has missed, and how old that is; waits up to
-    /// `wait` for something.
+    /// Returns the changes after revision `after`, and their age; waits up to `wait` for some.
     pub async fn serve(&self, after: Option<u64>, wait: Duration) -> FeedTold {
         let asked_us = boot_us();
         let mut revision_rx = self.revision.subscribe();
-        // Who knows something must hear in time that this instance is no longer certain.
+        // A peer that already has data must learn in time when this mirror stops being fresh.
         let wait =
             if after.is_some() { wait.min(FRESH_AGE_MAX.saturating_sub(self.age())) } else { wait };
-        // Without news in time, the answer says so.
+        // If the time is over, the reply contains no events.
         let news = revision_rx.wait_for(|told| *told > after);
         let _ = tokio::time::timeout(wait, news).await;
         self.reply_with_age(asked_us, |state| state.changes_since(after))
     }
 
-    /// An answer to a question that came at `asked_us`, and how old it is.
+    /// Builds the reply to a request that arrived at `asked_us`, with the mirror's age.
     pub(super) fn reply_with_age(
         &self,
         asked_us: u64,
         reply: impl FnOnce(&mut MirrorState<K>) -> FeedReply,
     ) -> FeedTold {
-        // The ages first: what is told may only be newer than they say.
+        // The ages are read before the content, which may then only be newer than they say.
         let age_ms = u64::try_from(self.age().as_millis()).unwrap_or(u64::MAX);
         let proved_us = self.age.proved_us();
         let proof_after_ms = proved_us.map(|proved_us| ms_between(asked_us, proved_us));
@@ -311,13 +314,13 @@
     }
 }
 
-/// Whole milliseconds from one moment to another, negative where that was before.
+/// Milliseconds from one time to another, rounded down; negative if the second is earlier.
 fn ms_between(from_us: u64, to_us: u64) -> i64 {
     let difference_us = i128::from(to_us) - i128::from(from_us);
     i64::try_from(difference_us.div_euclid(1000)).unwrap_or(i64::MIN)
 }
 
-/// As they were written: of two that contradict each other the last one counts.
+/// Sorts items by revision, so that the newest of two conflicting ones is applied last.
 fn by_revision(items: &[Item]) -> Vec<&Item> {
     let mut items: Vec<&Item> = items.iter().collect();
     items.sort_unstable_by_key(|item| item.revision);
@@ -339,8 +342,8 @@
         self.recent.push_back(event);
     }
 
-    /// Whether a change is part of what the copy has already. An answer that comes late would
-    /// otherwise bring back what was removed since.
+    /// Whether the mirror already includes changes up to `revision`. Otherwise a late answer would
+    /// restore what was removed since.
     fn covers(&self, revision: u64) -> bool {
         self.revision.is_some_and(|complete| revision <= complete)
     }
@@ -383,7 +386,8 @@
         }
         let newer = self.recent.iter().filter(|event| event.revision() > after);
         let events: Packed<Vec<ItemEvent>> = newer.cloned().collect::<Vec<_>>().into();
-        // Who waited in vain is told nothing, mostly at revisions of its own.
+        // A request that timed out without changes gets an empty list, mostly at a revision of its
+        // own; caching those would waste the few entries.
         if !events.is_empty() && self.reply_cache.events.len() < CACHED_REPLIES_MAX {
             self.reply_cache.events.insert(after, events.clone());
         }
--- a/src/gateway/mirror_sample.rs
+++ b/src/gateway/mirror_sample.rs
@@ -1,4 +1,4 @@
-//! Samples of a copy: some items for instances that seldom need any.
+//! Samples of a mirror: a few items for instances that rarely need any.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 use crate::peer::Packed;
 use crate::store::Item;
 
-/// The sample of one zone.
+/// The sample for one zone.
 #[derive(Debug)]
 pub(super) struct Sample {
     items: Packed<Vec<Item>>,
-    /// The revision at which it last changed.
+    /// Revision at which the sample last changed.
     changed_at: u64,
 }
 
 impl<K: Sink> Mirror<K> {
-    /// Some items for an instance of a zone that knows the sample as it was at `after`, if it has changed
-    /// since; waits up to `wait` for that.
+    /// Returns the sample for a zone if it has changed since revision `after`; waits up to `wait`
+    /// for a change.
     pub async fn serve_sample(&self, zone: u64, after: Option<u64>, wait: Duration) -> FeedTold {
         let asked_us = boot_us();
         let mut sample_rx = self.sample_revision.subscribe();
@@ -31,7 +31,7 @@
             && after >= changed
         {
             let wait = wait.min(FRESH_AGE_MAX.saturating_sub(self.age()));
-            // Without news in time, the answer says so.
+            // If the time is over, the reply contains no items.
             let _ =
                 tokio::time::timeout(wait, sample_rx.wait_for(|changed| *changed > after)).await;
         }
@@ -45,7 +45,7 @@
         keys.iter().filter_map(|key| self.items.get(key).cloned()).collect()
     }
 
-    /// The sample of a zone; `None` without a whole copy.
+    /// The sample for a zone, drawn on the first request; `None` unless all keys are loaded.
     fn sample(&mut self, zone: u64) -> Option<&Sample> {
         let revision = self.revision.filter(|_| self.full)?;
         if !self.samples.contains_key(&zone) {
@@ -55,7 +55,7 @@
         self.samples.get(&zone)
     }
 
-    /// Draws the samples again that were asked for; returns the revision if one changed.
+    /// Redraws all samples in use; returns the current revision if one changed.
     pub(super) fn refresh_samples(&mut self) -> Option<u64> {
         let revision = self.revision?;
         let zones: Vec<u64> = self.samples.keys().copied().collect();
--- a/src/gateway/parsed_config.rs
+++ b/src/gateway/parsed_config.rs
@@ -1,8 +1,8 @@
-//! Reads the operators' configuration, so that one part that cannot be read costs only that part.
+//! Parses the operators' configuration part by part, so that an invalid part affects only itself.
 //!
-//! A newer operator's tool, or a fault of it, may write a kind, a field or a whole route that this
-//! version does not understand. Rejecting the document for it would leave all routes on the version
-//! before, or, at a start, every caller without service.
+//! A newer version of the operators' tool, or a bug in it, may write a kind, a field or a whole
+//! route that this version does not understand. Rejecting the whole document would keep every route
+//! on the previous version or, after a restart, leave all callers without service.
 
 use std::sync::Arc;
 
@@ -22,28 +22,29 @@
 use crate::workspace::Workspace;
 use crate::workspace::WorkspaceTable;
 
-/// Timeout and aim of a route that takes no requests; neither is ever used.
+/// Timeout and target latency, in milliseconds, of a route that refuses all requests. Neither is
+/// ever used.
 const REFUSING_ROUTE_MS: u64 = 1;
 
-/// A part of the configuration that could not be read as written.
+/// A part of the configuration that could not be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigFault {
     pub code: Code,
-    /// The name of the route or service, as far as it can be read.
+    /// Name of the route, service or workspace; empty if it cannot be read.
     pub name: String,
     pub why: String,
-    /// The part of the version before stays in force in its place.
+    /// Whether the part is replaced by the one of the previous version.
     pub kept: bool,
 }
 
-/// A configuration that was read, with the parts that could not be.
+/// A parsed configuration and the parts of it that could not be parsed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ParsedConfig {
     pub table: RouteTable,
     pub faults: Vec<ConfigFault>,
 }
 
-/// The document, its parts unread. Each list may be missing.
+/// The document with its parts still unparsed. Each list may be missing.
 #[derive(Debug, Deserialize)]
 struct Document<'a> {
     version: u64,
@@ -53,12 +54,12 @@
     services: Vec<&'a RawValue>,
     #[serde(borrow, default)]
     limits: Option<&'a RawValue>,
-    /// Without it requests need no key.
+    /// If absent, requests need no API key.
     #[serde(borrow, default)]
     workspaces: Option<Vec<&'a RawValue>>,
 }
 
-/// What is needed of a workspace that cannot be read whole, to know whose keys it concerns.
+/// The fields of an unreadable workspace that tell whose API keys it affects.
 #[derive(Debug, Default, Deserialize)]
 struct WorkspaceStub {
     #[serde(default)]
@@ -67,7 +68,7 @@
     key_hashes: Option<Vec<KeyHash>>,
 }
 
-/// What is needed of a route that cannot be read whole, to know which requests it concerns.
+/// The fields of an unreadable route that tell which requests it affects.
 #[derive(Debug, Default)]
 struct RouteStub {
     name: String,
@@ -76,15 +77,16 @@
 }
 
 impl RouteStub {
-    fn of(part: &RawValue) -> Self {
-        // Only valid JSON gets here; of any other shape than a table there is nothing to learn.
+    fn from_part(part: &RawValue) -> Self {
+        // The part is valid JSON; one that is not an object yields empty fields.
         let value: Value = serde_json::from_str(part.get()).unwrap_or_default();
         let text = |name: &str| value.get(name).and_then(Value::as_str).map(str::to_owned);
         Self { name: text("name").unwrap_or_default(), host: text("host"), prefix: text("prefix") }
     }
 
-    /// A route that takes no requests: they are told that they did not run, not that there is no
-    /// such route, which would be final for them.
+    /// A route without a target. Its requests are answered as not executed, so that they can be
+    /// retried; "no such route" would be a final answer. `None` if the host or the prefix is
+    /// unknown.
     fn into_refusing_route(self) -> Option<Route> {
         Some(Route {
             name: self.name,
@@ -106,20 +108,20 @@
     serde_json::from_str(part.get()).map_err(|err| err.to_string())
 }
 
-/// A route that can be used as it was written.
+/// Parses a route and checks that it names a service.
 fn parse_route(part: &RawValue) -> Result<Route, String> {
     let route: Route = parse(part)?;
-    if route.has_target() { Ok(route) } else { Err("names no service".into()) }
+    if route.has_target() { Ok(route) } else { Err("the route names no service".into()) }
 }
 
-/// A workspace that can be used as it was written.
+/// Parses a workspace and validates it.
 fn parse_workspace(part: &RawValue) -> Result<Workspace, String> {
     let workspace: Workspace = parse(part)?;
     workspace.validate()?;
     Ok(workspace)
 }
 
-/// Reads the parts of one document, in the light of the table before it.
+/// Parses the parts of one document and falls back to the previous table for invalid parts.
 struct ConfigParser<'a> {
     previous: Option<&'a RouteTable>,
     faults: Vec<ConfigFault>,
@@ -134,7 +136,7 @@
         match parse_route(part) {
             Ok(route) => {
                 if route.kind == RouteKind::Unknown {
-                    let why = "a kind that is not known: its requests are not repeated";
+                    let why = "unknown kind: its requests are not repeated";
                     self.record_fault(
                         Code::RouteKindUnknown,
                         route.name.clone(),
@@ -145,7 +147,7 @@
                 Some(Arc::new(route))
             }
             Err(why) => {
-                let stub = RouteStub::of(part);
+                let stub = RouteStub::from_part(part);
                 let kept = self.previous.and_then(|table| table.route_named(&stub.name)).cloned();
                 self.record_fault(Code::RouteUnreadable, stub.name.clone(), why, kept.is_some());
                 kept.or_else(|| stub.into_refusing_route().map(Arc::new))
@@ -157,26 +159,27 @@
         match parse::<ServiceConfig>(part) {
             Ok(rule) => Some(rule),
             Err(why) => {
-                let name = RouteStub::of(part).name;
-                let before = self.previous.and_then(|table| table.services.get(name.as_str()));
-                self.record_fault(Code::ServiceUnreadable, name, why, before.is_some());
-                before.cloned()
+                let name = RouteStub::from_part(part).name;
+                let previous = self.previous.and_then(|table| table.services.get(name.as_str()));
+                self.record_fault(Code::ServiceUnreadable, name, why, previous.is_some());
+                previous.cloned()
             }
         }
     }
 
-    /// The workspaces. One that cannot be read closes its keys, unless they can be read and the rest is
-    /// known from the table before: keys that the operators took away must not come back.
+    /// Parses the workspaces. An unreadable workspace suspends its API keys, unless its key hashes
+    /// are readable and its other fields are known from the previous table. The previous keys are
+    /// never reused: the operators may have revoked them.
     fn workspaces(&mut self, parts: &[&RawValue]) -> WorkspaceTable {
         let mut table = WorkspaceTable::default();
-        let mut closed = Vec::new();
+        let mut suspended = Vec::new();
         for part in parts {
             match parse_workspace(part) {
                 Ok(workspace) => table.add(workspace),
-                Err(why) => self.recover_workspace(part, why, &mut table, &mut closed),
+                Err(why) => self.recover_workspace(part, why, &mut table, &mut suspended),
             }
         }
-        table.suspend(&closed);
+        table.suspend(&suspended);
         table
     }
 
@@ -185,19 +188,20 @@
         part: &RawValue,
         why: String,
         table: &mut WorkspaceTable,
-        closed: &mut Vec<KeyHash>,
+        suspended: &mut Vec<KeyHash>,
     ) {
         let stub: WorkspaceStub = parse(part).unwrap_or_default();
         let name = stub.name.unwrap_or_default();
-        let before = self.previous.and_then(|before| before.workspaces.as_ref()?.by_name(&name));
-        let before = before.cloned();
-        let kept = before.is_some() && stub.key_hashes.is_some();
-        match (before, stub.key_hashes) {
-            (Some(before), Some(key_hashes)) => {
-                table.add(Workspace { key_hashes, ..Workspace::clone(&before) });
+        let previous =
+            self.previous.and_then(|previous| previous.workspaces.as_ref()?.by_name(&name));
+        let previous = previous.cloned();
+        let kept = previous.is_some() && stub.key_hashes.is_some();
+        match (previous, stub.key_hashes) {
+            (Some(previous), Some(key_hashes)) => {
+                table.add(Workspace { key_hashes, ..Workspace::clone(&previous) });
             }
-            (Some(before), None) => closed.extend(&before.key_hashes),
-            (None, Some(key_hashes)) => closed.extend(key_hashes),
+            (Some(previous), None) => suspended.extend(&previous.key_hashes),
+            (None, Some(key_hashes)) => suspended.extend(key_hashes),
             (None, None) => {}
         }
         self.record_fault(Code::WorkspaceUnreadable, name.to_string(), why, kept);
@@ -217,25 +221,27 @@
 }
 
 impl RouteTable {
-    /// Reads a configuration in JSON, with the hashes of keys in their place.
+    /// Parses a JSON configuration in which API keys are already replaced by their hashes.
     ///
-    /// A route, service or limits that cannot be read stay as they
-    /// are `before`, where they are known there; what else they cost is told by the faults.
+    /// A route, service or limits section that cannot be parsed keeps its `previous` version if
+    /// there is one; the returned faults describe each such part.
     ///
     /// # Errors
-    /// When it is no JSON, has no version, or no lists: then nothing of it can be used.
-    pub fn parse(text: &[u8], before: Option<&Self>) -> Result<ParsedConfig, String> {
+    ///
+    /// Fails if the text is not JSON, has no version, or has a field that is not a list where one
+    /// is expected. Nothing of it can be used then.
+    pub fn parse(text: &[u8], previous: Option<&Self>) -> Result<ParsedConfig, String> {
         let document: Document<'_> = serde_json::from_slice(text).map_err(|err| err.to_string())?;
-        let mut reader = ConfigParser { previous: before, faults: Vec::new() };
-        let routes = document.routes.iter().filter_map(|part| reader.route(part)).collect();
-        let services = document.services.iter().filter_map(|part| reader.service(part)).collect();
+        let mut parser = ConfigParser { previous, faults: Vec::new() };
+        let routes = document.routes.iter().filter_map(|part| parser.route(part)).collect();
+        let services = document.services.iter().filter_map(|part| parser.service(part)).collect();
         let limits = match document.limits {
-            Some(part) => reader.limits(part),
+            Some(part) => parser.limits(part),
             None => CallerLimits::default(),
         };
-        let workspaces = document.workspaces.as_ref().map(|parts| reader.workspaces(parts));
+        let workspaces = document.workspaces.as_ref().map(|parts| parser.workspaces(parts));
         let mut table = Self::new(document.version, routes, services, limits);
         table.workspaces = workspaces;
-        Ok(ParsedConfig { table, faults: reader.faults })
+        Ok(ParsedConfig { table, faults: parser.faults })
     }
 }
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -1,5 +1,4 @@
-//! What the platform and callers ask of an instance beside requests: readiness, and which
-//! addresses to use.
+//! Handlers for the platform's readiness checks and for callers that ask which addresses to use.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,12 +22,12 @@
 use crate::listener::ConnLimits;
 use crate::listener::Handler;
 
-/// How long callers keep an address answer. An instance that fails is left out of the next one,
-/// so this bounds how long callers go on trying it; a shorter time buys little, since the failure
-/// itself takes most of a second to be noticed.
+/// How long callers may cache an address answer. A failed instance is left out of the next answer,
+/// so this bounds how long callers go on trying it. A shorter time gains little, since detecting
+/// the failure takes most of a second.
 const ADDRESS_TTL: Duration = Duration::from_secs(1);
-/// The same while this instance knows no other: it can name only itself, and callers that keep that
-/// answer go on using an instance that is no home once the others are found.
+/// The same while this instance knows no other. It can only name itself then, and callers would go
+/// on using it after the others, which may be the homes, are found.
 const ADDRESS_TTL_ALONE: Duration = Duration::from_millis(200);
 const CONN_LIMITS: ConnLimits =
     ConnLimits { header_bytes_max: 16 << 10, head_timeout: Duration::from_secs(30) };
@@ -39,7 +38,7 @@
     response
 }
 
-/// Says whether the instance is ready for requests.
+/// Answers whether the instance is ready for requests.
 #[derive(Clone, Debug)]
 pub struct ReadinessHandler<D> {
     pub dialect: D,
@@ -64,7 +63,7 @@
     }
 }
 
-/// Tells callers which addresses to use.
+/// Answers which addresses callers should use.
 #[derive(Clone, Debug)]
 pub struct AddressHandler<D> {
     pub dialect: D,
@@ -75,14 +74,14 @@
 impl<D: Dialect> AddressHandler<D> {
     fn addresses(&self, zone: &str) -> (Vec<SocketAddr>, Duration) {
         let settings = self.board.settings.gateway.as_ref();
-        let keep_max = settings.map_or(ADDRESS_TTL, GatewaySettings::address_keep_max);
+        let ttl_max = settings.map_or(ADDRESS_TTL, GatewaySettings::address_keep_max);
         let view = self.board.members_view();
         let homes = homes_of_zone(&view, zone, HomesPlan::of(&self.board));
-        let keep = if view.serving() > 1 { ADDRESS_TTL } else { ADDRESS_TTL_ALONE };
+        let ttl = if view.serving() > 1 { ADDRESS_TTL } else { ADDRESS_TTL_ALONE };
         let relied_on = self.admission.accepts_callers();
         let named =
             homes.iter().filter(|row| relied_on || row.incarnation != self.board.incarnation);
-        (named.map(|row| row.caller).collect(), keep.min(keep_max))
+        (named.map(|row| row.caller).collect(), ttl.min(ttl_max))
     }
 }
 
@@ -98,11 +97,11 @@
         let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
         let zone =
             pairs.find(|(name, _)| *name == paths.zone_query_param).map_or("", |(_, zone)| zone);
-        let (addresses, keep) = self.addresses(zone);
+        let (addresses, ttl) = self.addresses(zone);
         if addresses.is_empty() {
             return respond(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
         }
-        let mut response = respond(StatusCode::OK, self.dialect.encode_addresses(&addresses, keep));
+        let mut response = respond(StatusCode::OK, self.dialect.encode_addresses(&addresses, ttl));
         let json = http::HeaderValue::from_static("application/json");
         response.headers_mut().insert(http::header::CONTENT_TYPE, json);
         response
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -1,4 +1,4 @@
-//! Health checks, which tell load and pace of the servers of the own zone.
+//! Health checks, which report load and pace of the servers in the own zone.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -16,32 +16,32 @@
 use crate::board::Counter;
 use crate::conf::GatewaySettings;
 
-/// Health checks a second to a server by one home, as long as the operators' bound allows them.
-/// They only have to find servers that fell silent, and to tell which look fast; each request asks
-/// the one it is meant for. At thirty a second the share answered in time was the same.
+/// Maximum health checks per second that one home sends to one server. They only need to detect
+/// servers that stopped responding and to show which ones look fast, since each request also checks
+/// the server that it is meant for. Thirty per second gave the same share of timely answers.
 const PROBES_PER_SERVER_PER_S: u32 = 8;
-/// Seconds between two checks of a server that tells no load. There a check waits for a slot like
-/// any request: it takes one from a request, and says nothing of the server if it is not answered
-/// soon.
+/// Interval, in seconds, of checks of a server that does not report its load. Such a server queues
+/// a check like any request: the check takes a slot from a request, and a late answer says nothing
+/// about the server.
 const NO_LOAD_INTERVAL_S: u32 = 2;
-/// A server in the own zone answers a health check within some milliseconds; one that takes
-/// longer than this does not answer at all.
+/// Timeout of a health check. A server in the own zone answers within some milliseconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// One health check a second for so many requests a second that the instance can carry: a check
-/// takes about a fifth of the processor's time of a request, so this leaves nine tenths to these.
+/// Requests per second of the instance's capacity for each health check per second. A check takes
+/// about a fifth of the CPU time of a request, so this leaves nine tenths for requests.
 const CAPACITY_PER_PROBE: u32 = 2;
 
-/// Checks a second for each request a second: a request chooses among servers that were looked at lately,
-/// and more looks than that tell the next one nothing.
+/// Checks per second for each request per second. A request chooses among recently checked servers;
+/// more checks would not improve the choice.
 const PROBES_PER_REQUEST: f64 = 3.0;
-/// Seconds in which each server is checked once where there are few requests: one that fell silent is found
-/// before they come.
+/// Interval, in seconds, in which every server is checked at least once when there are few
+/// requests, so that an unresponsive server is found before they arrive.
 const IDLE_PROBE_INTERVAL_S: u32 = 2;
-/// Weight of one turn in the rate of requests.
+/// Weight of the latest tick in the moving average of the request rate.
 const RATE_EWMA_WEIGHT: f64 = 0.1;
 
-/// The servers that this home checks, looked up again only when the list or its part changed.
+/// The servers that this home checks, refreshed only when the server list or the home's part of it
+/// changed.
 #[derive(Debug, Default)]
 struct ProbedServers {
     servers: Vec<Arc<Server>>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Requests a second of this instance, over the last turns.
+/// Exponential moving average of this instance's requests per second.
 #[derive(Debug, Default)]
 struct RequestRate {
     last_count: u64,
@@ -69,15 +69,15 @@
 }
 
 impl RequestRate {
-    #[expect(clippy::cast_precision_loss, reason = "requests of one turn")]
-    fn update(&mut self, counted: u64, turns_per_s: u32) {
-        let now_per_s = counted.saturating_sub(self.last_count) as f64 * f64::from(turns_per_s);
+    #[expect(clippy::cast_precision_loss, reason = "the requests of one tick are few")]
+    fn update(&mut self, counted: u64, ticks_per_s: u32) {
+        let now_per_s = counted.saturating_sub(self.last_count) as f64 * f64::from(ticks_per_s);
         self.last_count = counted;
         self.per_s += RATE_EWMA_WEIGHT * (now_per_s - self.per_s);
     }
 }
 
-/// Checks the servers of the own zone while this instance is one of the zone's homes.
+/// Sends health checks to the servers of the own zone while this instance is one of its homes.
 #[derive(Clone, Debug)]
 pub struct Prober<D> {
     pub dialect: D,
@@ -88,52 +88,60 @@
 }
 
 impl<D: Dialect> Prober<D> {
-    /// Checks until the process ends.
+    /// Runs until the process ends.
     pub async fn run(self) {
-        // Instances may disagree for a moment on who checks a server: half of the bound is left.
+        // Two instances may briefly both consider themselves responsible for a server, so each uses
+        // half of the configured limit.
         let rate = PROBES_PER_SERVER_PER_S.min(self.settings.probes_per_s_max / 2);
         if rate == 0 {
             return;
         }
-        let mut turns = tokio::time::interval(Duration::from_secs(1) / rate);
-        turns.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut turn = 0;
-        let mut own = ProbedServers::default();
-        let mut requests = RequestRate::default();
+        let mut ticks = tokio::time::interval(Duration::from_secs(1) / rate);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut tick = 0;
+        let mut probed = ProbedServers::default();
+        let mut request_rate = RequestRate::default();
         loop {
-            turns.tick().await;
-            turn += 1;
-            requests.update(self.board.counters.get(Counter::Requests), rate);
+            ticks.tick().await;
+            tick += 1;
+            request_rate.update(self.board.counters.get(Counter::Requests), rate);
             if let Some(part) = near_part(&self.board) {
-                own.refresh(&self.dispatcher, part);
-                let untold = turn % (rate * NO_LOAD_INTERVAL_S) == 0;
+                probed.refresh(&self.dispatcher, part);
+                let no_load_due = tick % (rate * NO_LOAD_INTERVAL_S) == 0;
                 if !self.dispatcher.is_evacuated(&self.board.settings.instance.zone) {
-                    self.probe_due(&own.servers, turn, untold, requests.per_s);
+                    self.probe_due(&probed.servers, tick, no_load_due, request_rate.per_s);
                 }
             }
         }
     }
 
-    /// Checks this home's part of the zone's servers; those that tell no load only once, and where
-    /// `untold` says so.
-    fn probe_due(&self, servers: &[Arc<Server>], turn: u32, untold: bool, requests_per_s: f64) {
-        let turns = self.ticks_per_probe(servers.len(), requests_per_s);
+    /// Starts the checks that are due at this tick. A server that does not report its load is
+    /// checked once initially, and then only when `no_load_due` is set.
+    fn probe_due(
+        &self,
+        servers: &[Arc<Server>],
+        tick: u32,
+        no_load_due: bool,
+        requests_per_s: f64,
+    ) {
+        let ticks = self.ticks_per_probe(servers.len(), requests_per_s);
         for server in servers {
             let first = !server.health_checked.swap(true, Ordering::Relaxed);
             let due =
-                turn.wrapping_add(server.key) % turns == 0 && self.dispatcher.reports_load(server);
-            if (first || untold || due) && !self.dispatcher.in_cooldown(server) {
+                tick.wrapping_add(server.key) % ticks == 0 && self.dispatcher.reports_load(server);
+            if (first || no_load_due || due) && !self.dispatcher.in_cooldown(server) {
                 tokio::spawn(self.clone().probe(Arc::clone(server)));
             }
         }
     }
 
-    /// Turns in which each of so many servers is checked once, so that the checks of a large zone
-    /// leave the processor to requests, and are no more than the requests that choose by them need.
+    /// Number of ticks in which each of `servers` servers is checked once. It limits the checks of
+    /// a large zone to what leaves the CPU to requests, and to what the requests need for their
+    /// choice.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "some hundred requests a second"
+        reason = "rates are some hundred per second"
     )]
     fn ticks_per_probe(&self, servers: usize, requests_per_s: f64) -> u32 {
         let servers = u32::try_from(servers).unwrap_or(u32::MAX);
@@ -156,7 +164,8 @@
         let checked = async {
             let mut conn = match server.conns.take(PROBE_TIMEOUT).await {
                 Ok(conn) => conn,
-                // All connections carry requests, whose answers tell as much.
+                // All connections are in use; the answers to their requests are as informative as a
+                // check.
                 Err(err) => return (err.kind() == ErrorKind::QuotaExceeded).then_some(()),
             };
             let keep = check_health(&self.dialect, &self.dispatcher, &server, &mut conn, path)
--- a/src/gateway/quarantine_store.rs
+++ b/src/gateway/quarantine_store.rs
@@ -1,4 +1,5 @@
-//! Requests that crash servers, kept in the platform's store, so that they outlast all instances.
+//! Persists quarantined requests in the platform's store, so that the quarantine survives a restart
+//! of all instances.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +16,20 @@
 use crate::store::Freshness;
 use crate::store::StoreError;
 
-/// As long as a first conviction holds, and the longest lease that the platform gives.
+/// Lease of a stored record: as long as a first quarantine lasts, and the longest lease that the
+/// platform grants.
 const LEASE_TTL: Duration = Duration::from_mins(10);
-/// Before this a starting instance does not know whether it is a home.
+/// Time after a start before which an instance does not know whether it is a home.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
-/// How often an instance looks whether it has become a home.
+/// How often an instance checks whether it has become the first home of its zone.
 const HOME_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Writes of one conviction before it is left to the other instances' memories.
+/// Number of attempts to write one set of records; after that only the instances' memory holds it.
 const WRITE_ATTEMPTS_MAX: u32 = 30;
 
-/// Keeps convictions in the store, and reads them when an instance becomes the first of its zone:
-/// the others learn them from it, so a start costs one call a zone and a conviction two.
+/// Writes quarantined requests to the store, and reads them when this instance becomes the first
+/// home of its zone. The other instances learn them from it, so a start costs one call per zone and
+/// a quarantine two.
 #[derive(Clone, Debug)]
 pub struct QuarantineStore<D, S> {
     pub dialect: D,
@@ -35,7 +38,7 @@
 }
 
 impl<D: Dialect, S: EventStore> QuarantineStore<D, S> {
-    /// Writes convictions until the process ends.
+    /// Writes newly quarantined requests until the process ends.
     pub async fn run_writer(self) {
         loop {
             let rows = self.board.quarantine.next_quarantined().await;
@@ -51,7 +54,7 @@
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
-        warn!(event = "suspects-not-kept", rows = rows.len(); "the store took no write");
+        warn!(event = "suspects-not-kept", rows = rows.len(); "every write to the store failed");
     }
 
     async fn write(&self, rows: &[SuspectRecord]) -> Result<(), StoreError> {
@@ -67,7 +70,7 @@
         Err(StoreError::Refused("the lease ended at once".into()))
     }
 
-    /// Reads what is kept, once this instance is the first of its zone.
+    /// Reads the stored records once this instance is the first home of its zone.
     pub async fn load_when_first_home(self) {
         tokio::time::sleep(SETTLE_DELAY).await;
         while !is_home(&self.board, HomesPlan::FIRST_ONLY) {
@@ -103,11 +106,11 @@
     }
 }
 
-/// The rows of one key; none of one that another version wrote.
+/// Decodes the records of one key; empty if they are in an unknown format.
 fn decode_rows(key: &str, value: &[u8]) -> Vec<SuspectRecord> {
     serde_json::from_slice(value).unwrap_or_else(|err| {
         let why = err.to_string();
-        warn!(event = "suspects-unreadable", key = key, why = why.as_str(); "passed over");
+        warn!(event = "suspects-unreadable", key = key, why = why.as_str(); "unknown format");
         Vec::new()
     })
 }
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -1,4 +1,4 @@
-//! The list of instances that the instances keep in the platform's store.
+//! The list of instances in the platform's store, which the instances maintain themselves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,15 +16,16 @@
 use crate::store::Roster;
 use crate::store::StoreError;
 
-/// Homes are settled some time after a start.
+/// How often this instance checks whether it is the first of its zone; also the time that homes
+/// need to settle after a start.
 const HOME_CHECK_INTERVAL: Duration = Duration::from_millis(1_500);
-/// An entry outlives its instance for at most this. It is only read by instances that look for
-/// others, which stand a dead address among living ones.
+/// Lease of an entry, and so the longest time that it outlives its instance. Entries are only read
+/// by instances that look for others, which tolerate a dead address among live ones.
 const LEASE_TTL: Duration = Duration::from_mins(1);
 const RENEW_INTERVAL: Duration = Duration::from_secs(20);
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The instances' own list; each writes its peer address under a lease.
+/// The list of instances; each entry holds a peer address under a lease.
 #[derive(Clone, Debug)]
 pub struct Registry<D, S> {
     pub dialect: D,
@@ -44,10 +45,10 @@
         Err(StoreError::Refused("the lease ended at once".into()))
     }
 
-    /// Keeps the own entry while this instance is a home, until the process ends.
+    /// Keeps an entry for this instance while it is the first of its zone, until the process ends.
     ///
-    /// A newcomer needs one address of an instance that lives, and finds the others through it;
-    /// each entry costs calls to the store.
+    /// One live address is enough for a new instance, which learns the others through it, and each
+    /// entry costs store calls.
     pub async fn run(self) {
         loop {
             tokio::time::sleep(HOME_CHECK_INTERVAL).await;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Renews the lease until the store says that it ended.
+    /// Renews the lease until the store reports that it ended.
     async fn renew_until_expired(&self, lease: u64) {
         loop {
             tokio::time::sleep(RENEW_INTERVAL).await;
@@ -79,7 +80,7 @@
 
 impl<D: Dialect, S: EventStore> Roster for Registry<D, S> {
     async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
-        // The addresses in the settings are enough while one of them answers.
+        // The seeds are enough as long as another instance is known.
         if self.board.members_view().serving() > 1 {
             return Ok(Vec::new());
         }
--- a/src/gateway/reported_loads.rs
+++ b/src/gateway/reported_loads.rs
@@ -1,39 +1,38 @@
-//! What one peer was told of this instance's requests at the backend servers.
+//! What one peer was told about this instance's requests at the backend servers.
 
 use std::collections::HashMap;
 
 use crate::peer::ServerLoadRow;
 
-/// What a peer believes of this instance's requests at one server.
+/// The last report to a peer about one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ReportedLoad {
-    /// `None` where the last word may have been lost.
+    /// Requests in flight; `None` if the report may have been lost.
     in_flight: Option<u16>,
     pace_percent: u16,
 }
 
-/// What a peer believes; of a server that is not named here, that this instance has nothing there.
+/// The last reports to a peer, by server. A server that is missing here was reported idle.
 #[derive(Debug, Default)]
 pub(super) struct ReportedLoads {
     by_server: HashMap<u32, ReportedLoad>,
 }
 
 impl ReportedLoads {
-    /// The rows that the peer is to be told, of all that there are now: none, however many servers
-    /// there are, while nothing changes. That a pace grew old is no news; the peer lets it fade.
+    /// The rows to send, given the current loads: those that differ from what was reported. A pace
+    /// that became outdated is not sent; the peer expires it.
     pub(super) fn changes(&self, now: &[ServerLoadRow]) -> Vec<ServerLoadRow> {
         let changed = now.iter().filter(|row| {
-            let told = self.by_server.get(&row.server);
-            let (in_flight, pace) =
-                told.map_or((Some(0), 0), |told| (told.in_flight, told.pace_percent));
+            let reported = self.by_server.get(&row.server);
+            let (in_flight, pace) = reported
+                .map_or((Some(0), 0), |reported| (reported.in_flight, reported.pace_percent));
             in_flight != Some(row.in_flight) || row.pace_percent > 0 && row.pace_percent != pace
         });
         let mut rows: Vec<ServerLoadRow> = changed.copied().collect();
         let now: HashMap<u32, u16> = now.iter().map(|row| (row.server, row.in_flight)).collect();
-        let ended = self
-            .by_server
-            .iter()
-            .filter(|(server, told)| told.in_flight != Some(0) && !now.contains_key(server));
+        let ended = self.by_server.iter().filter(|(server, reported)| {
+            reported.in_flight != Some(0) && !now.contains_key(server)
+        });
         rows.extend(ended.map(|(server, _)| ServerLoadRow {
             server: *server,
             in_flight: 0,
@@ -42,32 +41,33 @@
         rows
     }
 
-    /// The peer heard these rows.
+    /// Records that the peer received these rows.
     pub(super) fn record_delivered(&mut self, rows: &[ServerLoadRow]) {
         for row in rows {
-            let told =
+            let reported =
                 ReportedLoad { in_flight: Some(row.in_flight), pace_percent: row.pace_percent };
-            self.by_server.insert(row.server, told);
+            self.by_server.insert(row.server, reported);
         }
-        self.by_server.retain(|_, told| told.in_flight != Some(0) || told.pace_percent != 0);
+        self.by_server
+            .retain(|_, reported| reported.in_flight != Some(0) || reported.pace_percent != 0);
     }
 
-    /// The peer may have heard these rows, or nothing for so long that it forgot others: all that it
-    /// may believe is told again.
+    /// Records that the peer may have received these rows, or may have expired older ones: all rows
+    /// are sent again.
     pub(super) fn record_maybe_delivered(&mut self, rows: &[ServerLoadRow]) {
         self.record_delivered(rows);
-        for told in self.by_server.values_mut() {
-            *told = ReportedLoad { in_flight: None, pace_percent: 0 };
+        for reported in self.by_server.values_mut() {
+            *reported = ReportedLoad { in_flight: None, pace_percent: 0 };
         }
     }
 
-    /// The peer did not hear from this instance for so long that it forgot everything.
+    /// Forgets all reports, since the peer has expired them.
     pub(super) fn clear(&mut self) {
         self.by_server.clear();
     }
 
-    /// Whether the peer believes that nothing runs anywhere.
+    /// Whether every server was reported idle.
     pub(super) fn is_idle(&self) -> bool {
-        self.by_server.values().all(|told| told.in_flight == Some(0))
+        self.by_server.values().all(|reported| reported.in_flight == Some(0))
     }
 }
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -1,4 +1,4 @@
-//! Puts what the platform's store says in force.
+//! Applies the contents of the platform's store to this instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,24 +24,25 @@
 use crate::store::Item;
 use crate::workspace::WorkspaceTable;
 
-/// Entries that cannot be read and are remembered as logged; beyond that some are logged again.
+/// Number of unreadable entries that are remembered as logged; beyond it, some are logged again.
 const UNREADABLE_LOGGED_MAX: usize = 1_000;
-/// Changes that come together and have a line each. At a start each of hundreds of instances hears of
-/// hundreds of servers, where one line with their number and revision tells as much.
+/// Number of changes of a batch that are logged individually. After a start each of hundreds of
+/// instances receives hundreds of servers at once; one line with their number and revision then
+/// suffices.
 const BATCH_LINES_MAX: usize = 8;
 
-/// Puts what the operators write in force: versions of the configuration, and evacuations.
+/// Applies what the operators write: configuration versions and zone evacuations.
 #[derive(Debug)]
 pub struct OperatorSink<D> {
     pub dialect: D,
     pub table: CurrentRouteTable,
     pub board: Arc<Blackboard>,
     pub dispatcher: Dispatcher,
-    /// Of the copy that this is told from.
+    /// The age of the mirror that feeds this sink.
     pub age: Arc<MirrorAge>,
 }
 
-/// One line for each part of a configuration that could not be read.
+/// Logs one line for each part of a configuration that could not be parsed.
 fn log_faults(faults: &[ConfigFault], version: u64) {
     for fault in faults {
         error!(
@@ -53,12 +54,13 @@
 }
 
 impl<D: Dialect> OperatorSink<D> {
-    /// The zone that a key evacuates.
+    /// The zone that is evacuated by a key, if it is an evacuation key.
     fn evacuated_zone<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.dialect.store_keys().evacuations_prefix)
     }
 
-    /// The key alone is the operators' word; what its value may come to say does not take it back.
+    /// Evacuates a zone. The existence of the key is enough; its value is ignored, so that a future
+    /// format of it cannot cancel an evacuation.
     fn evacuate(&self, zone: &str, revision: u64) {
         if zone.is_empty() || zone.contains('/') {
             error!(
@@ -74,7 +76,7 @@
         info!(
             event = "zone-evacuated", zone = zone, servers = change.servers,
             running = change.running, revision = revision;
-            "nothing more is sent there"
+            "no more requests are sent to its servers"
         );
         self.board.set_evacuated_zones(self.dispatcher.evacuated_zones());
     }
@@ -91,7 +93,7 @@
         self.board.set_evacuated_zones(self.dispatcher.evacuated_zones());
     }
 
-    /// What the operators say of each service's cold servers.
+    /// The rate rules for cold servers, by service.
     fn cold_rules(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdRule> {
         let bounds = self.board.settings.gateway.as_ref();
         let (overage, slack) = bounds.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
@@ -103,9 +105,9 @@
     }
 
     fn apply_config(&self, item: &Item) {
-        let before = self.table.load_full();
-        let decode = match self.dialect.decode_config(&item.value, before.as_deref()) {
-            Ok(read) => read,
+        let previous = self.table.load_full();
+        let parsed = match self.dialect.decode_config(&item.value, previous.as_deref()) {
+            Ok(parsed) => parsed,
             Err(why) => {
                 error!(
                     event = "config-unreadable", code = Code::ConfigUnreadable.number(),
@@ -117,21 +119,21 @@
             }
         };
         self.age.set_outdated(false);
-        // A read that answers late must not take a newer version back.
-        let before = before.map(|table| table.version);
-        if before.is_some_and(|before| before >= decode.table.version) {
+        // A late answer must not restore an older version.
+        let previous = previous.map(|table| table.version);
+        if previous.is_some_and(|previous| previous >= parsed.table.version) {
             return;
         }
-        log_faults(&decode.faults, decode.table.version);
+        log_faults(&parsed.faults, parsed.table.version);
         info!(
-            event = "config-in-force", version = decode.table.version, before = before.unwrap_or(0),
-            routes = decode.table.route_count(),
-            workspaces = decode.table.workspaces.as_ref().map(WorkspaceTable::len), faults = decode.faults.len(),
-            revision = item.revision;
+            event = "config-in-force", version = parsed.table.version,
+            before = previous.unwrap_or(0), routes = parsed.table.route_count(),
+            workspaces = parsed.table.workspaces.as_ref().map(WorkspaceTable::len),
+            faults = parsed.faults.len(), revision = item.revision;
             "configuration changed"
         );
-        self.dispatcher.set_cold_policies(self.cold_rules(&decode.table));
-        self.table.store(Some(Arc::new(decode.table)));
+        self.dispatcher.set_cold_policies(self.cold_rules(&parsed.table));
+        self.table.store(Some(Arc::new(parsed.table)));
         self.board.counters.add(Counter::ConfigMerged);
     }
 }
@@ -154,24 +156,24 @@
     fn removed(&mut self, key: &str, _: Duration) {
         match self.evacuated_zone(key) {
             Some(zone) => self.readmit(zone),
-            None => info!(event = "config-removed", key = key; "the last version stays in force"),
+            None => info!(event = "config-removed", key = key; "the last version stays in use"),
         }
     }
 }
 
-/// Lists backend servers.
+/// Passes backend servers to the dispatcher.
 #[derive(Debug)]
 pub struct ServerSink<D> {
     pub dialect: D,
     pub dispatcher: Dispatcher,
-    /// Why the entries that cannot be read now cannot be, by id: each is logged once, however often
-    /// its writer repeats it.
+    /// Current unreadable entries by id, with the parse error. Each is logged once per error,
+    /// however often its writer repeats it.
     unreadable: HashMap<String, String>,
-    /// While changes that came together are told.
+    /// Counts of the current batch; `None` outside a batch.
     batch: Option<BatchCounts>,
 }
 
-/// How many changes came together so far.
+/// Numbers of changes in the current batch.
 #[derive(Clone, Copy, Debug, Default)]
 struct BatchCounts {
     listed: usize,
@@ -179,27 +181,27 @@
 }
 
 impl BatchCounts {
-    /// Whether the next change still has a line of its own.
+    /// Whether the latest change is still logged individually.
     const fn logs_each(self) -> bool {
         self.listed + self.unlisted <= BATCH_LINES_MAX
     }
 }
 
 impl<D: Dialect> ServerSink<D> {
-    /// A sink that lists servers at `dispatcher`.
+    /// Creates a sink that lists servers in `dispatcher`.
     #[must_use]
     pub fn new(dialect: D, dispatcher: Dispatcher) -> Self {
         Self { dialect, dispatcher, unreadable: HashMap::new(), batch: None }
     }
 
-    fn read(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
+    fn decode(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
         let row = self.dialect.decode_server(id, value)?;
         row.check()?;
         Ok(row)
     }
 
-    /// An entry may come from a writer that is no server, and says nothing that can be used. It
-    /// names no server, also where one stood under this key before; the other entries hold.
+    /// Logs an unreadable entry and removes the server that was listed under its id. Other entries
+    /// are not affected. The entry may come from a writer that is not a server.
     fn reject(&mut self, id: &str, why: String, revision: u64) {
         self.dispatcher.unlist_server(id, Duration::ZERO);
         if self.unreadable.get(id) == Some(&why) {
@@ -216,12 +218,12 @@
         self.unreadable.insert(id.to_owned(), why);
     }
 
-    /// Counts a change; tells whether it has a line of its own.
+    /// Counts a change; returns whether it is logged individually.
     fn count_change(&mut self, listed: usize, unlisted: usize) -> bool {
-        self.batch.as_mut().is_none_or(|together| {
-            together.listed += listed;
-            together.unlisted += unlisted;
-            together.logs_each()
+        self.batch.as_mut().is_none_or(|batch| {
+            batch.listed += listed;
+            batch.unlisted += unlisted;
+            batch.logs_each()
         })
     }
 }
@@ -230,7 +232,7 @@
     fn written(&mut self, item: &Item) {
         let id =
             item.key.strip_prefix(self.dialect.store_keys().servers_prefix).unwrap_or(&item.key);
-        let row = match self.read(id, &item.value) {
+        let row = match self.decode(id, &item.value) {
             Ok(row) => row,
             Err(why) => return self.reject(id, why, item.revision),
         };
@@ -267,12 +269,12 @@
     }
 
     fn end_batch(&mut self, revision: u64) {
-        let together = self.batch.take().unwrap_or_default();
-        if !together.logs_each() {
+        let batch = self.batch.take().unwrap_or_default();
+        if !batch.logs_each() {
             info!(
-                event = "servers-changed", listed = together.listed,
-                unlisted = together.unlisted, revision = revision;
-                "many at once"
+                event = "servers-changed", listed = batch.listed,
+                unlisted = batch.unlisted, revision = revision;
+                "changes of a batch that are not logged individually"
             );
         }
     }
--- a/src/gateway/store_check.rs
+++ b/src/gateway/store_check.rs
@@ -1,4 +1,4 @@
-//! Makes sure that the platform's store still serves an instance that watches it.
+//! Checks that the platform's store still serves an instance that watches it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,12 +10,13 @@
 use crate::clock::now_us;
 use crate::store::EventStore;
 
-/// A watch that waits does not tell that the store turned this instance away; others that rely on
-/// it must learn of that well within the two seconds that a change may take.
+/// How often a watcher checks the store. A waiting watch does not reveal that the store rejects
+/// this instance; those that rely on it must learn that well within the two seconds that a change
+/// may take.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Checks now and then while this instance watches, until the process ends.
+/// Checks the store periodically while this instance is a watcher, until the process ends.
 pub async fn run_store_check<S: EventStore, A: Sink, B: Sink>(
     store: S,
     board: Arc<Blackboard>,
@@ -27,11 +28,11 @@
         if !is_watcher(&board) {
             continue;
         }
-        let began_us = now_us();
+        let started_us = now_us();
         let alive = tokio::time::timeout(CHECK_TIMEOUT, store.alive()).await;
         if matches!(alive, Ok(Ok(()))) {
-            first.record_store_reply(began_us);
-            second.record_store_reply(began_us);
+            first.record_store_reply(started_us);
+            second.record_store_reply(started_us);
         } else {
             first.interrupt_watches();
             second.interrupt_watches();
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones that the operators evacuate: nothing more is sent to their backend servers.
+//! Evacuated availability zones: no request is sent to their backend servers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -28,13 +28,13 @@
 
 mod common;
 
-/// Half of the bound that operators set by default.
+/// Half of the default time limit for evacuations.
 const APPLY_MAX: Duration = Duration::from_millis(2_500);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
 
 fn row(id: &str, zone: &str) -> ServerRow {
-    // Each at an address of its own.
+    // Each server has an address of its own.
     let port = id.bytes().fold(0, |port, byte| port * 31 + u16::from(byte)) % 10_000 + 1;
     ServerRow {
         id: id.into(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// A dispatcher that knows two servers in each zone.
+/// A dispatcher with two servers in each zone.
 fn dispatcher() -> Dispatcher {
     let dispatcher = Dispatcher::new("a", ALLOWANCE);
     for zone in ZONES {
@@ -78,11 +78,12 @@
     format!("{EVACUATIONS_PREFIX}{zone}")
 }
 
-/// Requests, hedges and servers listed during an evacuation: each way to a server of the zone.
+/// Covers each way to a server of the zone: requests, hedges, and servers that are listed during
+/// the evacuation.
 #[tokio::test]
 async fn no_request_is_sent_to_evacuated_zone() {
     let dispatcher = dispatcher();
-    let change = dispatcher.evacuate("a").expect("it was not evacuated");
+    let change = dispatcher.evacuate("a").expect("the zone was not evacuated before");
     assert_eq!((change.servers, change.running), (2, 0));
     assert_eq!(dispatcher.evacuate("a"), None);
     dispatcher.list_server(row("a0", "a"));
@@ -91,16 +92,16 @@
     let service = "parts".into();
     let mut grants = Vec::new();
     for _ in 0..4 {
-        grants.push(dispatcher.acquire(&service, ask()).await.expect("a slot elsewhere"));
+        grants.push(dispatcher.acquire(&service, ask()).await.expect("a slot in another zone"));
         grants.extend(dispatcher.try_acquire_spare("parts", &ask()));
     }
     assert!(grants.iter().all(|grant| *grant.server.row.zone != *"a"));
     assert!(dispatcher.readmit("a").is_some_and(|change| change.servers == 3));
-    let back = dispatcher.acquire(&service, ask()).await.expect("a slot");
+    let back = dispatcher.acquire(&service, ask()).await.expect("a slot is free");
     assert_eq!(&*back.server.row.zone, "a");
 }
 
-/// All zones evacuated: a request that waits, and one that comes, would be held for nothing.
+/// Guards against holding requests, queued or new, when all zones are evacuated.
 #[tokio::test]
 async fn requests_are_refused_at_once_when_all_zones_are_evacuated() {
     let dispatcher = dispatcher();
@@ -110,7 +111,7 @@
     while let Some(grant) = dispatcher.try_acquire_spare("parts", &ask()) {
         grants.push(grant);
     }
-    // A server may be given its last slot for a moment meanwhile.
+    // A server may get its last free slot meanwhile.
     let waits = loop {
         let waiter = dispatcher.clone();
         let waits = tokio::spawn(async move { waiter.acquire(&"parts".into(), ask()).await });
@@ -120,15 +121,16 @@
         if dispatcher.has_queue() {
             break waits;
         }
-        grants.push(waits.await.expect("no panic").expect("a slot"));
+        grants.push(waits.await.expect("the task does not panic").expect("a slot is free"));
     };
     let began = Instant::now();
     for zone in ZONES {
         dispatcher.evacuate(zone);
     }
-    let waited = waits.await.expect("no panic").expect_err("no zone is left");
+    let waited =
+        waits.await.expect("the task does not panic").expect_err("all zones are evacuated");
     assert!(waited.no_server && waited.retry_after_ms > 0, "{waited:?}");
-    let came = dispatcher.acquire(&service, ask()).await.expect_err("no zone is left");
+    let came = dispatcher.acquire(&service, ask()).await.expect_err("all zones are evacuated");
     assert!(came.no_server && came.retry_after_ms > 0, "{came:?}");
     assert!(began.elapsed() < Duration::from_millis(100), "{:?}", began.elapsed());
     running.abort();
@@ -156,11 +158,12 @@
     }
 }
 
-/// A word that comes twice, late or not at all leaves a zone evacuated, or used, against the last one.
+/// Guards against a zone that stays evacuated, or in use, against the last write because events are
+/// duplicated, delayed or lost.
 #[test]
 fn last_write_per_zone_wins_despite_lost_events() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("the runtime starts");
     common::property(300, |u| {
         let (first, second) = (dispatcher(), dispatcher());
         let (relay, follower) = (mirror(&first), mirror(&second));
@@ -181,7 +184,7 @@
                 seen = events.len();
             }
             if u.ratio(1, 3)? {
-                // Late, and of what is known already.
+                // Late events that are known already.
                 let from = u.int_in_range(0..=seen)?;
                 relay.apply(&events[from..seen], seen as u64, Duration::ZERO);
             }
@@ -206,7 +209,7 @@
     });
 }
 
-/// A key that names no zone, or one in which no server lies, must not hide the others.
+/// A key without a valid zone, or with a zone without servers, must not hide the others.
 #[test]
 fn malformed_evacuation_key_does_not_affect_others() {
     let dispatcher = dispatcher();
@@ -242,7 +245,8 @@
     }
 }
 
-/// Requests go on reaching an evacuated zone through instances that the store turns away or that start.
+/// Guards against requests to an evacuated zone from instances that the store rejects or that are
+/// just starting.
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuation_is_applied_everywhere_in_half_the_time_limit() {
     let (mut bed, [in_a, in_b]) = two_zones().await;
--- a/tests/first_copy.rs
+++ b/tests/first_copy.rs
@@ -1,5 +1,5 @@
-//! What an instance goes by that starts when nobody can tell it anything yet. In paused time, on the
-//! stand-in's store.
+//! What a starting instance uses while no peer can send it data. In paused time, on an in-memory
+//! store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use standins::routed::MemoryEvents;
 use standins::routed::MemoryLinks;
 
-/// What is in force: the value of each key.
+/// The mirrored value of each key.
 #[derive(Clone, Debug, Default)]
 struct ValuesSink(Arc<Mutex<BTreeMap<String, String>>>);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// An instance that starts alone; the one that all settings name is not there yet.
+/// Starts a lone instance; the only seed in its settings is not running.
 fn start(store: &MemoryEvents, first_start: bool) -> ValuesSink {
     let text = serde_json::json!({
         "instance": { "name": "a2", "zone": "z" },
@@ -67,9 +67,8 @@
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// All power was lost and is back. Callers come to an instance whose neighbours start half a second
-/// later; it turned them all away until then, though the store is there. Cause: it waited for others
-/// to hand it a copy, to save the price of reading.
+/// Guards against refusing all callers after a power loss although the store is up: an instance
+/// waited for peers, which started half a second later, to save the cost of a read.
 #[tokio::test(start_paused = true)]
 async fn lone_instance_uses_stale_read_at_once() {
     let store = MemoryEvents::default();
@@ -80,8 +79,8 @@
     assert_eq!((store.calls(), store.looks()), (1, 1), "one call at a tenth of the price");
 }
 
-/// The same, and the cheap reading was seconds old: a server had left since, another had come, and a
-/// third had changed. What was read must not stay, although it came first.
+/// Guards against keeping outdated data from the stale read: since then one server had left, one
+/// had changed and one had been added.
 #[tokio::test(start_paused = true)]
 async fn stale_read_is_replaced_by_fresh_snapshot() {
     let store = MemoryEvents::default();
@@ -99,7 +98,7 @@
     assert_eq!(in_force.keys(), now);
 }
 
-/// The store does not answer the cheap reading. The instance must not stop there.
+/// Guards against giving up after the store did not answer the stale read.
 #[tokio::test(start_paused = true)]
 async fn store_is_read_after_failed_stale_read() {
     let store = MemoryEvents::default();
@@ -113,7 +112,8 @@
     assert_eq!(in_force.keys(), pairs(&[("servers/s1", "one")]));
 }
 
-/// At the first start of all there are no callers yet: nothing is read before others had their time.
+/// At the first start of a deployment there are no callers yet, so instances give their peers time
+/// before they read.
 #[tokio::test(start_paused = true)]
 async fn first_start_waits_for_peers_before_reading() {
     let store = MemoryEvents::default();
@@ -125,9 +125,8 @@
     assert_eq!(in_force.keys(), pairs(&[("servers/s1", "one")]));
 }
 
-/// A store to which nothing was written yet. An instance that had read it let others wait for their copy
-/// until their time was over, and each read the store itself. Cause: it told of its copy only once a
-/// revision was above 0.
+/// Guards against treating an empty store as not loaded: the mirror was served only once its
+/// revision was above 0, so each waiting peer timed out and read the store itself.
 #[tokio::test(start_paused = true)]
 async fn mirror_of_empty_store_is_served_at_once() {
     let mirror = Mirror::new(ValuesSink::default());
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -1,5 +1,5 @@
-//! Servers that the store no longer lists: gone at once, but for those whose entries lapsed while
-//! the store was away. In paused time, on the stand-in's store.
+//! Servers that the store no longer lists: removed at once, unless their entries expired in a store
+//! outage. In paused time, on an in-memory store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use standins::routed::Fault;
 use standins::routed::MemoryEvents;
 
-/// Removals with the grace that each was given.
+/// Records removals with the grace given to each.
 #[derive(Clone, Debug, Default)]
 struct Removals(Arc<Mutex<Vec<(String, Duration)>>>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A lone instance that follows the servers of `store`.
+/// Starts a lone instance that follows the servers of `store`.
 fn follow(store: &MemoryEvents) -> Removals {
     let text = r#"{ instance: { name: "a1", zone: "z" } }"#;
     let board = Arc::new(Blackboard::new(parse_settings("t", text).expect("valid"), 1));
@@ -55,8 +55,8 @@
     assert_eq!(*removals.0.lock(), [("servers/s1".to_owned(), Duration::ZERO)]);
 }
 
-/// Every request is refused for two seconds after an outage of the store: all entries had lapsed,
-/// although the servers live.
+/// Guards against refusing every request for two seconds after a store outage: all entries had
+/// expired although the servers were running.
 #[tokio::test(start_paused = true)]
 async fn entry_expired_in_outage_gets_grace_after_store_returns() {
     let store = MemoryEvents::default();
@@ -73,9 +73,8 @@
     assert!((500..=2_400).contains(&told[0].1.as_millis()), "{told:?}");
 }
 
-/// A server that left long ago still gets requests: an instance that was cut off learns of it late,
-/// and takes it for one whose entry lapsed. Seen with site figures on the day
-/// `scale-2 --seed 758175539419`: 3.3 s after the cut had ended.
+/// Guards against requests to a server that left long ago: an instance that was disconnected
+/// learned of the removal 3.3 s after the connection was restored, and mistook it for an expiry.
 #[tokio::test(start_paused = true)]
 async fn grace_is_counted_from_outage_not_from_notification() {
     let store = MemoryEvents::default();
@@ -85,7 +84,7 @@
     store.set_fault(Fault::Silent);
     pass(6_000).await;
     store.set_fault(Fault::None);
-    // The first calls of the time after the outage bring nothing; the removal comes later.
+    // The first calls after the outage return no change; the removal follows later.
     pass(3_000).await;
     store.remove("servers/s1");
     pass(1_000).await;
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -1,4 +1,5 @@
-//! Several instances on one store: configuration in force everywhere, whoever the store serves.
+//! Several instances on one store: changes of the configuration reach all of them, whichever the
+//! store serves.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,9 +10,10 @@
 use standins::routed::RoutedBed;
 use standins::routed::two_routes;
 
-/// The bound of a change, from its acknowledgement by the store.
+/// Time limit for applying a change, from its acknowledgement by the store.
 const APPLY_MAX: Duration = Duration::from_secs(2);
-/// By then no instance reads the store for its start any more, also one that is the last in its turn.
+/// Time after which no instance reads the store for its start any more, not even the last reader in
+/// turn.
 const START_MAX: Duration = Duration::from_secs(1);
 const ZONES: [&str; 6] = ["a", "a", "b", "b", "c", "c"];
 
@@ -21,7 +23,8 @@
     config.to_string()
 }
 
-/// Waits until every instance of `asked` answers a dropped route with 404; returns how long.
+/// Waits until every instance of `asked` answers a removed route with 404; returns how long it
+/// took.
 async fn until_dropped(bed: &RoutedBed, asked: &[usize], since: Instant) -> Duration {
     for at in asked {
         while bed.call(*at, "POST /order/a", "dropped", &[]).await.status != 404 {
@@ -53,8 +56,8 @@
     assert!(called <= 3, "{called} instances called the store");
 }
 
-/// An operator's change is acknowledged, and most instances go on without it: the store turned away
-/// just those instances that watch it, and the others believed them.
+/// Guards against relying on rejected watchers: the store rejects all watchers, and the other
+/// instances trust their outdated data.
 #[tokio::test(flavor = "multi_thread")]
 async fn served_instances_do_not_rely_on_rejected_watchers() {
     for fault in [Fault::Busy, Fault::Silent] {
@@ -69,7 +72,7 @@
     }
 }
 
-/// The same, seen from those that are turned away: they hear it from the others.
+/// Instances that the store rejects learn of a change from the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn rejected_instance_learns_changes_from_peers() {
     let bed = fleet().await;
@@ -81,8 +84,8 @@
     assert!(took < APPLY_MAX, "{took:?}");
 }
 
-/// A shop's order goes by a route that was dropped an hour ago: a late answer with an old version
-/// came after the new one.
+/// Guards against restoring a removed route: a late answer with an old version arrives after a
+/// newer one.
 #[tokio::test(flavor = "multi_thread")]
 async fn config_version_never_regresses() {
     let bed = fleet().await;
@@ -110,14 +113,14 @@
     }
     let since = Instant::now();
     until_dropped(&bed, &[0, 1, 2, 3, 4, 5], since).await;
-    // Servers are followed apart from the configuration, and may be heard of a little later.
+    // Servers are synced separately from the configuration and may arrive later.
     while bed.call(0, "GET /look/a", "served", &[]).await.status != 200 {
-        assert!(since.elapsed() < APPLY_MAX, "the server is not known");
+        assert!(since.elapsed() < APPLY_MAX, "the server is still unknown");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Callers are sent to the homes of their zone, and to another instance once a home is gone.
+/// Callers are directed to the homes of their zone, and to another instance once a home is dead.
 #[tokio::test(flavor = "multi_thread")]
 async fn address_answers_name_homes_and_omit_dead_instances() {
     let mut bed = fleet().await;
@@ -134,9 +137,9 @@
     }
 }
 
-/// A planned restart of a zone's home falls into an outage of the store. The others name it again
-/// as soon as it is back, since its name comes first, and all of the zone's callers are refused: it
-/// waits for the store's word on the routes, which each of its neighbours has.
+/// Guards against refusing all callers of a zone when its home restarts during a store outage: it
+/// ranks first again at once, and waited for the store although each neighbour has the
+/// configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_home_learns_from_peers_during_store_outage() {
     let mut bed = fleet().await;
@@ -150,7 +153,10 @@
     let restarted = bed.hosts.len() - 1;
     let since = Instant::now();
     while bed.call(restarted, "GET /look/a", "after", &[]).await.status != 200 {
-        assert!(since.elapsed() < Duration::from_millis(600), "it still knows nothing");
+        assert!(
+            since.elapsed() < Duration::from_millis(600),
+            "the restarted home still has no configuration"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Which instances the callers of a zone are told of, without network.
+//! Which instances are the homes of a zone; without network.
 
 use std::sync::Arc;
 
@@ -32,7 +32,7 @@
     rows.iter().map(|row| row.name.as_str()).collect()
 }
 
-/// Two large instances and many small ones, as in a fleet that grew.
+/// Two large instances and many small ones.
 fn mixed_fleet() -> Vec<Arc<MemberRow>> {
     let mut rows: Vec<Arc<MemberRow>> =
         (10..40).map(|n| row(&format!("a-{n}"), "a", 60, MemberState::Alive)).collect();
@@ -41,8 +41,8 @@
     rows
 }
 
-/// Counter staff wait while the large instances idle: callers were sent to whichever instance came
-/// first by name, one with a tenth of a core.
+/// Guards against ranking by name: callers were sent to an instance with a tenth of a core while
+/// the large ones were idle.
 #[test]
 fn largest_instances_become_homes_until_demand_is_met() {
     let rows = mixed_fleet();
@@ -55,7 +55,7 @@
     assert_eq!(names(&homes(1_100)), ["a-8", "a-9", "a-10", "a-11"]);
 }
 
-/// A large instance that does not answer must not be named before small ones that do.
+/// A large suspect must not rank before small instances that respond.
 #[test]
 fn suspects_rank_last_and_leaving_instances_are_excluded() {
     let mut rows = mixed_fleet();
@@ -67,8 +67,8 @@
     assert_eq!(names(&homes), ["a-10", "a-11"]);
 }
 
-/// A zone without instances of its own sends its callers to another zone's, never nowhere; and
-/// however rows come in, every instance names the same homes.
+/// A zone without instances borrows homes from other zones, and the choice does not depend on the
+/// order of the rows.
 #[test]
 fn zones_borrow_homes_regardless_of_row_order() {
     common::property(200, |u| {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Five hundred instances in one process, in paused time: what they send each other and the store,
-//! counted. A cost that grows with the square of the fleet shows as a count that is too high.
+//! Counts what five hundred instances in one process, in paused time, send each other and the
+//! store. A cost that grows with the square of the fleet exceeds the limits.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -36,19 +36,20 @@
 use tokio::time::Instant;
 
 const ZONES: usize = 5;
-/// The instances of a zone that are five times as large as the others.
+/// Instances per zone that are five times as large as the others.
 const LARGE_PER_ZONE: usize = 3;
-/// All instances start within this.
+/// All instances start within this time.
 const START_SPREAD_MS: u64 = 300;
-/// Bytes a second of a large link and of a small one: 200 and 20 Mbit/s.
+/// Bytes per second of a large instance's link and of a small one's: 200 and 20 Mbit/s.
 const LINKS: [u64; 2] = [25_000_000, 2_500_000];
-/// Entries of the store: two pages of the stand-in's, as many bytes as 800 backend servers have.
+/// Entries in the store: two pages of the in-memory store, with as many bytes as 800 backend
+/// servers.
 const ENTRIES: usize = 80;
 const ENTRY_BYTES: usize = 2_000;
-/// Entries of a sample.
+/// Entries in a sample.
 const SAMPLED: usize = 2;
 
-/// A store's list that names nobody.
+/// A roster without entries.
 #[derive(Clone, Debug)]
 struct EmptyRoster;
 
@@ -62,10 +63,10 @@
     }
 }
 
-/// Keeps nothing of the copy beside it.
+/// Ignores all changes.
 #[derive(Clone, Copy, Debug)]
 struct SampleSink {
-    /// Whether instances that are no homes are told of a sample, and not of all.
+    /// Whether the sample is smaller than the full list.
     sampled: bool,
 }
 
@@ -82,7 +83,7 @@
 
 type FleetLinks = MemoryLinks<SampleSink>;
 
-/// One instance, running until it is dropped.
+/// An instance that runs until it is dropped.
 struct Instance {
     board: Arc<Blackboard>,
     mirror: Arc<Mirror<SampleSink>>,
@@ -91,7 +92,7 @@
     _tasks: JoinSet<()>,
 }
 
-/// Instances that know only the addresses of three of them.
+/// Instances that initially know only the addresses of three of them.
 struct Fleet {
     net: FleetLinks,
     store: MemoryEvents,
@@ -101,7 +102,7 @@
 }
 
 fn address(at: usize) -> SocketAddr {
-    let at = u16::try_from(at).expect("some thousand");
+    let at = u16::try_from(at).expect("some thousand instances");
     SocketAddr::from(([10, 0, (at >> 8) as u8, (at & 0xff) as u8], 7_000))
 }
 
@@ -131,8 +132,8 @@
 }
 
 impl Fleet {
-    /// Starts so many instances within a moment; the settings of all name the last three, which
-    /// are small.
+    /// Starts `count` instances within [`START_SPREAD_MS`]; the seeds of all are the last three,
+    /// which are small.
     async fn start(count: usize, seed: u64) -> Self {
         Self::start_with(count, seed, SampleSink { sampled: false }).await
     }
@@ -180,7 +181,7 @@
         Instance { board, mirror, links, store, _tasks: tasks }
     }
 
-    /// Waits until something holds on all instances; panics when that takes longer than `within`.
+    /// Waits until a condition holds on all instances; panics if that takes longer than `within`.
     async fn until(
         &self,
         within: Duration,
@@ -197,12 +198,15 @@
                 return began.elapsed();
             }
             let (count, first) = (lack.len(), &lack[..lack.len().min(4)]);
-            assert!(began.elapsed() < within, "{what}: not on {count} after {within:?}: {first:?}");
+            assert!(
+                began.elapsed() < within,
+                "{what}: not on {count} instances after {within:?}: {first:?}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Ends some instances without a word.
+    /// Kills some instances; they do not announce that they leave.
     fn kill(&mut self, which: impl Fn(usize) -> bool) {
         let mut at = 0;
         let net = self.net.clone();
@@ -216,14 +220,14 @@
         });
     }
 
-    /// Calls to the store at the full price: looks whether it still answers cost a tenth.
+    /// Store calls at full price, without the checks whether it still answers, which cost a tenth.
     fn store_calls(&self) -> u64 {
         let stores = self.instances.iter().map(|instance| &instance.store);
         stores.map(|store| store.calls() - store.looks()).sum()
     }
 }
 
-/// What a start came to, per instance.
+/// The cost of a start, per instance; store calls are the total of the fleet.
 #[derive(Debug)]
 struct StartCost {
     messages: u64,
@@ -231,18 +235,19 @@
     store_calls: u64,
 }
 
-/// Starts of a size that are added up: the calls of one hang on who happens to be asked first.
+/// Number of starts of one size whose store calls are added up: those of a single start depend on
+/// which peers happen to be asked first.
 const STARTS: usize = 3;
 
 async fn start_cost(count: usize) -> StartCost {
     let fleet = Fleet::start(count, 1).await;
     fleet
-        .until(Duration::from_secs(4), "all known", |one| {
+        .until(Duration::from_secs(4), "all members known", |one| {
             one.board.members_view().serving() == count
         })
         .await;
     fleet
-        .until(Duration::from_secs(1), "a first copy", |one| one.mirror.revision().is_some())
+        .until(Duration::from_secs(1), "the mirror loaded", |one| one.mirror.revision().is_some())
         .await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (count, net) = (count as u64, &fleet.net);
@@ -253,10 +258,9 @@
     }
 }
 
-/// All power was lost and comes back: five hundred instances start at once and know three addresses.
-/// Callers wait meanwhile, and each instance that gives out slots without knowing of the others
-/// spoils the answers of all. Cause: each instance read the whole store itself, the three were asked
-/// for all members by everybody at once, and each member was told to everybody nine times over.
+/// Guards against a start whose cost per instance grows with the fleet: five hundred instances
+/// start at once and know three seeds. Each used to read the whole store itself, everybody asked
+/// the seeds for all members at once, and each member was gossiped to everybody nine times.
 #[tokio::test(start_paused = true)]
 async fn simultaneous_start_cost_per_instance_does_not_grow_with_fleet() {
     let (mut calls_of_half, mut calls_of_whole) = (0, 0);
@@ -264,7 +268,7 @@
         let (half, whole) = (start_cost(250).await, start_cost(500).await);
         println!("250: {half:?}; 500: {whole:?}");
         assert!(whole.messages < half.messages * 13 / 10, "{half:?}, {whole:?}");
-        // Each instance hears of each other once, and gets one copy.
+        // Each instance hears of each other once and receives the data once.
         assert!(whole.bytes < half.bytes * 2, "{half:?}, {whole:?}");
         assert!(whole.bytes < 250_000, "{whole:?}");
         assert!(whole.store_calls < 500 * 3 / 10, "{whole:?}");
@@ -274,8 +278,8 @@
     assert!(calls_of_whole < calls_of_half * 3 / 2, "{calls_of_half}, {calls_of_whole}");
 }
 
-/// Callers ask any instance which address to use, from the first second on. As long as instances
-/// name different ones, requests go to homes that do not know of each other.
+/// Guards against instances that name different homes after a start: requests would go to homes
+/// that do not know of each other's load.
 #[tokio::test(start_paused = true)]
 async fn instances_agree_on_homes_within_a_second_of_start() {
     let fleet = Fleet::start(500, 2).await;
@@ -290,7 +294,7 @@
     let largest = fleet.instances.iter().filter(large).map(|one| one.board.incarnation);
     let largest: BTreeSet<u64> = largest.collect();
     let took = fleet
-        .until(Duration::from_secs(1), "the same homes", |one| {
+        .until(Duration::from_secs(1), "the same homes named", |one| {
             let homes = homes(one);
             homes.len() == 2 * ZONES && homes.is_subset(&largest)
         })
@@ -298,38 +302,42 @@
     println!("all name the same homes after {took:?}");
 }
 
-/// Half of the fleet is killed at one moment. The other half must not take itself for dead, must
-/// notice within seconds, and must not drown in its own news of it.
+/// Half of the fleet is killed at once. The other half must not consider itself dead, must detect
+/// the loss within seconds, and must not be overloaded by gossip about it.
 #[tokio::test(start_paused = true)]
 async fn loss_of_half_the_fleet_is_detected() {
     let mut fleet = Fleet::start(500, 3).await;
     fleet
-        .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
+        .until(Duration::from_secs(4), "all members known", |one| {
+            one.board.members_view().serving() == 500
+        })
         .await;
     let (messages, bytes) = (fleet.net.messages(), fleet.net.bytes());
     fleet.kill(|at| at % 2 == 0);
     let took = fleet
-        .until(Duration::from_secs(20), "the loss noticed", |one| {
+        .until(Duration::from_secs(20), "the loss detected", |one| {
             one.board.members_view().serving() == 250
         })
         .await;
     let messages = (fleet.net.messages() - messages) / 250;
     let bytes = (fleet.net.bytes() - bytes) / 250;
-    println!("after {took:?}: {messages} messages and {bytes} bytes an instance");
+    println!("after {took:?}: {messages} messages and {bytes} bytes per instance");
     assert!(bytes < 100_000, "{bytes}");
-    // While nobody who reads the store is certain, each asks all who do, four of each zone, some six
-    // times a second.
+    // While no reader is fresh, each instance polls all readers, four per zone, about six times per
+    // second.
     let asked_per_s = 4 * ZONES as u64 * 6 + 20;
     assert!(messages < asked_per_s * (took.as_secs() + 1), "{messages}");
 }
 
-/// A rolling restart of a third of the fleet. Each instance that stops tells that to everybody, twice,
-/// on a connection of its own each time: a thousand for each of 160.
+/// Guards against a leaving instance that notifies everybody, twice, on a new connection each time:
+/// a thousand calls for each of the 160 instances of a rolling restart.
 #[tokio::test(start_paused = true)]
 async fn leaving_instance_notifies_few_peers_and_all_learn() {
     let fleet = Fleet::start(500, 4).await;
     fleet
-        .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
+        .until(Duration::from_secs(4), "all members known", |one| {
+            one.board.members_view().serving() == 500
+        })
         .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let small = |one: &&Instance| one.board.own_capacity_per_s() == 100;
@@ -343,20 +351,23 @@
     assert!(told < 100, "{told} calls");
     let incarnation = leaving.board.incarnation;
     fleet
-        .until(Duration::from_secs(6), "its leaving", |one| {
+        .until(Duration::from_secs(6), "the leaving instance known", |one| {
             let view = one.board.members_view();
             view.row(incarnation).is_some_and(|row| row.state == MemberState::Leaving)
         })
         .await;
 }
 
-/// A request ends three servers at one instance of five hundred, and comes again at any other. All must
-/// refuse it before the bound of four seconds, and the one that found out must not tell each of them.
+/// A request crashes three servers at one of five hundred instances and may be retried at any
+/// other. All must refuse it within four seconds, and the first instance must not notify each of
+/// them.
 #[tokio::test(start_paused = true)]
 async fn conviction_reaches_all_instances() {
     let fleet = Fleet::start(500, 6).await;
     fleet
-        .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
+        .until(Duration::from_secs(4), "all members known", |one| {
+            one.board.members_view().serving() == 500
+        })
         .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let caller = std::net::Ipv4Addr::new(10, 9, 9, 9);
@@ -367,12 +378,12 @@
     let other = Fingerprints::of(caller.into(), "shop.example", "GET", "/look/b", b"");
     for server in 0..3 {
         let quarantine = &first.board.quarantine;
-        quarantine.admit(&guilty, "parts").expect("not convicted yet").record_crash(server);
+        quarantine.admit(&guilty, "parts").expect("not quarantined yet").record_crash(server);
         tokio::time::sleep(Duration::from_millis(5)).await;
-        quarantine.admit(&other, "parts").expect("innocent").record_response();
+        quarantine.admit(&other, "parts").expect("not quarantined").record_response();
     }
     let took = fleet
-        .until(Duration::from_secs(4), "the request refused", |one| {
+        .until(Duration::from_secs(4), "the request quarantined", |one| {
             one.board.quarantine.denial(&guilty).is_some()
         })
         .await;
@@ -381,35 +392,39 @@
     let bytes = (fleet.net.bytes() - bytes) / 500;
     println!("after {took:?}: {calls} calls by the first, {messages} messages, {bytes} bytes each");
     let told_at_once = told_at_once(&first.board).len() as u64;
-    assert!(told_at_once < 100, "{told_at_once} are told at once");
-    // Of each of three crashes once, beside its pings.
+    assert!(told_at_once < 100, "{told_at_once} are notified at once");
+    // Each of three crashes is reported once, in addition to pings.
     let pings = 4 * (took.as_secs() + 1);
-    assert!(calls <= 3 * told_at_once + 2 * pings, "{calls} calls, {told_at_once} told at once");
-    // As in calm, and one exchange with each ping.
+    assert!(
+        calls <= 3 * told_at_once + 2 * pings,
+        "{calls} calls, {told_at_once} notified at once"
+    );
+    // As many as when idle, and one exchange with each ping.
     assert!(messages <= (13 + 4 * 4) * (took.as_secs() + 1), "{messages}");
     assert!(bytes < 5_000 * (took.as_secs() + 1), "{bytes}");
     let digest = first.board.quarantine.digest();
     fleet
-        .until(Duration::from_secs(10), "all know the same", |one| {
+        .until(Duration::from_secs(10), "the same quarantine records", |one| {
             one.board.quarantine.digest() == digest
         })
         .await;
     let messages = fleet.net.messages();
     tokio::time::sleep(Duration::from_secs(5)).await;
     let messages = (fleet.net.messages() - messages) / 500 / 5;
-    assert!(messages <= 13, "told again and again: {messages} messages a second");
+    assert!(messages <= 13, "records are sent repeatedly: {messages} messages per second");
 }
 
-/// Some starts of a fleet cost twice the messages of others. Cause: whoever asked a relay that was not
-/// certain, as one that had no copy yet, asked all readers of the store, heard from one that was, and
-/// began again at once: a loop without a pause. Proved by counting the questions by kind: nearly all
-/// asked for an answer at once. It lasts longest where the store turns a third of the instances away, the
-/// first homes of two zones among them, while backend servers come and go.
+/// Guards against a poll loop without a pause: an instance whose relay was not fresh polled all
+/// readers, found a fresh one, and started over at once, which doubled the messages of some starts.
+/// It lasts longest while backend servers come and go and the store rejects a third of the
+/// instances, including the first homes of two zones.
 #[tokio::test(start_paused = true)]
 async fn partial_store_rejection_does_not_cause_poll_loop() {
     let mut fleet = Fleet::start(500, 7).await;
     fleet
-        .until(Duration::from_secs(4), "all known", |one| one.board.members_view().serving() == 500)
+        .until(Duration::from_secs(4), "all members known", |one| {
+            one.board.members_view().serving() == 500
+        })
         .await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     for at in 0..fleet.instances.len() {
@@ -430,7 +445,7 @@
         fleet.store.put(&format!("servers/i-{change:06}"), "changed");
         let revision = fleet.store.revision();
         let took = fleet
-            .until(Duration::from_secs(3), "the change", |one| {
+            .until(Duration::from_secs(3), "the change applied", |one| {
                 one.mirror.revision().is_some_and(|known| known >= revision)
             })
             .await;
@@ -439,13 +454,13 @@
     let seconds = began.elapsed().as_secs();
     let messages = (fleet.net.messages() - messages) / 500 / seconds;
     let bytes = (fleet.net.bytes() - bytes) / 500 / seconds;
-    println!("each second: {messages} messages, {bytes} bytes an instance");
-    // Twice what a calm second costs, and the network that control may use.
+    println!("per instance and second: {messages} messages, {bytes} bytes");
+    // Twice the messages of an idle second, and the bandwidth limit for control traffic.
     assert!(messages <= 2 * 13, "{messages}");
     assert!(bytes < 5_000, "{bytes}");
 }
 
-/// In calm, nothing is sent but pings of a few bytes, and the store is asked by a few only.
+/// When idle, instances send only small pings and held requests, and few call the store.
 #[tokio::test(start_paused = true)]
 async fn idle_fleet_sends_few_messages() {
     let fleet = Fleet::start(500, 5).await;
@@ -455,18 +470,18 @@
     let messages = (fleet.net.messages() - messages) / 500 / 10;
     let bytes = (fleet.net.bytes() - bytes) / 500 / 10;
     let calls = fleet.store_calls() - calls;
-    println!("each second: {messages} messages, {bytes} bytes an instance; {calls} calls in all");
-    // Four pings and two questions that are held, with their answers.
+    println!("per instance and second: {messages} messages, {bytes} bytes; {calls} calls in all");
+    // Four pings and two held requests, with their answers.
     assert!(messages <= 13, "{messages}");
     assert!(bytes < 2_000, "{bytes}");
     assert!(calls <= 5 * (10 / 4 + 1), "{calls}");
 }
 
-/// The copy of the servers, and what its changes cost, in a fleet of so many instances.
+/// Who holds the full server list in a fleet of a given size, and what its changes cost.
 #[derive(Debug)]
 struct HolderCost {
     holders: usize,
-    /// While a server changes each 50 ms, an instance and second.
+    /// Bytes per instance and second while a server changes every 50 ms.
     bytes_per_s: u64,
     store_calls: u64,
 }
@@ -486,8 +501,8 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let known = fleet.instances.iter().filter_map(|one| one.mirror.revision());
     let known: Vec<u64> = known.collect();
-    assert_eq!(known.len(), count, "{count}: somebody knows no server at all");
-    assert!(known.iter().all(|known| *known >= revision), "{count}: somebody missed a change");
+    assert_eq!(known.len(), count, "{count}: an instance knows no server");
+    assert!(known.iter().all(|known| *known >= revision), "{count}: an instance missed a change");
     HolderCost {
         holders: fleet.instances.iter().filter(|one| one.mirror.is_full()).count(),
         bytes_per_s: (fleet.net.bytes() - bytes) / count as u64 / seconds,
@@ -495,15 +510,15 @@
     }
 }
 
-/// Guards against memory, bytes and work for thousands of servers on each of a thousand instances, of which
-/// forty choose among them.
+/// Guards against holding thousands of servers on each of a thousand instances, of which forty
+/// choose among them.
 #[tokio::test(start_paused = true)]
 async fn server_list_holder_count_does_not_grow_with_fleet() {
     let mut all = Vec::new();
     for count in [250, 500, 1_000] {
         let held = holder_cost(count).await;
         println!("{count} instances: {held:?}");
-        // One home and four that stand by, in each zone.
+        // One home and four standbys in each zone.
         assert_eq!(held.holders, 5 * ZONES, "{count} instances");
         all.push(held);
     }
--- a/tests/mirror_schedules.rs
+++ b/tests/mirror_schedules.rs
@@ -1,4 +1,4 @@
-//! Copies of the store under random schedules of events, reads and relays, against a plain map.
+//! Mirrors under random schedules of events, reads and relay answers, compared with a plain map.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,8 @@
 
 mod common;
 
-/// What the sink was told, as a map, and whether it was ever told something older.
+/// Records the mirrored keys with their revisions, and whether an older change ever followed a
+/// newer one.
 #[derive(Clone, Debug, Default)]
 struct RecordingSink {
     values: Arc<Mutex<BTreeMap<String, u64>>>,
@@ -33,7 +34,7 @@
     }
 }
 
-/// The store: all events in order, and the items after each of them.
+/// The store: all events in order.
 #[derive(Debug, Default)]
 struct Store {
     events: Vec<ItemEvent>,
@@ -52,8 +53,8 @@
     }
 }
 
-/// A route or server comes back from the dead: an old read or a relay's answer arrives after newer
-/// events, and overwrites them.
+/// Guards against restoring a removed route or server: an old read or a relay's late answer arrives
+/// after newer events.
 #[test]
 fn mirror_never_regresses_and_converges_to_store() {
     common::property(400, |u| {
@@ -74,14 +75,14 @@
                     });
                 }
                 3 => {
-                    // Events after what the copy has, up to some point, told late or twice.
+                    // Events from a revision that the mirror has reached, delivered late or twice.
                     let from = u.int_in_range(0..=mirror.revision().unwrap_or(0))?;
                     let upto = u.int_in_range(from..=store.events.len() as u64)?;
                     let part = &store.events[event_index(from)..event_index(upto)];
                     mirror.apply(part, upto, Duration::ZERO);
                 }
                 4 => {
-                    // A read that is as old as anything; pages read later hold newer items.
+                    // A read of any age.
                     let read_at = u.int_in_range(0..=store.events.len())?;
                     let items: Vec<Item> = store.items(read_at).into_values().collect();
                     relay.replace(&items, read_at as u64, Duration::ZERO);
@@ -100,15 +101,15 @@
     });
 }
 
-/// The place of the event after a revision.
+/// Index of the event after a revision.
 fn event_index(revision: u64) -> usize {
-    usize::try_from(revision).expect("a few events")
+    usize::try_from(revision).expect("revisions fit in usize")
 }
 
-/// Takes in what a relay answers to an instance that knows what `mirror` knows.
+/// Applies a relay's reply for the revision that `mirror` has reached.
 fn sync_from_relay(relay: &Mirror<RecordingSink>, mirror: &Mirror<RecordingSink>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
-    let runtime = runtime.expect("a runtime");
+    let runtime = runtime.expect("the runtime starts");
     let reply = runtime.block_on(relay.serve(mirror.revision(), Duration::ZERO)).reply;
     match reply {
         FeedReply::Events { events, revision } => mirror.apply(&events, revision, Duration::ZERO),
--- a/tests/parsed_config.rs
+++ b/tests/parsed_config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, read part by part: what cannot be read costs only itself.
+//! Parsing of the operators' configuration: an invalid part affects only itself.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 
 const HOST: &str = "shop.example";
 
-/// The two routes with one change to the document.
+/// A document with two routes and one change to it.
 fn changed(version: u64, change: impl FnOnce(&mut serde_json::Value)) -> Vec<u8> {
     let mut document = serde_json::from_str(&two_routes(version)).expect("JSON");
     change(&mut document);
@@ -22,23 +22,25 @@
 }
 
 fn read(text: &[u8], before: Option<&RouteTable>) -> ParsedConfig {
-    RouteTable::parse(text, before).expect("the document can be read")
+    RouteTable::parse(text, before).expect("the document is valid")
 }
 
 fn codes(faults: &[ConfigFault]) -> Vec<(Code, bool)> {
     faults.iter().map(|fault| (fault.code, fault.kept)).collect()
 }
 
-/// All callers of a deployment were refused: one route was of a kind that the instances did not
-/// know, and none of the others came in force for it.
+/// Guards against rejecting the whole configuration because of one route of an unknown kind: all
+/// callers of a deployment were refused.
 #[test]
 fn unknown_route_kind_keeps_route_without_repeats() {
     let text = changed(1, |document| document["routes"][0]["kind"] = "streamed".into());
     let ParsedConfig { table, faults } = read(&text, None);
-    let look = table.find_route(HOST, "/look/a").expect("the route is there");
+    let look = table.find_route(HOST, "/look/a").expect("the route exists");
     assert_eq!((look.kind, look.idempotent()), (RouteKind::Unknown, false));
     assert!(look.has_target());
-    assert!(table.find_route(HOST, "/order/a").expect("the other holds").has_target());
+    assert!(
+        table.find_route(HOST, "/order/a").expect("the other route is unaffected").has_target()
+    );
     assert_eq!(codes(&faults), [(Code::RouteKindUnknown, false)]);
 }
 
@@ -46,13 +48,13 @@
 fn download_kind_is_repeatable() {
     let text = changed(1, |document| document["routes"][0]["kind"] = "download".into());
     let ParsedConfig { table, faults } = read(&text, None);
-    let look = table.find_route(HOST, "/look/a").expect("a route");
+    let look = table.find_route(HOST, "/look/a").expect("the route exists");
     assert_eq!((look.kind, look.idempotent()), (RouteKind::Download, true));
     assert!(faults.is_empty(), "{faults:?}");
 }
 
-/// An operator's tool writes a timeout as a text. Callers of that route are served as before; those
-/// of all others see the new version.
+/// A tool writes a timeout as a string: that route keeps its previous version, all others get the
+/// new one.
 #[test]
 fn unreadable_route_keeps_previous_version() {
     let before = read(two_routes(1).as_bytes(), None).table;
@@ -68,15 +70,18 @@
     assert!(faults[0].why.contains("timeout_ms") || faults[0].why.contains("soon"), "{faults:?}");
 }
 
-/// A route that is new and cannot be read: a final "no such route" would end requests for good that
-/// the next version serves.
+/// Guards against a final "no such route" answer for a new route that cannot be parsed: the next
+/// version may serve it.
 #[test]
 fn unreadable_new_route_refuses_requests() {
     let text = changed(1, |document| document["routes"][0]["timeout_ms"] = "soon".into());
     let ParsedConfig { table, faults } = read(&text, None);
-    let look = table.find_route(HOST, "/look/a").expect("it is known that there is one");
+    let look =
+        table.find_route(HOST, "/look/a").expect("the route is known although it is unreadable");
     assert!(!look.has_target() && !look.idempotent());
-    assert!(table.find_route(HOST, "/order/a").expect("the other holds").has_target());
+    assert!(
+        table.find_route(HOST, "/order/a").expect("the other route is unaffected").has_target()
+    );
     assert_eq!(codes(&faults), [(Code::RouteUnreadable, false)]);
 }
 
@@ -94,7 +99,8 @@
     assert_eq!(codes(&faults), [(Code::ServiceUnreadable, true), (Code::LimitsUnreadable, true)]);
 }
 
-/// Any part replaced by anything: the document is read, and the other route is as it was written.
+/// One part is replaced by an arbitrary value: the document is parsed, and the other route is
+/// unchanged.
 #[test]
 fn unreadable_part_does_not_affect_others() {
     let whole = read(two_routes(1).as_bytes(), None).table;
--- a/tests/relay_schedules.rs
+++ b/tests/relay_schedules.rs
@@ -1,6 +1,6 @@
-//! Changes of the configuration under random losses: instances that are frozen, cut off from the
-//! others, slow to answer, or turned away by the store, in every role. In paused time, against
-//! followers that ask one instance after the other.
+//! Configuration changes under random failures of instances in any role: frozen, disconnected,
+//! slow, or rejected by the store. In paused time, compared with followers that poll their peers
+//! sequentially.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,35 +27,35 @@
 use standins::routed::peer_address;
 use tokio::time::Instant;
 
-/// The bound of a change, from its acknowledgement by the store.
+/// Time limit for applying a change, from its acknowledgement by the store.
 const BOUND: Duration = Duration::from_secs(2);
-/// Played in CI; `SORRELWICK_SCHEDULES` gives another number.
+/// Number of schedules in CI; `SORRELWICK_SCHEDULES` overrides it.
 const DEFAULT_SEEDS: u64 = 60;
-/// A schedule of the large fleet takes as long as so many of the others.
+/// A schedule of the large fleet takes as long as this many schedules of the small one.
 const LARGE_SEED_COST: u64 = 15;
-/// Time before the change, so that all instances have settled.
+/// Time before the change, in which all instances settle.
 const SETTLE: Duration = Duration::from_millis(1_500);
-/// Losses begin up to this long before the change.
+/// Failures begin at most this long before the change.
 const LOSS_LEAD_MS: u64 = 1_400;
 
-/// How the instances learn.
+/// How the instances sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Strategy {
     Follower,
-    /// One other after the other, each with its own timeout, and the store at last.
+    /// Polls one peer after the other, each with its own timeout, and the store last.
     Sequential,
 }
 
-/// What became of one change.
+/// The result of one change.
 struct Outcome {
-    /// Of the instances without a loss: how long each went on without the change.
+    /// Delay until the change was applied, for each instance without a failure.
     took: Vec<Duration>,
-    /// Calls to the store from the change on.
+    /// Number of store calls after the change.
     calls: u64,
 }
 
-/// A follower that asks its relays one after the other, and the store when none of them is certain:
-/// the watching instances, then two neighbours, and all of them again after a pause by its place.
+/// A follower that polls the watchers and two neighbours sequentially, polls them again after a
+/// pause that depends on its index, and calls the store if none of them is fresh.
 async fn run_sequential_follower(
     size: FleetSize,
     at: usize,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Asks each with its own timeout until one is certain; only the first holds the question.
+/// Polls the relays sequentially until one is fresh; only the first one holds the request.
 async fn poll_sequentially(
     relays: &[usize],
     mirror: &Mirror<Seen>,
@@ -116,7 +116,7 @@
     false
 }
 
-/// One change, while some instances fail.
+/// Runs one change while some instances fail.
 async fn run_schedule(seed: u64, size: FleetSize, way: Strategy) -> Outcome {
     let mut random = Pcg64::seed_from_u64(seed);
     let store = MemoryEvents::default();
@@ -159,8 +159,8 @@
     given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEEDS)
 }
 
-/// An operator's change is acknowledged, and an instance that nothing is wrong with goes on by the
-/// version before: those from whom it learns are frozen, slow or turned away, one after the other.
+/// Guards against healthy instances that keep the previous configuration because their relays are
+/// frozen, slow or rejected by the store, one after the other.
 #[tokio::test(start_paused = true)]
 async fn change_reaches_healthy_instances_in_time_under_any_loss() {
     let mut naive_breaks = 0;
@@ -173,27 +173,28 @@
         let naive = run_schedule(seed, FleetSize::SMALL, Strategy::Sequential).await;
         naive_breaks += u32::from(naive.took.iter().any(|took| *took >= BOUND));
     }
-    println!("slowest {slowest:?}; one by one {naive_breaks} schedules break the bound");
-    assert!(naive_breaks > 0, "the schedules are too mild to tell anything");
+    println!("slowest {slowest:?}; sequential followers are too slow in {naive_breaks} schedules");
+    assert!(naive_breaks > 0, "the schedules are too mild: sequential followers pass them too");
 }
 
-/// The same with five hundred instances in five zones. What a change may cost must not grow with them:
-/// whoever fails, only those that read the store call it, and each of the others asks a few.
+/// The same with five hundred instances in five zones. The cost of a change must not grow with
+/// them: whoever fails, only readers call the store, and each other instance asks a few peers.
 #[tokio::test(start_paused = true)]
 async fn change_reaches_five_hundred_instances_in_time() {
     for seed in 0..seeds() / LARGE_SEED_COST {
         let Outcome { took, calls } =
             run_schedule(seed, FleetSize::LARGE, Strategy::Follower).await;
         let longest = took.iter().max().copied().unwrap_or_default();
-        println!("seed {seed}: {longest:?}, {calls} calls, {} whole", took.len());
+        println!(
+            "seed {seed}: {longest:?}, {calls} calls, {} instances without a failure",
+            took.len()
+        );
         assert!(longest < BOUND, "seed {seed}: {longest:?}");
     }
 }
 
-/// The store does not answer for some seconds, and an operator changes the configuration soon after
-/// its return. All instances go on by the version before for seconds: their watches, sent or waiting
-/// in the outage, wait for answers on connections that are dead. Seen as `CONFIG` on the second
-/// site's day `pairs_that_share_a_mechanism --vary --seed 53884187977`.
+/// Guards against watches that hang on dead connections: the store does not answer for some
+/// seconds, and instances miss a change that is made soon after its return.
 #[tokio::test(start_paused = true)]
 async fn change_after_store_hang_is_applied_in_time() {
     for silent_ms in [700, 1_500, 2_500, 4_500, 6_000] {
@@ -218,16 +219,15 @@
     }
 }
 
-/// The instance that watches for its zone loses its watch, and at the same moment another instance
-/// starts that takes its place. It waits for an answer that does not come, and nobody asks it about
-/// what it missed any more. Seen as `CONFIG` on the second site's day `hunt-67e7-19`.
+/// Guards against a replaced watcher that waits for the answer to a lost watch: another instance
+/// starts and takes its place at the same moment, so peers no longer ask it for what it missed.
 #[tokio::test(start_paused = true)]
 async fn replaced_watcher_learns_from_its_successor() {
     let store = MemoryEvents::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
     tokio::time::sleep(SETTLE).await;
-    // The last instance of its zone, under a name that comes first, is the one that took over.
+    // The new watcher is the last instance of its zone, renamed so that it ranks first.
     let newcomer = MemberRow {
         incarnation: 1_000,
         name: "a".into(),
@@ -247,8 +247,8 @@
     assert_eq!(seen, Some(store.revision()));
 }
 
-/// The store is away for eight seconds. Every instance goes on calling it once a second for each
-/// part that it follows, which brings nothing and is paid for.
+/// Guards against the cost of an outage: every instance calling the store once per second for each
+/// prefix, for eight seconds.
 #[tokio::test(start_paused = true)]
 async fn only_readers_call_store_during_outage() {
     let store = MemoryEvents::default();
@@ -264,7 +264,7 @@
         let calls = view.calls() - before[at];
         assert!(calls <= 3, "instance {at}: {calls} calls");
     }
-    // Back again, all learn of the next change.
+    // After the outage, all instances apply the next change.
     for view in &fleet.views {
         view.set_fault(Fault::None);
     }
@@ -274,7 +274,7 @@
     assert_eq!(fleet.sinks.iter().filter(learned).count(), FleetSize::SMALL.instances);
 }
 
-/// Each instance goes on paying for calls that an outage of the store leaves unanswered.
+/// Guards against paying for calls that stay unanswered in a store outage.
 #[tokio::test(start_paused = true)]
 async fn outage_costs_at_most_two_paid_calls_per_instance() {
     let store = MemoryEvents::default();
@@ -288,18 +288,19 @@
     }
     tokio::time::sleep(BOUND * 4).await;
     for (at, view) in fleet.views.iter().enumerate() {
-        // The one that failed first, and that of the instance that stands in.
+        // The call that failed first, and one of a reader that stands in.
         let calls = paid(view) - before[at];
         assert!(calls <= 2, "instance {at}: {calls} calls");
     }
 }
 
-/// Zones evacuated, taken back and evacuated again at once: some of 500 instances keep an older word.
+/// Guards against instances that keep an older state when zones are evacuated, readmitted and
+/// evacuated again in quick succession.
 #[tokio::test(start_paused = true)]
 async fn evacuations_reach_five_hundred_instances_in_half_the_time_limit() {
     const HALF: Duration = Duration::from_millis(2_500);
-    /// Two calls of each zone's first home for each change, as docs/CAPACITY.md allows: the one that brings it
-    /// and the next watch.
+    /// Two calls of each zone's first home for each change, the limit set in docs/CAPACITY.md: the
+    /// watch that brings the change, and the next watch.
     const CALLS_A_ZONE: u64 = 2 * 6;
     let store = MemoryEvents::default();
     store.put("config", "1");
@@ -321,7 +322,7 @@
     assert!(calls <= CALLS_A_ZONE * FleetSize::LARGE.zones as u64, "{calls} calls");
 }
 
-/// Without a loss, a change costs a few calls, however many instances there are.
+/// Without failures, a change costs a few calls, however many instances there are.
 #[tokio::test(start_paused = true)]
 async fn change_without_loss_costs_only_watcher_calls() {
     let no_loss = |seed: &u64| {
@@ -329,9 +330,9 @@
             .iter()
             .all(|loss| *loss == Loss::None)
     };
-    let seed = (0..10_000).find(no_loss).expect("one of these draws no loss");
+    let seed = (0..10_000).find(no_loss).expect("one of these seeds draws no loss");
     let outcome = run_schedule(seed, FleetSize::SMALL, Strategy::Follower).await;
-    // Three watch, look whether the store still serves them every 0.4 s, and watch anew.
+    // Three watchers check every 0.4 s whether the store still serves them, and start new watches.
     assert!(outcome.calls <= 3 * (10 + 4), "{} calls", outcome.calls);
     assert!(outcome.took.iter().all(|took| *took < Duration::from_millis(700)));
 }
--- a/tests/relay_size.rs
+++ b/tests/relay_size.rs
@@ -1,4 +1,4 @@
-//! What instances send each other to pass a change on, in bytes.
+//! Bytes that instances send each other to pass on a change.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use sorrelwick::store::Item;
 use sorrelwick::store::ItemEvent;
 
-/// A change each 5.8 s (15,000 a day) within 5 KB a second for control.
+/// A change every 5.8 s (15,000 per day) at 5 KB per second for control traffic.
 const CHANGE_MAX_BYTES: usize = 29_000;
 const ROUTES: usize = 1_944;
 
@@ -37,10 +37,10 @@
     Item { key: "config".into(), value: value.into_bytes(), revision: version }
 }
 
-/// Shops are served by a route that was dropped five seconds before: the configuration had grown to
-/// two thousand routes, and each change of it travels whole from a home to some fifty neighbours,
-/// half a megabyte each, over links of 10 Mbit/s. Calls between instances give up after 0.8 s, so
-/// that many of them began again and again.
+/// Guards against slow transfers of a large configuration. With two thousand routes, each change is
+/// sent whole from a home to some fifty neighbours: half a megabyte each over 10 Mbit/s links,
+/// while calls between instances time out after 0.8 s. Many transfers started over again and again,
+/// and requests used a route that had been removed five seconds before.
 #[tokio::test]
 async fn large_config_change_is_sent_in_few_bytes() {
     let mirror = Mirror::new(NoSink);
@@ -54,9 +54,9 @@
 }
 
 const SERVERS: usize = 800;
-/// Changes that come at once when the servers of a zone are replaced.
+/// Changes that arrive at once when the servers of a zone are replaced.
 const CHANGES: usize = 500;
-/// Runs of which the shortest counts, which other work on the machine disturbs least.
+/// Number of runs; the shortest counts, as it is least disturbed by other load on the machine.
 const RUNS: u64 = 10;
 
 fn server(number: usize, revision: u64) -> Item {
@@ -68,7 +68,7 @@
     Item { key, value: value.to_string().into_bytes(), revision }
 }
 
-/// How long a home takes to take in `CHANGES` and to tell so many others of them.
+/// Time that a home takes to apply `CHANGES` and to serve them to `others` peers.
 async fn time_to_serve(others: usize) -> Duration {
     let mirror = Mirror::new(NoSink);
     let servers: Vec<Item> = (0..SERVERS).map(|number| server(number, 1)).collect();
@@ -90,16 +90,15 @@
     shortest
 }
 
-/// An instance of a large fleet goes by a configuration that is four seconds old. One after the other the
-/// homes of all zones were taken for dead although none was, while hundreds of servers were replaced: one
-/// instance of 472 believed so of 12 of the 15 homes within 2 s, and then of 16 that had taken over. Each
-/// home has the same hundreds of changes to tell some ninety others, and writes and compresses them anew for
-/// each. That their processors are what held up their answers to pings is not shown yet; what a change costs
-/// them is.
+/// Guards against encoding and compressing the same reply once per peer. While hundreds of servers
+/// were replaced, each home had the same changes to send to some ninety peers. One instance of 472
+/// declared 12 of 15 homes dead within 2 s, then 16 that had taken over, although none was, and
+/// used a configuration four seconds old. Whether the busy CPUs delayed the answers to pings is not
+/// proved; the encoding cost per change is.
 #[tokio::test]
 async fn reply_is_encoded_once_for_a_hundred_peers() {
     let (one, hundred) = (time_to_serve(1).await, time_to_serve(100).await);
     println!("{one:?} for one, {hundred:?} for a hundred");
-    // A copy of some kilobytes for each is left; a tenth of the work for each is not.
+    // Copying some kilobytes per peer remains; a tenth of the encoding work per peer must not.
     assert!(hundred < one * 10, "{one:?} for one, {hundred:?} for a hundred");
 }
