--- a/src/measure/grants.rs
+++ b/src/measure/grants.rs
@@ -1,4 +1,4 @@
-//! Grants of the own tokens to the homes that can use them.
+//! Grants the tokens of this instance to the homes that can use them.
 
 use super::Shard;
 use super::TokenBuckets;
@@ -7,8 +7,8 @@
 use crate::clock::now_ms;
 use crate::peer::GrantRequest;
 
-/// Tokens granted for each service asked. None while the shard may end before the grant does:
-/// its next holder would spend the same tokens.
+/// The number of tokens granted for each requested service. It is 0 while the shard's lease may
+/// end before the grant does, because the next holder of the shard would spend the same tokens.
 #[must_use]
 pub fn grant_tokens(
     board: &Blackboard,
--- a/src/measure/mod.rs
+++ b/src/measure/mod.rs
@@ -1,4 +1,5 @@
-//! Measuring within the operators' budgets: shards, shares and probes.
+//! Probes of backend servers, within the measuring budget of each service. The budgets are divided
+//! among the instances by shards.
 
 mod grants;
 mod prober;
--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -1,4 +1,4 @@
-//! Probes of the backend servers that this instance keeps, where they change a decision.
+//! Probes the backend servers that this instance keeps, where the result can change a decision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,10 +33,11 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
 const ANSWER_MAX_BYTES: usize = 64 << 10;
-/// What an answer told within this time needs no probe.
+/// A server whose last report is not older than this needs no probe.
 const FRESH_AGE_MAX_US: u64 = 1_000_000;
 
-/// The server whose state is least known: one that may be back comes first, then the stalest.
+/// The server that most needs a probe: first one that announced that it is leaving and may be
+/// back, then the one with the oldest report.
 fn choose_server_to_probe(state: &ServiceState) -> Option<(String, Arc<crate::route::Upstream>)> {
     let servers = state.runtime.slot_queue.declared_servers();
     let kept_servers = servers.into_iter().filter(|server| server.is_keeper);
@@ -47,6 +48,7 @@
     Some((best.upstream.id.clone(), best.upstream))
 }
 
+/// Returns the status of the health answer, and whether the server announced that it is leaving.
 async fn call_health_path(
     path: &str,
     upstream: &Arc<crate::route::Upstream>,
@@ -65,7 +67,8 @@
     Some((status, leaving))
 }
 
-/// Health answers mislead, so one may close a server, and open only one that closed itself.
+/// Probes a server. Health answers can be misleading, so one may close a server but may reopen
+/// only a server that was closed by its own announcement.
 async fn probe(
     router: &Router,
     state: &ServiceState,
@@ -95,7 +98,7 @@
     let Some((id, upstream)) = choose_server_to_probe(&state) else {
         return;
     };
-    // Tokens of the own shard end with its lease; those of others with their grants.
+    // The tokens of this instance's shard end with its lease, those of others with their grants.
     if shard.current(now_ms()).is_none() {
         buckets.drop_own(service, router.board.incarnation);
     }
@@ -119,7 +122,7 @@
     }
 }
 
-/// Asks another instance for its tokens of the services that this one is a home of.
+/// Requests the tokens of another instance for the services that this one is a home of.
 async fn request_grant(
     router: &Router,
     services: &[String],
@@ -161,7 +164,7 @@
     }
 }
 
-/// Collects grants for the services this instance is a home of.
+/// Requests grants from all other instances, for the services that this one is a home of.
 async fn run_grant_requests(router: Router, buckets: TokenBuckets) {
     let grant_ms = router.board.settings.measuring.grant_ms;
     loop {
@@ -170,7 +173,7 @@
     }
 }
 
-/// Spends the tokens of this instance on the servers that it keeps.
+/// Probes the servers that this instance keeps, as often as its tokens allow.
 pub async fn run_prober(router: Router, buckets: TokenBuckets, shard: Shard) {
     tokio::spawn(run_grant_requests(router.clone(), buckets.clone()));
     loop {
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -1,7 +1,8 @@
-//! The platform's list of backend servers: it lags, but any word that one leaves suffices.
+//! Polls the platform's list of backend servers and closes those that it lists as leaving. The
+//! list lags, but a single source that reports a server as leaving is enough to close it.
 //!
-//! Only the instances that watch the store ask for the list, so that the platform's reads do not
-//! grow with the fleet; they tell the others of their zone.
+//! Only the instances that watch the store poll the list, so that the reads of the platform do
+//! not grow with the fleet; they send it to the other instances of their zone.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,10 +20,10 @@
 
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// Unchanged lists are told again after this many turns, for those that missed them.
+/// An unchanged list is sent again after this many polls, for the instances that missed it.
 const RESEND_POLLS: u32 = 5;
 
-/// Asks for the list and tells it on; a list that cannot be had changes nothing.
+/// Polls the list, applies it and sends it on. A failed poll changes nothing.
 pub async fn run_roster<R: Roster>(board: Arc<Blackboard>, roster: R, links: Links) {
     let mut sent: Option<BTreeSet<SocketAddr>> = None;
     let mut polls = 0;
@@ -61,7 +62,7 @@
     }
 }
 
-/// Marks the servers listed as leaving, and unmarks those that are not any more.
+/// Closes the servers listed as leaving, and reopens those that no longer are.
 pub fn apply_platform_list(board: &Blackboard, leaving: &BTreeSet<SocketAddr>) {
     for (name, state) in board.services().iter() {
         for server in &state.spec.backend_servers {
@@ -77,7 +78,8 @@
             board.note(if leaves {
                 EventKind::ServerLeaving { service, server: id }
             } else {
-                // The list saw it leave and come back, which outweighs its own older word.
+                // The platform saw the server leave and return, which overrides the server's own
+                // older announcement.
                 let _ = state.runtime.slot_queue.set_closed(
                     &server.id,
                     CloseReason::SelfReported,
--- a/src/measure/shard.rs
+++ b/src/measure/shard.rs
@@ -1,9 +1,10 @@
-//! The shard of an instance: by it budgets are divided, so that no two spend the same share.
+//! The shard that an instance holds. It decides which part of each measuring budget the instance
+//! may spend, so that no two instances spend the same part.
 //!
-//! Each shard is a key in the platform's store that one lease holds. The holder stops using it
-//! by its own monotonic clock, counted from before it asked for the renewal, and so before the
-//! store may give it to another: whatever instances believe of one another, shares stay apart.
-//! With the store down shards run out, and only measuring stops.
+//! Each shard is a key in the platform's store, held under a lease. The holder stops using it by
+//! its own monotonic clock, counted from before it requested the renewal, and so before the store
+//! can give it to another instance: the parts never overlap, whatever instances believe about each
+//! other. While the store is down the leases expire, and only measuring stops.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,43 +19,45 @@
 use crate::store::Lease;
 use crate::store::Store;
 
-const SHARDS_PREFIX: &str = "sorrelwick/shards";
-/// Shards tried in one turn before the next pause.
+const ROOT: &str = "sorrelwick/shards";
+/// Shards tried in a row before the next pause.
 const ACQUIRE_ATTEMPTS_MAX: u32 = 4;
+/// Pause before the next try to get a shard; it doubles, up to the TTL, while none is free.
 const RETRY_PAUSE_MIN_MS: u64 = 300;
-/// The lease is renewed after this part of its time.
+/// The lease is renewed after the TTL divided by this.
 const RENEW_DIVISOR: u64 = 3;
-/// Kept back from the end of the lease for clocks that run at slightly different rates.
+/// The TTL divided by this is cut off the end of a lease, because the clocks of the store and of
+/// this process run at slightly different rates.
 const CLOCK_MARGIN_DIVISOR: u64 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HeldShard {
     shard: u32,
-    /// On our clock; before the store may let go of the lease.
+    /// On this process's clock; earlier than the store can end the lease.
     valid_until_ms: u64,
 }
 
-/// The shard that this instance holds, if any; clones share.
+/// The shard that this instance holds, if any. Clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct Shard {
     held: Arc<Mutex<Option<HeldShard>>>,
 }
 
 impl Shard {
-    /// The shard, while its lease surely stands.
+    /// The shard, while its lease is certain to be valid.
     #[must_use]
     pub fn current(&self, now_ms: u64) -> Option<u32> {
         let held = *self.held.lock();
         held.filter(|held| now_ms < held.valid_until_ms).map(|held| held.shard)
     }
 
-    /// How long the lease surely stands.
+    /// Until when the lease is certain to be valid; 0 without a shard.
     #[must_use]
     pub fn valid_until_ms(&self) -> u64 {
         self.held.lock().map_or(0, |held| held.valid_until_ms)
     }
 
-    /// Takes note of a shard held until `until_ms`.
+    /// Records that `shard` may be used until `until_ms`.
     pub fn hold(&self, shard: u32, valid_until_ms: u64) {
         *self.held.lock() = Some(HeldShard { shard, valid_until_ms });
     }
@@ -68,7 +71,7 @@
     ttl_ms - ttl_ms / CLOCK_MARGIN_DIVISOR
 }
 
-/// Takes a free shard; `None` when none was free among those tried.
+/// Acquires a free shard; `None` if none of those tried was free, or the store failed.
 async fn acquire_shard<S: Store>(
     board: &Blackboard,
     store: &S,
@@ -84,7 +87,7 @@
     let value = format!("{:016x}", board.incarnation);
     for turn in 0..ACQUIRE_ATTEMPTS_MAX.min(shards) {
         let number = (first + turn) % shards;
-        let path = format!("{SHARDS_PREFIX}/{number}");
+        let path = format!("{ROOT}/{number}");
         let taken = store.acquire(&path, value.as_bytes(), &lease).await;
         board.note_store(taken.as_ref().err().map(ToString::to_string));
         match taken {
@@ -94,7 +97,7 @@
                 return Some(lease);
             }
             Ok(false) => {}
-            // It may have taken effect: the lease is closed, and the shard is free again.
+            // The call may have taken effect: closing the lease frees the shard again.
             Err(_) => break,
         }
     }
@@ -102,7 +105,7 @@
     None
 }
 
-/// Renews until the lease is lost.
+/// Renews the lease until it is lost.
 async fn renew_until_lost<S: Store>(
     board: &Blackboard,
     store: &S,
@@ -119,16 +122,16 @@
         match (renewed, number) {
             (Ok(true), Some(number)) => shard.hold(number, requested_ms + usable_ms(ttl_ms)),
             (Err(_), Some(_)) => {}
-            // Lapsed by the store's word, or by our clock.
+            // The lease has expired, by the answer of the store or by this process's clock.
             _ => return,
         }
     }
 }
 
-/// Holds a shard as long as the store lets it.
+/// Acquires a shard, holds it while its lease can be renewed, and then starts again.
 ///
-/// A process that stops leaves its lease to lapse: closed, the shard would be free while tokens
-/// that came with it are still granted to others.
+/// A process that stops does not close its lease but lets it expire: otherwise the shard would be
+/// free while its tokens are still granted to others.
 pub async fn run_shard<S: Store>(
     board: Arc<Blackboard>,
     store: S,
@@ -149,7 +152,7 @@
         }
         let jitter_ms = rand::rng().random_range(0..pause_ms);
         tokio::time::sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
-        // With more instances than shards, those that stand must not wear the store out.
+        // With more instances than shards, those without one must not overload the store.
         pause_ms = (pause_ms * 2).min(ttl_ms.max(RETRY_PAUSE_MIN_MS));
     }
 }
--- a/src/measure/token_buckets.rs
+++ b/src/measure/token_buckets.rs
@@ -1,18 +1,18 @@
 //! The tokens that an instance may spend on probes.
 //!
-//! A budget of B probes a second is B tokens, each good for one probe in any second. Token `t`
-//! belongs to shard `t mod shards`, whole: a fraction of a probe a second on each of 19 instances
-//! would let all of them probe in the same second. A shard grants its tokens to a home for a
-//! time; the home counts that time from before it asked, the shard from when it granted, so the
-//! home always stops first.
+//! A budget of B probes per second is B tokens, each of which allows one probe in any second.
+//! Token `t` belongs undivided to shard `t mod shards`: with a fraction of a probe per second on
+//! each of 19 instances, all of them could probe in the same second. The holder of a shard grants
+//! its tokens to a home for a limited time. The home counts that time from before its request, the
+//! grantor from the grant, so the home always stops first.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use parking_lot::Mutex;
 
-/// Time between two probes of one token. Above one second, so that probes sent apart do not
-/// arrive within the same second by differences of the way.
+/// Time between two probes with the same token. Above one second, so that different network
+/// delays do not let both arrive within one second.
 const TOKEN_INTERVAL_MS: u64 = 1_250;
 
 /// How many of the `budget` tokens belong to `shard`.
@@ -24,28 +24,31 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Token {
-    /// The right to spend ends then.
+    /// The token may be used before this time only.
     expires_ms: u64,
-    /// Not before then; set anew by each probe.
+    /// The token may be used from this time on; each probe moves it.
     ready_at_ms: u64,
 }
 
+/// The tokens for one service.
 #[derive(Debug, Default)]
 struct ServiceTokens {
-    /// By giver; a giver's new grant takes the place of its old one.
+    /// By the incarnation of the grantor; its new grant replaces its old one. The tokens of this
+    /// instance's own shard are under its own incarnation.
     tokens: HashMap<u64, Vec<Token>>,
-    /// Own tokens were granted away until then.
+    /// Until when this instance's own tokens are granted to another.
     granted_until_ms: u64,
 }
 
-/// All tokens of one instance, by service; clones share.
+/// All tokens of one instance, by service. Clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct TokenBuckets {
     by_service: Arc<Mutex<HashMap<String, ServiceTokens>>>,
 }
 
-/// A token that was taken out; it is ready again an interval after [`TakenToken::done`], or after it
-/// was taken, whichever is later: a pause between the two cannot bring two probes together.
+/// A token taken for one probe. It is ready again one interval after it was taken or after
+/// [`TakenToken::mark_sent`], whichever is later, so that a pause between the two cannot bring two
+/// probes close together.
 #[derive(Debug)]
 pub struct TakenToken {
     buckets: TokenBuckets,
@@ -55,7 +58,7 @@
 }
 
 impl TakenToken {
-    /// Takes note that the probe was sent, now.
+    /// Records that the probe was sent at `now_ms`.
     pub fn mark_sent(self, now_ms: u64) {
         let mut by_service = self.buckets.by_service.lock();
         let service_tokens = by_service.get_mut(&self.service);
@@ -68,9 +71,17 @@
 }
 
 impl TokenBuckets {
-    /// Puts `count` tokens of `giver` in, good until `until_ms`. Tokens that were there keep
-    /// their pace, and fresh ones wait an interval: who had them before may just have spent them.
-    pub fn put_tokens(&self, service: &str, grantor: u64, count: u32, until_ms: u64, now_ms: u64) {
+    /// Sets the tokens of `grantor` to `count`, valid until `expires_ms`. Those already held keep
+    /// the time of their next probe; new ones wait one interval, because their previous holder may
+    /// just have used them.
+    pub fn put_tokens(
+        &self,
+        service: &str,
+        grantor: u64,
+        count: u32,
+        expires_ms: u64,
+        now_ms: u64,
+    ) {
         let mut by_service = self.by_service.lock();
         let service_tokens = by_service.entry(service.to_owned()).or_default();
         let tokens = service_tokens.tokens.entry(grantor).or_default();
@@ -78,17 +89,15 @@
         if !still_valid {
             tokens.clear();
         }
-        tokens.resize(
-            count as usize,
-            Token { expires_ms: until_ms, ready_at_ms: now_ms + TOKEN_INTERVAL_MS },
-        );
+        tokens
+            .resize(count as usize, Token { expires_ms, ready_at_ms: now_ms + TOKEN_INTERVAL_MS });
         for token in tokens {
-            token.expires_ms = until_ms;
+            token.expires_ms = expires_ms;
         }
     }
 
-    /// Grants the own tokens away until `until_ms`, if no other grant of them stands and they
-    /// have not just been spent; tells whether they were granted.
+    /// Marks this instance's own tokens as granted to another until `until_ms`, unless an earlier
+    /// grant is still valid; returns whether they were granted.
     #[must_use]
     pub fn grant_own(&self, service: &str, own: u64, until_ms: u64, now_ms: u64) -> bool {
         let mut by_service = self.by_service.lock();
@@ -101,7 +110,7 @@
         true
     }
 
-    /// Whether the own tokens are granted away.
+    /// Whether this instance's own tokens are granted to another.
     #[must_use]
     pub fn own_granted(&self, service: &str, now_ms: u64) -> bool {
         let by_service = self.by_service.lock();
@@ -110,7 +119,7 @@
             .is_some_and(|service_tokens| now_ms < service_tokens.granted_until_ms)
     }
 
-    /// Takes a token out for one probe.
+    /// Takes a ready token for one probe.
     #[must_use]
     pub fn try_take(&self, service: &str, now_ms: u64) -> Option<TakenToken> {
         let mut by_service = self.by_service.lock();
@@ -119,21 +128,21 @@
             let ready = |token: &Token| token.ready_at_ms <= now_ms && now_ms < token.expires_ms;
             if let Some(at) = tokens.iter().position(ready) {
                 tokens[at].ready_at_ms = now_ms + TOKEN_INTERVAL_MS;
-                let (service, giver) = (service.to_owned(), *grantor);
-                return Some(TakenToken { buckets: self.clone(), service, grantor: giver, at });
+                let (service, grantor) = (service.to_owned(), *grantor);
+                return Some(TakenToken { buckets: self.clone(), service, grantor, at });
             }
         }
         None
     }
 
-    /// Takes the own tokens out: the shard that they came with is lost.
+    /// Removes this instance's own tokens, because their shard is lost.
     pub fn drop_own(&self, service: &str, own: u64) {
         if let Some(service_tokens) = self.by_service.lock().get_mut(service) {
             service_tokens.tokens.remove(&own);
         }
     }
 
-    /// Takes all tokens out: the shard that they came with is lost. Grants given stand.
+    /// Removes all tokens, because the shard is lost. Grants to others remain valid.
     pub fn clear(&self) {
         for service_tokens in self.by_service.lock().values_mut() {
             service_tokens.tokens.clear();
--- a/src/outcome/claims.rs
+++ b/src/outcome/claims.rs
@@ -1,4 +1,4 @@
-//! Who owns a key without prefix, told by the platform's store.
+//! Claims on keys without a prefix: the platform's store records which instance owns each.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use super::KeyPrefix;
 use crate::store::Store;
 
-const CLAIMS_PREFIX: &str = "sorrelwick/claims";
-/// Reads that resolve a lost answer before the claim counts as unavailable.
+const ROOT: &str = "sorrelwick/claims";
+/// How often a claim is read after its creation did not succeed, before it counts as unavailable.
 const READ_BACK_ATTEMPTS: u32 = 3;
 const READ_BACK_PAUSE: Duration = Duration::from_millis(50);
 
 fn claim_key(service: &str, key: &str) -> String {
-    format!("{CLAIMS_PREFIX}/{service}/{:032x}", xxh3_128(key.as_bytes()))
+    format!("{ROOT}/{service}/{:032x}", xxh3_128(key.as_bytes()))
 }
 
-/// Binds a plain key to `own` unless it is bound already; returns whom it is bound to.
+/// Binds a plain key to `own` unless it is already bound; returns the owner it is bound to.
 ///
-/// The claim is created only if absent, so that of several instances one wins. When the answer
-/// is lost the claim that stands is read back, ours or another's: either way it names the one
-/// process that may run the key. `None` when the store does not tell; nothing may run then, and
-/// nobody may be told `not-run` either, since the key may have run before.
+/// The claim is created only if absent, so exactly one of several instances wins. If the answer
+/// is lost, the existing claim is read, no matter whose: it names the one process that may run the
+/// key. `None` if the store does not answer; the request must not run then, and its outcome is not
+/// `not-run` either, because the key may have run before.
 pub async fn claim<S: Store>(
     store: &S,
     service: &str,
--- a/src/outcome/idempotency_key.rs
+++ b/src/outcome/idempotency_key.rs
@@ -3,16 +3,17 @@
 use crate::errors::Code;
 use crate::errors::Coded;
 
-/// Longest key that callers may send.
+/// Longest key that callers may send, in bytes.
 pub const KEY_MAX_BYTES: usize = 200;
 const INCARNATION_DIGITS: usize = 16;
 const EPOCH_DIGITS_MAX: usize = 10;
 
-/// Names the only process that ever runs the key, and when the key was given out.
+/// Names the only process that may run the key, and when the prefix was issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyPrefix {
     pub incarnation: u64,
-    /// Epochs since the start of that process; never later than the true one.
+    /// Epochs from the start of that process to the issue of the prefix; may be too small, but
+    /// never too large.
     pub epoch: u64,
 }
 
@@ -23,7 +24,7 @@
 }
 
 impl KeyPrefix {
-    /// Reads a prefix at the start of `text`, and what follows behind its dash.
+    /// Parses a prefix at the start of `text`; returns it and the text after its dash.
     #[must_use]
     pub fn parse(text: &str) -> Option<(Self, &str)> {
         let (incarnation, rest) = text.split_once('-')?;
@@ -43,14 +44,14 @@
 /// An idempotency key as a caller sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
-    /// `None` for a plain key, whose owner the platform's store tells.
+    /// `None` for a plain key, whose owner is recorded in the platform's store.
     pub prefix: Option<KeyPrefix>,
     /// The whole key, prefix included.
     pub text: String,
 }
 
 impl IdempotencyKey {
-    /// Reads a key from its header.
+    /// Parses the value of the `idempotency-key` header.
     ///
     /// # Errors
     /// `KeyMalformed` for an empty, overlong or unprintable key.
--- a/src/outcome/mod.rs
+++ b/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! At-most-once: idempotency keys, and the record of what became of them.
+//! At-most-once execution: idempotency keys, and the recorded outcomes of their requests.
 
 mod claims;
 mod idempotency_key;
--- a/src/outcome/recorded_outcome.rs
+++ b/src/outcome/recorded_outcome.rs
@@ -1,4 +1,4 @@
-//! What is kept of a finished request.
+//! What is recorded of a finished request.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::errors::Code;
 
-/// An answer kept for repeats, byte for byte.
+/// A complete answer, recorded for repeats byte for byte.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
     pub status: u16,
@@ -17,7 +17,7 @@
 }
 
 impl RecordedAnswer {
-    /// Approximate memory that it takes.
+    /// Approximate memory use, in bytes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         let headers = self.headers.iter().map(|(name, value)| name.len() + value.len());
@@ -25,17 +25,17 @@
     }
 }
 
-/// What became of a keyed request that may have run; one that did not run leaves no row.
+/// The outcome of a keyed request that may have run; for one that did not run, none is recorded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedOutcome {
     Answer(Arc<RecordedAnswer>),
-    /// It ran; its answer was too large to keep.
+    /// The request ran; its answer was too large to record.
     AnswerNotKept,
-    /// It may have run, and will not run again.
+    /// The request may have run, and will not run again.
     Unknown(Code),
 }
 
-/// One finished row, as it is handed over.
+/// One row of the outcome table, as handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverRow {
     /// Service and key.
@@ -44,7 +44,7 @@
     pub outcome: RecordedOutcome,
 }
 
-/// Largest answer that is handed over.
+/// Largest answer that is handed over, in bytes.
 const HANDOVER_ANSWER_MAX_BYTES: usize = 512 << 10;
 
 impl HandoverRow {
@@ -61,14 +61,14 @@
     }
 }
 
-/// The record of one process's keys, or a part of it, on its way to a successor.
+/// The outcomes of one process's keys, or a part of them, as handed over to a successor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerSnapshot {
-    /// Whose keys these are.
+    /// The process whose keys these are.
     pub incarnation: u64,
-    /// Age of that process when this was sent.
+    /// Time since the start of that process when this was sent, in milliseconds.
     pub uptime_ms: u64,
-    /// Epochs after which the sender refused a key.
+    /// Epochs after which the sender rejects a key.
     pub window_epochs: u64,
     pub rows: Vec<HandoverRow>,
 }
--- a/src/outcome/table.rs
+++ b/src/outcome/table.rs
@@ -1,8 +1,8 @@
-//! The record of keyed requests of one process.
+//! The recorded outcomes of keyed requests, at the owner of the keys.
 //!
-//! Why no key runs twice: only the process named in a key runs it (or, after a planned stop, the
-//! one successor that got its rows); it runs the key only if it has no row for it; and a row goes
-//! only once the key's epoch is past the window, from when on the key itself is refused.
+//! No key runs twice, because only the process named in a key runs it (or, after a planned stop,
+//! the one successor that received its rows), it runs a key only if it has no row for it, and it
+//! removes a row only when the key's epoch has left the window, after which it rejects the key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,8 +21,8 @@
 
 #[derive(Debug)]
 enum RowState {
-    /// Followers wait for the result; `None` in the channel until it is there, and the channel
-    /// closes without one when the request did not run.
+    /// Repeats wait for the result on this channel: `None` until it is known. The channel closes
+    /// without a result if the request did not run.
     Running(watch::Receiver<Option<RecordedOutcome>>),
     Done(RecordedOutcome),
 }
@@ -30,43 +30,43 @@
 #[derive(Debug)]
 struct TrackedRow {
     state: RowState,
-    /// Of the key; decides when the row may go.
+    /// The epoch of the key; decides when the row may be removed.
     epoch: u64,
 }
 
 #[derive(Debug)]
 struct OwnerRecord {
     rows: HashMap<RowKey, TrackedRow>,
-    /// Bytes of kept answers; at most `answers_max_bytes`.
+    /// Bytes of recorded answers; at most `answers_max_bytes`.
     answers_bytes: usize,
-    /// When the process whose keys these are started, by this process's clock.
+    /// When the process whose keys these are started, on this process's clock.
     started_ms: u64,
-    /// Epochs after which a key is refused.
+    /// Epochs after which a key is rejected.
     window_epochs: u64,
-    /// Set when the rows were handed over: nothing runs here from then on.
+    /// No key without a row may run here: the rows were handed over, or are still being received.
     closed: bool,
 }
 
-/// What to do with a keyed request that arrived.
+/// What to do with a keyed request.
 #[derive(Debug)]
 pub enum KeyDecision {
-    /// Run it, and tell the guard how it ended.
+    /// Run it, and report its outcome to the guard.
     Run(RunGuard),
-    /// It runs already; its result will be told, or the channel closes when it did not run.
+    /// It is already running: the channel delivers its result, or closes if it did not run.
     Follow(watch::Receiver<Option<RecordedOutcome>>),
-    /// It has ended.
+    /// It has finished with this outcome.
     Replay(RecordedOutcome),
-    /// The key is too old to tell.
+    /// The epoch of the key is outside the window, so whether it ran is not known.
     Expired,
-    /// No room for another row.
+    /// The table has no room for another row.
     Full,
-    /// Another process answers for these keys by now.
+    /// The rows of these keys were handed over to another process.
     Closed,
-    /// Keys of this incarnation are not answered for here.
+    /// This table does not hold the keys of that incarnation.
     NotOwner,
 }
 
-/// The records of this process's keys and of those it took over, by incarnation.
+/// The outcomes of this process's keys and of those it adopted, by the incarnation in the keys.
 #[derive(Clone, Debug)]
 pub struct OutcomeTable {
     settings: OutcomeSettings,
@@ -82,13 +82,13 @@
         Self { settings: settings.clone(), records: Arc::new(Mutex::new(records)) }
     }
 
-    /// The epoch of a process that started at `born_ms`.
+    /// The epoch at `now_ms` of a process that started at `started_ms`.
     #[must_use]
     pub fn epoch_since(&self, started_ms: u64, now_ms: u64) -> u64 {
         now_ms.saturating_sub(started_ms) / self.settings.epoch_ms
     }
 
-    /// The epoch of `incarnation`, if its keys are answered for here.
+    /// The current epoch of `incarnation`, if its keys are held here.
     #[must_use]
     pub fn epoch_of(&self, incarnation: u64) -> Option<u64> {
         let records = self.records.lock();
@@ -102,19 +102,19 @@
         self.records.lock().get(&incarnation).is_some_and(|record| !record.closed)
     }
 
-    /// Rows held, over all records.
+    /// The number of rows of all incarnations.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.lock().values().map(|record| record.rows.len()).sum()
     }
 
-    /// Whether no row is held.
+    /// Whether there are no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Decides on a keyed request.
+    /// Decides on a keyed request, and adds a row if it is to run.
     #[must_use]
     pub fn begin(&self, incarnation: u64, epoch: u64, service: &str, key: &str) -> KeyDecision {
         let mut records = self.records.lock();
@@ -133,7 +133,7 @@
             return KeyDecision::Closed;
         }
         let now_epoch = self.epoch_since(record.started_ms, now_ms());
-        // An epoch of the future was never given out, and its row would outlive the window.
+        // A future epoch was never issued, and its row would outlive the window.
         if epoch + record.window_epochs < now_epoch || epoch > now_epoch + 1 {
             return KeyDecision::Expired;
         }
@@ -173,7 +173,8 @@
         Some(outcome)
     }
 
-    /// Drops rows whose keys are refused by now, and whole records without any use.
+    /// Removes the rows whose keys are rejected by now, and the closed records of other
+    /// incarnations once they are empty.
     pub fn expire(&self, own: u64) {
         let now = now_ms();
         let mut records = self.records.lock();
@@ -188,7 +189,7 @@
         });
     }
 
-    /// Closes all records and gives them out, for a successor. To be called when no request is in
+    /// Closes all records and returns them for a successor. To be called when no request is in
     /// flight any more.
     #[must_use]
     pub fn close(&self) -> Vec<OwnerSnapshot> {
@@ -206,11 +207,11 @@
         closed.collect()
     }
 
-    /// Takes rows of a stopping instance in. Its keys run here only after the `last` rows are
-    /// in: before that a key without row may be one whose row is still to come.
+    /// Adopts rows of a stopping instance. Its keys run here only after the `last` part: before
+    /// that, the row of a key may still be missing.
     ///
-    /// The window is one epoch shorter than it was, because `born_ms` may be later than the true
-    /// start by the time the message took.
+    /// The window is one epoch shorter than the sender's, because `started_ms` may be later than
+    /// the true start by the time that the message took.
     pub fn adopt(&self, part: OwnerSnapshot, started_ms: u64, last: bool) {
         let mut records = self.records.lock();
         let window_epochs = part.window_epochs.saturating_sub(1);
@@ -233,7 +234,7 @@
 impl TrackedRow {
     fn to_handover(&self, key: &RowKey) -> HandoverRow {
         let outcome = match &self.state {
-            // Its end will not be known to the successor, which must not run it.
+            // The successor will not learn how it ends, and must not run it.
             RowState::Running(_) => RecordedOutcome::Unknown(Code::PeerLost),
             RowState::Done(outcome) => outcome.clone(),
         };
@@ -246,7 +247,7 @@
         Self { rows: HashMap::new(), answers_bytes: 0, started_ms, window_epochs, closed: false }
     }
 
-    /// Keeps an answer only while all kept answers stay within `max_bytes`.
+    /// Records an answer only while all recorded answers stay within `max_bytes`.
     fn within_answers_limit(
         &mut self,
         outcome: RecordedOutcome,
@@ -282,8 +283,8 @@
 
 /// The right to run one key once.
 ///
-/// Dropped without a result (a panic, a task that was ended) it records `Unknown`: the request
-/// may have been handed over, so that running it again could run it twice.
+/// Dropped without a result (a panic, an aborted task), it records `Unknown`: the request may have
+/// reached a backend server, so that running it again could run it twice.
 #[derive(Debug)]
 pub struct RunGuard {
     table: OutcomeTable,
@@ -294,18 +295,18 @@
 }
 
 impl RunGuard {
-    /// Records what became of the request.
+    /// Records the outcome of the request.
     pub fn finish(mut self, outcome: RecordedOutcome) {
         self.end(Some(outcome));
     }
 
-    /// Removes the row: the request did not run, and a repeat may.
+    /// Removes the row: the request did not run, so a repeat may run.
     pub fn not_run(mut self) {
         self.end(None);
     }
 
-    /// Followers hear a result exactly when the request may have run: a channel that closes
-    /// without one tells them that it did not.
+    /// Waiting repeats get a result exactly if the request may have run; a channel that closes
+    /// without one means that it did not run.
     fn end(&mut self, outcome: Option<RecordedOutcome>) {
         self.ended = true;
         let stored = self.table.finish(self.incarnation, &self.key, outcome.clone());
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -1,4 +1,4 @@
-//! The final answer to a request, and its body on the way.
+//! The final answer to a request, and its body while it is streamed.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -31,19 +31,19 @@
 use crate::peer::ReplyHead;
 use crate::quarantine::PendingSend;
 
-/// What a request came to; the caller reads it in `sorrelwick-outcome`.
+/// Whether a request ran; the caller reads it in the `sorrelwick-outcome` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A backend server's answer is passed on.
+    /// A backend server ran the request.
     Ran,
-    /// No byte of the request reached a backend server that may have run it.
+    /// No backend server ran the request: no byte of it reached a server that may have run it.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The value of the header field.
+    /// The value of the `sorrelwick-outcome` header.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -54,12 +54,14 @@
     }
 }
 
-/// A body that was cut short.
+/// Why an answer body was cut short.
 #[derive(Debug)]
 pub enum BodyError {
+    /// The connection to the backend server failed.
     Upstream(hyper::Error),
+    /// The connection to the instance that ran the request failed.
     Peer(h2::Error),
-    /// It was not whole by the request's deadline.
+    /// The body was not complete at the request's deadline.
     Deadline,
 }
 
@@ -75,14 +77,14 @@
 
 impl std::error::Error for BodyError {}
 
-/// A body that still comes from a backend server. Its slot is taken until the last byte, and
-/// its connection is used again only after a whole answer.
+/// A body that is streamed from a backend server. Its slot stays taken until the last byte, and
+/// its connection returns to the pool only after a complete answer.
 #[derive(Debug)]
 pub struct UpstreamBody {
     incoming: Incoming,
     resources: Option<(Slot, PooledConn, PendingSend)>,
-    /// The request's deadline holds for its whole answer: without it a server that stops in the
-    /// middle would keep its slot and its caller for ever.
+    /// Fires at the request's deadline, which covers the whole answer: without it, a server that
+    /// stalls in the middle would hold its slot and its caller forever.
     deadline: Pin<Box<Sleep>>,
 }
 
@@ -114,7 +116,7 @@
     }
 }
 
-/// The body of an answer; one that is cut short ends with an error, never as if it were whole.
+/// The body of an answer. One that is cut short ends with an error, never as if it were complete.
 #[derive(Debug)]
 pub enum AnswerBody {
     Whole(Bytes),
@@ -171,7 +173,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_empty(),
-            // Only the poll that sees the end frees the slot.
+            // The slot is released only by the poll that reads the end of the body.
             Self::Upstream(_) => false,
             Self::Peer { first, rest } => first.is_empty() && rest.is_end_stream(),
         }
@@ -186,12 +188,12 @@
     }
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Debug)]
 pub struct Answer {
     pub outcome: Outcome,
     pub code: Code,
-    /// 0 where coming back brings nothing.
+    /// Time until a retry is worthwhile, in milliseconds; 0 if none is known or a retry is useless.
     pub retry_after_ms: u64,
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -214,7 +216,7 @@
 }
 
 impl Answer {
-    /// An answer of sorrelwick's own: no backend server's answer is passed on.
+    /// An answer that this process generates: a JSON body with the outcome and the result code.
     #[must_use]
     pub fn generated(outcome: Outcome, code: Code, retry_after_ms: u64) -> Self {
         let text = format!(
@@ -235,21 +237,21 @@
         }
     }
 
-    /// The request did not run.
+    /// A generated answer with the outcome `not-run`.
     #[must_use]
     pub fn not_run(code: Code, retry_after_ms: u64) -> Self {
         Self::generated(Outcome::NotRun, code, retry_after_ms)
     }
 
-    /// A request that goes no further from here. With a key it may be the repeat of one that ran
-    /// elsewhere, and `not-run` would be false of that.
+    /// The answer to a request that is rejected here. One with a key may repeat a request that ran
+    /// at another instance, so it gets `unknown` instead of `not-run`.
     #[must_use]
     pub fn rejected(code: Code, keyed: bool) -> Self {
         if keyed { Self::unknown(code) } else { Self::not_run(code, 0) }
     }
 
-    /// This answer as the last one of a request of which an earlier attempt may have run: that a
-    /// later attempt did not run does not undo the earlier one.
+    /// This answer as the last one of a request: if an earlier attempt may have run, `not-run`
+    /// becomes `unknown`.
     #[must_use]
     pub fn after_earlier_attempts(self, may_have_run: bool) -> Self {
         if may_have_run && self.outcome == Outcome::NotRun {
@@ -259,19 +261,19 @@
         self
     }
 
-    /// The request may have run.
+    /// A generated answer with the outcome `unknown`.
     #[must_use]
     pub fn unknown(code: Code) -> Self {
         Self::generated(Outcome::Unknown, code, 0)
     }
 
-    /// A backend server's answer.
+    /// An answer received from a backend server.
     #[must_use]
     pub const fn ran(status: StatusCode, headers: HeaderMap, body: AnswerBody) -> Self {
         Self { outcome: Outcome::Ran, code: Code::Ok, retry_after_ms: 0, status, headers, body }
     }
 
-    /// What is to be kept for repeats; `None` for a request that did not run.
+    /// The outcome to record for repeats; `None` for a request that did not run.
     #[must_use]
     pub fn to_record(&self) -> Option<RecordedOutcome> {
         match (self.outcome, &self.body) {
@@ -287,7 +289,7 @@
         }
     }
 
-    /// The answer to a repeat.
+    /// The answer to a repeat, from the recorded outcome.
     #[must_use]
     pub fn replay(recorded: &RecordedOutcome) -> Self {
         match recorded {
@@ -301,7 +303,8 @@
         }
     }
 
-    /// The head of this answer as told to the instance that passed the request.
+    /// The head of this answer for the instance that forwarded the request; `free` is the number
+    /// of slots that this instance has free.
     #[must_use]
     pub fn reply_head(&self, free: u32) -> ReplyHead {
         ReplyHead {
@@ -315,11 +318,11 @@
         }
     }
 
-    /// An answer that another instance gave. One of up to `buffer_bytes` is taken whole, so that
-    /// it can be kept for repeats, and one cut short can be told from a whole one in time.
+    /// Receives the answer of another instance. A body of up to `buffer_bytes` is buffered, so
+    /// that it can be recorded for repeats and a truncated one is detected before it is passed on.
     ///
     /// # Errors
-    /// `Lost` when the body is cut short while it is taken.
+    /// `Lost` if the body is cut short while it is buffered.
     pub async fn from_peer(reply: PassReply, buffer_bytes: usize) -> Result<Self, PeerError> {
         let head = reply.head;
         let small = head.body_bytes.filter(|bytes| *bytes <= buffer_bytes as u64);
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on one backend server.
+//! One attempt to run a request on one backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,18 +29,18 @@
 use crate::quarantine::AdmittedSend;
 use crate::quarantine::PendingSend;
 
-/// When to come back where the server tells nothing of it.
+/// Retry delay for the caller, in milliseconds, if the server names none.
 const DEFAULT_RETRY_AFTER_MS: u64 = 100;
-/// When to come back to a server that takes no connection.
+/// Retry delay for the caller, in milliseconds, if no connection to the server can be opened.
 const UNREACHABLE_RETRY_AFTER_MS: u64 = 1_000;
-/// Most of a refusal's body that is read to keep its connection.
+/// The body of a refusal is read up to this size, so that its connection can be reused.
 const REFUSAL_BODY_MAX_BYTES: usize = 64 << 10;
 
-/// What came of an attempt, and what its answer said of the backend server.
+/// The answer of an attempt, and whether the backend server announced that it is leaving.
 #[derive(Debug)]
 pub struct AttemptResult {
     pub answer: Answer,
-    /// The server said that it is leaving.
+    /// The answer had `x-backend-state: draining`.
     pub leaving: bool,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Whether a status means that the server failed rather than answered.
+/// Whether a status means that the server failed to process the request.
 #[must_use]
 pub fn is_server_failure(status: StatusCode) -> bool {
     matches!(
@@ -71,7 +71,7 @@
     builder.body(Full::new(proxy_request.body.clone())).ok()
 }
 
-/// Whether the end of the body can be told from a connection that breaks.
+/// Whether the end of the body can be distinguished from a broken connection.
 fn has_delimited_body(response: &Response<Incoming>, method: &str) -> bool {
     let bodiless = method == "HEAD"
         || response.status() == StatusCode::NO_CONTENT
@@ -81,10 +81,10 @@
         || response.headers().contains_key("transfer-encoding")
 }
 
-/// Sends the request over the slot's server and takes its answer.
+/// Sends the request to the slot's server and receives its answer.
 ///
-/// Until the request is handed to a connection every fault is `not-run`; from then on it is
-/// `unknown`, because the server may have got the request whole.
+/// A failure before the request is handed to a connection is `not-run`; a later one is
+/// `unknown`, because the server may have received the whole request.
 pub async fn attempt(
     proxy_request: &ProxyRequest,
     spec: &Service,
@@ -106,9 +106,8 @@
         }
         Err(_) => return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into(),
     };
-    let (failed_send, admitted_send) =
-        (proxy_request.failed_send(&upstream), Arc::clone(admitted_send));
-    let watch = PendingSend { send: admitted_send, failed_send };
+    let (failed_send, send) = (proxy_request.failed_send(&upstream), Arc::clone(admitted_send));
+    let watch = PendingSend { send, failed_send };
     send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, watch).await
 }
 
@@ -129,7 +128,7 @@
         Ok(Ok(response)) => response,
         Ok(Err(mut err)) => {
             slot.finish(AttemptOutcome::Failed);
-            // hyper gives the message back only if none of it was written.
+            // hyper returns the message only if no byte of it was written.
             let untouched = err.take_message().is_some();
             return if untouched {
                 Answer::not_run(Code::ConnectFailed, DEFAULT_RETRY_AFTER_MS).into()
@@ -154,7 +153,7 @@
     AttemptResult { answer, leaving }
 }
 
-/// What an answer told of its server, at no cost.
+/// What the headers of an answer report about its server.
 struct ServerReport {
     leaving: bool,
     in_flight: Option<u32>,
@@ -174,10 +173,10 @@
     }
 }
 
-/// The server declared by its status that it did not run the request.
+/// Handles a status that the service declares as a refusal: the server did not run the request.
 async fn handle_refusal(response: Response<Incoming>, slot: Slot, conn: PooledConn) -> Answer {
     let cooldown = parse_retry_after(response.headers(), &slot.upstream.id);
-    // The rest of a refusal is of no use, but the connection is only once it is read.
+    // The body is not used, but the connection can be reused only after it is read.
     let body = http_body_util::Limited::new(response.into_body(), REFUSAL_BODY_MAX_BYTES);
     if body.collect().await.is_ok() {
         conn.return_to_pool();
@@ -192,7 +191,7 @@
     )
 }
 
-/// The time in seconds that a refusal asks to be left alone, if it names one.
+/// How long the server wants no further requests: the seconds in the `retry-after` of a refusal.
 fn parse_retry_after(headers: &HeaderMap, server: &str) -> Option<Duration> {
     let text = fields::header_text(headers, "retry-after")?;
     let seconds = text.trim().parse().ok();
@@ -207,7 +206,7 @@
     };
     info!(
         event = "server-rests", server = server, rest_ms = cooldown.as_millis();
-        "it turned a request away and asks for rest"
+        "the server refused a request and asks for a pause"
     );
     Some(cooldown)
 }
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: requests, and the answer to "which address".
+//! The listener for callers: serves their requests and the list of addresses to use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,17 +34,18 @@
 use crate::peer::Stage;
 use crate::quarantine::Fingerprints;
 
-/// A caller that has not sent its header fields within this is cut off.
+/// A connection that has not sent a complete request head within this time is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Addresses named in an answer; a caller never depends on a single one while there are others.
+/// Most addresses in a list; several, so that a caller does not depend on a single one.
 const ADDRESSES_MAX: usize = 4;
+/// Largest request head, in bytes.
 const HEADER_BYTES_MAX: usize = 64 << 10;
 
-/// The callers' listener, running until it is stopped.
+/// The listener for callers, running until it is stopped.
 #[derive(Debug)]
 pub struct CallerListener(HttpListener);
 
-/// Serves callers; clones share.
+/// Handles the requests of callers.
 #[derive(Clone, Debug)]
 struct CallerHandler(Router);
 
@@ -60,19 +61,20 @@
     }
 }
 
-/// One address of an address answer.
+/// One address of an [`AddressList`].
 #[derive(Debug, Serialize)]
 struct AddressEntry {
     address: String,
     zone: String,
-    /// Begins every idempotency key that is sent to this address.
+    /// Prefix of every idempotency key that is sent to this address.
     key_prefix: String,
 }
 
-/// The answer to "which address".
+/// The addresses that a caller is to use for a service.
 #[derive(Debug, Serialize)]
 struct AddressList {
     service: String,
+    /// How long the caller may use the list, in milliseconds.
     keep_ms: u64,
     addresses: Vec<AddressEntry>,
 }
@@ -86,8 +88,8 @@
         Self(HttpListener::spawn(listener, CallerHandler(router), connections_max))
     }
 
-    /// Accepts no further connection, lets each open one finish the request it is in, and
-    /// returns when all are closed.
+    /// Stops accepting connections, lets each open one finish its current request, and returns
+    /// when all are closed.
     pub async fn stop(self) {
         self.0.stop().await;
     }
@@ -125,7 +127,8 @@
     response
 }
 
-/// Reads a request whole, or tells why not; nothing of it has been sent on then.
+/// Reads a request with its body, or returns the answer that rejects it. Nothing of the request
+/// has been forwarded then.
 async fn read_request(router: &Router, request: Request<Incoming>) -> Result<ProxyRequest, Answer> {
     let settings = &router.board.settings.requests;
     let refuse = |err: &Coded| Answer::not_run(err.code, 0);
@@ -173,8 +176,8 @@
     })
 }
 
-/// The service header, or else the host without its port: that of an absolute target, which goes
-/// before the field.
+/// The name of the service: the service header, or else the host without its port. The host of an
+/// absolute request target takes precedence over the `host` header.
 fn service_name(parts: &http::request::Parts) -> Option<String> {
     let named = if let Some(value) = parts.headers.get(fields::SERVICE) {
         value.to_str().ok()?
@@ -208,7 +211,7 @@
     response
 }
 
-/// The homes of the service, those of the zone first, then other instances of the zone.
+/// The homes of the service, then other instances; in each group those of `zone` come first.
 fn list_addresses(router: &Router, service: &str, zone: &str) -> Vec<AddressEntry> {
     let board = &router.board;
     let view = board.members_view();
--- a/src/route/fields.rs
+++ b/src/route/fields.rs
@@ -1,26 +1,29 @@
-//! Header fields that callers and backend servers meet, and which of them travel on.
+//! Header fields exchanged with callers and backend servers, and which of them are forwarded.
 
 use http::HeaderMap;
 use http::HeaderName;
 use http::HeaderValue;
 
-/// Where callers ask which addresses to use.
+/// The path at which callers fetch the addresses to use.
 pub const ADDRESSES_PATH: &str = "/.sorrelwick/v1/addresses";
-/// Names the service; without it the host does.
+/// The name of the service; if absent, the host names it.
 pub const SERVICE: &str = "sorrelwick-service";
-/// Names one attempt of a caller, in logs.
+/// The caller's id of one attempt, for logs.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Time that the caller still allows, in milliseconds.
+/// Time until the caller's deadline, in milliseconds.
 pub const TIMEOUT_MS: &str = "sorrelwick-timeout-ms";
+/// Whether the request ran: a [`super::Outcome`].
 pub const OUTCOME: &str = "sorrelwick-outcome";
+/// The number of the result code.
 pub const CODE: &str = "sorrelwick-code";
+/// The name of the instance that answered.
 pub const INSTANCE: &str = "sorrelwick-instance";
-/// When to come back, finer than `retry-after`.
+/// When to retry, in milliseconds; `retry-after` has whole seconds only.
 pub const RETRY_AFTER_MS: &str = "sorrelwick-retry-after-ms";
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Set to `draining` by a backend server that leaves.
+/// Set to [`DRAINING`] by a backend server that is leaving.
 pub const BACKEND_STATE: &str = "x-backend-state";
-/// Requests that a backend server has in flight from everywhere.
+/// Requests that a backend server has in flight, from all senders.
 pub const BACKEND_LOAD: &str = "x-backend-load";
 pub const DRAINING: &str = "draining";
 
@@ -37,18 +40,18 @@
     "upgrade",
 ];
 
-/// Whether a field concerns one connection only.
+/// Whether a field applies to a single connection only.
 #[must_use]
 pub fn is_hop_by_hop(name: &HeaderName) -> bool {
     HOP_BY_HOP.contains(&name.as_str())
 }
 
-/// Whether a field is for the next end only, or one of ours that nobody else may set.
+/// Whether a field is not forwarded: a hop-by-hop one, or one that only this process may set.
 fn is_not_forwarded(name: &HeaderName) -> bool {
     is_hop_by_hop(name) || name.as_str().starts_with(OWN_PREFIX)
 }
 
-/// The fields that travel on, as pairs for messages between instances.
+/// The fields that are forwarded, as pairs for messages between instances.
 #[must_use]
 pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
     let named: Vec<String> = connection_options(headers);
@@ -58,14 +61,14 @@
     travel.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
 }
 
-/// Fields that the `connection` field declares to be for the next end only.
+/// The hop-by-hop fields that the `connection` field lists.
 fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all("connection").iter().filter_map(|value| value.to_str().ok());
     let names = values.flat_map(|value| value.split(','));
     names.map(|name| name.trim().to_ascii_lowercase()).collect()
 }
 
-/// Pairs as a header map; pairs that are no header are left out.
+/// Converts pairs to a header map, without those that are not valid header fields.
 #[must_use]
 pub fn header_map(pairs: &[(String, Vec<u8>)]) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(pairs.len());
@@ -78,7 +81,7 @@
     headers
 }
 
-/// A field's text, if it is there and readable.
+/// The text of a field, if it is present and visible ASCII.
 #[must_use]
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice and carry an idempotency key.
+//! Requests that are not idempotent and carry an idempotency key: each runs at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,9 @@
 use crate::outcome::claim;
 use crate::peer::Stage;
 
+/// Retry delay for the caller if the owner's outcome table is full.
 const TABLE_FULL_RETRY_AFTER_MS: u64 = 1_000;
+/// Retry delay for the caller if the key's owner is unknown or cannot be reached.
 const OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
 fn owner_unreachable() -> Answer {
@@ -28,7 +30,7 @@
 }
 
 impl Router {
-    /// Finds the owner of the key and lets it decide; only the owner ever runs the request.
+    /// Finds the owner of the key and lets it decide; only the owner may run the request.
     pub(super) async fn run_keyed(
         &self,
         state: &Arc<ServiceState>,
@@ -40,7 +42,7 @@
             None => self.claim_key(&proxy_request, &key).await,
         };
         let Some(prefix) = prefix else {
-            // The key may have run before, so this is not told to be not-run.
+            // The key may have run before, so the answer is not `not-run`.
             let answer = Answer::unknown(Code::ClaimUnavailable);
             return Answer { retry_after_ms: OWNER_RETRY_AFTER_MS, ..answer };
         };
@@ -65,7 +67,8 @@
 
     async fn forward_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
         if proxy_request.stage >= Stage::Owner {
-            // Whoever passed it held this instance to be the owner or its successor.
+            // The sender took this instance for the owner or its successor. It is neither, and
+            // forwarding once more could form a loop.
             return owner_unreachable();
         }
         let view = self.board.members_view();
@@ -104,8 +107,8 @@
         }
     }
 
-    /// Runs in a task of its own: a caller that leaves must not cut the work short, since then
-    /// its outcome would be unknown to the repeat that the caller is about to send.
+    /// Runs the request in its own task: if a disconnecting caller cut it short, the repeat that
+    /// the caller is about to send would find its outcome unknown.
     async fn run_guarded(
         &self,
         state: &Arc<ServiceState>,
@@ -115,7 +118,7 @@
         let router = self.clone();
         let state = Arc::clone(state);
         let (sender, receiver) = oneshot::channel();
-        // Counted by itself: a planned stop waits for it also when its caller has left.
+        // Counted separately, so that a planned stop waits for it even if its caller has left.
         let in_flight = self.board.in_flight();
         tokio::spawn(async move {
             let answer = router.run(&state, &proxy_request).await;
@@ -124,7 +127,7 @@
                 None => guard.not_run(),
             }
             drop(in_flight);
-            // The caller may have left; the outcome is kept all the same.
+            // The caller may have left; the outcome is recorded regardless.
             let _ = sender.send(answer);
         });
         receiver.await.unwrap_or_else(|_| Answer::unknown(Code::AnswerLost))
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -1,4 +1,4 @@
-//! The controller that puts configuration and membership in force on the request path.
+//! Applies configuration and membership changes to the request path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,17 +16,18 @@
 use crate::member::MemberRow;
 use crate::model::Service;
 
-/// Homes and keepers of one service.
+/// The homes of one service, and the backend servers of which this instance is the keeper.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Those of the asking zone first.
+    /// The homes in the zone given to [`Self::decide`] come first.
     pub homes: SmallVec<[Arc<MemberRow>; 4]>,
-    /// For each backend server, whether this instance keeps it.
+    /// For each backend server, whether this instance is its keeper.
     pub is_keeper: Vec<bool>,
 }
 
 impl Placement {
-    /// Decides the homes of `service` among `members`, as seen by the instance `own` in `zone`.
+    /// Selects the homes of `service` among `members`, for the instance `own` and callers in
+    /// `zone`.
     #[must_use]
     pub fn decide(service: &Service, members: &[Arc<MemberRow>], own: u64, zone: &str) -> Self {
         let available: Vec<&Arc<MemberRow>> =
@@ -54,7 +55,7 @@
     }
 }
 
-/// Builds the snapshot of all services anew, keeping what lasts of those it had.
+/// Rebuilds the snapshot of all services; services that existed before keep their runtime state.
 pub fn rebuild_services(board: &Blackboard) {
     let members = board.members_view();
     let before = board.services();
@@ -79,23 +80,17 @@
 ) -> ServiceState {
     let zone = &board.settings.instance.zone;
     let placement = Placement::decide(&spec, &members.rows, board.incarnation, zone);
-    let core = before.map_or_else(
+    let runtime = before.map_or_else(
         || ServiceRuntime::new(board.settings.requests.queue_max, board.incarnation),
         |state| state.runtime.clone(),
     );
     let share = u32::try_from(members.serving()).unwrap_or(u32::MAX);
-    core.slot_queue.apply(&spec, &placement.is_keeper, share);
-    let am_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
-    ServiceState {
-        revision,
-        spec: Arc::new(spec),
-        homes: placement.homes,
-        is_home: am_home,
-        runtime: core,
-    }
+    runtime.slot_queue.apply(&spec, &placement.is_keeper, share);
+    let is_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
+    ServiceState { revision, spec: Arc::new(spec), homes: placement.homes, is_home, runtime }
 }
 
-/// Keeps the request path up to date with configuration and membership.
+/// Rebuilds the services after each change of configuration or membership.
 pub async fn run_placement(board: Arc<Blackboard>) {
     let mut changes = board.changes();
     loop {
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -1,4 +1,4 @@
-//! One request on its way through an instance.
+//! A request while an instance handles it.
 
 use std::borrow::Cow;
 
@@ -13,28 +13,28 @@
 use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
 
-/// A request whose body is whole.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub struct ProxyRequest {
     pub service: String,
-    /// The same each time that its caller sends it, at any instance.
+    /// Equal each time the caller sends the request, at any instance.
     pub fingerprints: Fingerprints,
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Without fields that do not travel on.
+    /// Only the fields that are forwarded.
     pub headers: Vec<(String, Vec<u8>)>,
     pub body: Bytes,
     pub key: Option<IdempotencyKey>,
-    /// Whether every instance so far held it to be idempotent.
+    /// Whether every instance that has handled it so far considers it idempotent.
     pub idempotent: bool,
     pub stage: Stage,
-    /// On this process's monotonic clock.
+    /// On this process's monotonic clock, in microseconds.
     pub deadline_us: u64,
 }
 
 impl ProxyRequest {
-    /// Time until the deadline.
+    /// Time until the deadline, in microseconds.
     #[must_use]
     pub fn remaining_us(&self) -> u64 {
         self.deadline_us.saturating_sub(now_us())
@@ -46,14 +46,14 @@
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// The id that its caller gave it, for logs.
+    /// The caller's request id for logs, or `-` without one.
     #[must_use]
     pub fn id(&self) -> Cow<'_, str> {
         let id = self.headers.iter().find(|(name, _)| name == fields::REQUEST_ID);
         id.map_or(Cow::Borrowed("-"), |(_, value)| String::from_utf8_lossy(value))
     }
 
-    /// A send of it to `upstream` that brought no whole answer.
+    /// Describes a send of this request to `upstream` that got no complete answer.
     #[must_use]
     pub fn failed_send(&self, upstream: &Upstream) -> FailedSend {
         FailedSend {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// This request as passed to another instance.
+    /// The head of this request for forwarding to another instance.
     #[must_use]
     pub fn pass_head(&self, stage: Stage) -> PassHead {
         PassHead {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A request that another instance passed here.
+    /// A request that another instance forwarded here.
     #[must_use]
     pub fn from_peer(head: PassHead, body: Bytes) -> Self {
         let key = head.key.as_deref().and_then(|text| IdempotencyKey::parse(text).ok());
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -1,8 +1,8 @@
-//! Word between the homes of a service about free slots, where it changes a decision.
+//! Load messages between the homes of a service, sent only where they change a decision.
 //!
-//! Homes say nothing while none of them has a queue. One that has asks the others; those tell of
-//! free slots until it has none any more. All words of an instance share one allowance, which
-//! keeps them within the control traffic that a node may send.
+//! Homes send none while none of them has a queue. A home with a queue asks its co-homes, which
+//! report their free slots until its queue is empty. All load messages of an instance share one
+//! rate limit, which keeps them within the control traffic that a node may send.
 
 use std::time::Duration;
 
@@ -18,12 +18,13 @@
 
 const QUEUE_INTERVAL: Duration = Duration::from_millis(5);
 const SEND_TIMEOUT: Duration = Duration::from_millis(200);
-/// Words a second, over all services: at about 90 bytes each, 3.6 KB of the 5 KB a second.
+/// Load messages per second, over all services: at about 90 bytes each they take 3.6 KB of the
+/// 5 KB of control traffic that a node may send per second.
 const MESSAGES_PER_S: f64 = 40.0;
-/// Words that an instance may have saved.
+/// Largest burst of load messages after a quiet time.
 const MESSAGES_BURST_MAX: f64 = 40.0;
 
-/// Words left to this instance.
+/// Rate limit for the load messages of this instance.
 struct TokenBucket {
     tokens: f64,
     refilled_ms: u64,
@@ -32,7 +33,7 @@
 impl TokenBucket {
     fn try_take(&mut self) -> bool {
         let now = now_ms();
-        #[expect(clippy::cast_precision_loss, reason = "milliseconds since the last turn")]
+        #[expect(clippy::cast_precision_loss, reason = "milliseconds since the last refill")]
         let refill = (now - self.refilled_ms) as f64 / 1000.0 * MESSAGES_PER_S;
         self.tokens = (self.tokens + refill).min(MESSAGES_BURST_MAX);
         self.refilled_ms = now;
@@ -74,7 +75,7 @@
     }
 }
 
-/// Takes another home's word in, and answers with the own free slots.
+/// Processes a load message of a co-home and returns the number of slots free here.
 #[must_use]
 pub fn handle_load_note(board: &Blackboard, state: &ServiceState, note: &LoadNote) -> u32 {
     let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
@@ -89,7 +90,7 @@
     free
 }
 
-/// One turn over all services; tells whether requests wait for any of them, here or elsewhere.
+/// Serves the queues of all services once; returns whether requests wait here or at a co-home.
 fn serve_queues(router: &Router, budget: &mut TokenBucket) -> bool {
     let mut waiting = false;
     let services = router.board.services().clone();
@@ -107,8 +108,8 @@
     waiting
 }
 
-/// Serves the queues of this instance while there are any: slots that came free by time alone are
-/// offered, and the other homes are told what would help. Without queues it sleeps.
+/// Serves the queues of this instance while there are any: hands out slots that became free by
+/// time alone, and sends load messages to the co-homes. Sleeps while there are no queues.
 pub async fn run_queues(router: Router) {
     let mut budget = TokenBucket { tokens: MESSAGES_BURST_MAX, refilled_ms: now_ms() };
     loop {
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -1,4 +1,4 @@
-//! Decides which way a request goes.
+//! Decides where a request runs and whether its idempotency key must be checked first.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::peer::Stage;
 use crate::store::AnyStore;
 
-/// The request path of one instance; clones share.
+/// The request path of one instance. Clones share the same state.
 #[derive(Clone, Debug)]
 pub struct Router {
     pub board: Arc<Blackboard>,
@@ -21,14 +21,14 @@
 }
 
 impl Router {
-    /// Gives a request its final answer.
+    /// Handles a request and returns its final answer.
     pub async fn handle(&self, mut proxy_request: ProxyRequest) -> Answer {
         let Some(state) = self.board.services().get(&proxy_request.service).cloned() else {
             return Answer::rejected(Code::UnknownService, proxy_request.key.is_some());
         };
         let kind = state.spec.kind_of(&proxy_request.method, proxy_request.path());
-        // Two instances may have different revisions in force for a moment: a request is
-        // repeated only if every instance on its way holds it to be idempotent.
+        // Instances may briefly have different revisions in force: a request is retried only if
+        // every instance that handles it considers it idempotent.
         let passed_as_idempotent = proxy_request.idempotent;
         proxy_request.idempotent &= kind.is_some_and(|kind| kind.idempotent);
         if !proxy_request.idempotent
@@ -51,9 +51,9 @@
         if proxy_request.idempotent {
             return self.run(state, &proxy_request).await;
         }
-        // At a home the key has been settled by its owner, unless the sender, on an older
-        // revision, held the request to be idempotent and so went past the owner: run here, it
-        // could run once more there.
+        // At a home, the owner of the key has already decided on it, unless the sender, on an older
+        // revision, considered the request idempotent and bypassed the owner: if it ran here then,
+        // it could run a second time at the owner.
         let key_resolved = proxy_request.stage >= Stage::Home && !passed_as_idempotent;
         match proxy_request.key.clone() {
             Some(key) if !key_resolved => self.run_keyed(state, proxy_request, key).await,
@@ -61,11 +61,12 @@
         }
     }
 
-    /// Runs to the end even if the caller leaves: work that must not repeat is not cut short.
+    /// Runs to completion even if the caller disconnects: a request that is not idempotent must
+    /// not be cut short.
     async fn run_detached(&self, state: &Arc<ServiceState>, proxy_request: ProxyRequest) -> Answer {
         let router = self.clone();
         let state = Arc::clone(state);
-        // Counted by itself: a planned stop waits for it also when its caller has left.
+        // Counted separately, so that a planned stop waits for it even if its caller has left.
         let in_flight = self.board.in_flight();
         let work = tokio::spawn(async move {
             let answer = router.run(&state, &proxy_request).await;
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -1,4 +1,5 @@
-//! Runs a request: at a home, by a slot of its own or of a co-home; elsewhere, by a home.
+//! Runs a request: a home uses a slot of its own or of a co-home, any other instance forwards the
+//! request to a home.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,21 +34,24 @@
 use crate::quarantine::CRASH_CHECK_WAIT;
 use crate::quarantine::Denial;
 
-/// Added to the deadline of a passed request, so that the final answer of the other instance is
-/// heard rather than replaced by our own guess.
+/// Added to the deadline of a forwarded request, so that the other instance's final answer arrives
+/// before this instance gives up and answers `unknown`.
 const FORWARD_GRACE: Duration = Duration::from_millis(20);
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
-/// When to come back after a refusal that tells nothing of how long it will last.
+/// Retry delay for the caller, in milliseconds, if nothing better is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 100;
 
 /// Where the next attempt is made.
 enum Target {
+    /// On a backend server, in this slot.
     Local(Slot),
+    /// At this co-home.
     CoHome(Arc<MemberRow>),
+    /// Nowhere; this is the answer.
     Rejected(Answer),
 }
 
-/// Whether another attempt would be of use after this answer.
+/// Whether the answer is unusable, so that another attempt may give a better one.
 fn needs_retry(answer: &Answer) -> bool {
     answer.outcome != Outcome::Ran || is_server_failure(answer.status)
 }
@@ -63,7 +67,7 @@
     }
 }
 
-/// The answer that came first, or the other one if the first is of no use.
+/// The answer that came first, or the other attempt's if the first one is unusable.
 async fn first_useful(answer: Answer, other: impl Future<Output = Answer>) -> Answer {
     if !needs_retry(&answer) {
         return answer;
@@ -93,7 +97,7 @@
 }
 
 impl Router {
-    /// Runs a request once, or, where that does no harm, more often; gives its final answer.
+    /// Runs a request, with retries where they are safe, and returns its final answer.
     pub(super) async fn run(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
         if state.is_home || proxy_request.stage >= Stage::Home {
             return self.run_locally(state, proxy_request).await;
@@ -101,13 +105,13 @@
         self.forward_to_home(state, proxy_request).await
     }
 
-    /// Passes the request to a home. With none in reach this instance serves it alone, from all
-    /// servers: it knows less of their load, but the caller gets an answer.
+    /// Forwards the request to a home. If none can be reached, this instance runs it itself and
+    /// uses all servers: it knows less about their load, but the caller gets an answer.
     async fn forward_to_home(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
         let mut may_have_run = false;
         for home in &state.homes {
             match self.forward(home, proxy_request, Stage::Home).await {
-                // It has not heard of the service yet; another home may have.
+                // That home does not know the service yet; another one may.
                 Ok(answer) if answer.code == Code::UnknownService => {}
                 Ok(answer) => return answer.after_earlier_attempts(may_have_run),
                 Err(PeerError::Lost) => {
@@ -123,7 +127,7 @@
         self.run_locally(state, proxy_request).await.after_earlier_attempts(may_have_run)
     }
 
-    /// Passes a request on and waits for its answer until the deadline.
+    /// Forwards a request to another instance and waits for its answer until the deadline.
     pub(super) async fn forward(
         &self,
         to: &MemberRow,
@@ -178,7 +182,8 @@
         }
     }
 
-    /// The keepers' slots first, then a co-home that has slots free, then the queue.
+    /// Chooses where the next attempt runs: in a free slot of the servers that this home keeps,
+    /// else at a co-home with free slots, else where the queue assigns it.
     async fn choose_target(
         &self,
         state: &ServiceState,
@@ -195,14 +200,14 @@
         {
             return Target::CoHome(home);
         }
-        // A home whose own servers are all gone, and which no co-home could help, uses any.
+        // A home that keeps no usable server, and has no co-home to forward to, uses all servers.
         let reach = if slot_queue.has_usable_server(reach) { reach } else { ServerScope::All };
         self.board.counters.add(Counter::Queued);
         self.board.queue_formed.notify_one();
         self.wait_for_target(state, proxy_request, avoid, reach).await
     }
 
-    /// Waits for a slot here, or for word that another home has one.
+    /// Waits until a slot is free here or a co-home reports free slots.
     async fn wait_for_target(
         &self,
         state: &ServiceState,
@@ -212,18 +217,18 @@
     ) -> Target {
         let mut position = QueuePosition::Back;
         loop {
-            let (offer, at_most) = match state.runtime.slot_queue.enqueue(
+            let (offer, max_wait) = match state.runtime.slot_queue.enqueue(
                 reach,
                 avoid,
                 position,
                 proxy_request.remaining_us(),
             ) {
-                EnqueueResult::Queued { offer, max_wait: at_most } => (offer, at_most),
+                EnqueueResult::Queued { offer, max_wait } => (offer, max_wait),
                 EnqueueResult::Rejected(admission) => {
                     return Target::Rejected(rejection(admission));
                 }
             };
-            match tokio::time::timeout(at_most, offer).await {
+            match tokio::time::timeout(max_wait, offer).await {
                 Ok(Ok(Offer::Slot(slot))) => return Target::Local(slot),
                 Ok(Ok(Offer::Redirect)) => {
                     if let Some(home) = self.choose_co_home(state, proxy_request, true) {
@@ -241,9 +246,9 @@
         }
     }
 
-    /// A co-home that has slots free; or any, when this home has no server that it may use: the
-    /// request then waits there, with those that keep the servers. A request that was passed
-    /// between homes already stays, so that none travels in circles.
+    /// A co-home with free slots; or any co-home, if this home has no usable server: the request
+    /// then waits there, at a keeper of servers. A request that was already forwarded between
+    /// homes stays here, so that it cannot loop.
     fn choose_co_home(
         &self,
         state: &ServiceState,
@@ -265,8 +270,8 @@
         home.cloned()
     }
 
-    /// One attempt, joined by a second when it takes too long and the hedge budget allows it.
-    /// The first whole answer counts; the other attempt is dropped, which closes its connection.
+    /// One attempt, hedged by a second if it takes too long and the hedge budget allows it. The
+    /// first usable answer wins; the other attempt is dropped, which closes its connection.
     async fn attempt_hedged(
         &self,
         state: &ServiceState,
@@ -304,7 +309,7 @@
         }
     }
 
-    /// The answer to a request that is not sent on, since it may crash servers.
+    /// Answers a request that is not sent to any server, because it may crash servers.
     fn deny(&self, proxy_request: &ProxyRequest, denial: Denial) -> Answer {
         self.board.counters.add(Counter::Denied);
         let [exact, by_caller, content] = proxy_request.fingerprints.to_hex();
@@ -312,7 +317,7 @@
             event = "request-denied", id = proxy_request.id().as_ref(),
             content = content.as_str(), exact = exact.as_str(), by_caller = by_caller.as_str(),
             code = denial.code().number(), retry_after_ms = denial.retry_after_ms();
-            "not sent on, since it may crash servers"
+            "request not sent to a server, because it may crash servers"
         );
         Answer::not_run(denial.code(), denial.retry_after_ms())
     }
@@ -344,14 +349,14 @@
         if answer.outcome == Outcome::Unknown {
             let crash_check = proxy_request.failed_send(&upstream).check_for_crash(admitted_send);
             if proxy_request.idempotent && proxy_request.remaining_us() > 0 {
-                // Still looking after that, it goes on by itself.
+                // After the timeout the check goes on in the background.
                 let _ = tokio::time::timeout(CRASH_CHECK_WAIT, crash_check).await;
             }
         }
         answer
     }
 
-    /// A server said that it leaves: no new work from here, and the co-homes hear of it.
+    /// Closes a server that announced that it is leaving, and notifies the co-homes.
     fn handle_leaving_server(&self, state: &ServiceState, server: &str) {
         let reason = super::CloseReason::SelfReported;
         if !state.runtime.slot_queue.set_closed(server, reason, true) {
@@ -363,7 +368,7 @@
         self.notify_co_homes(state, server, true);
     }
 
-    /// Tells the other homes that a server leaves or is back.
+    /// Notifies the co-homes that a server is leaving or back.
     pub fn notify_co_homes(&self, state: &ServiceState, server: &str, leaving: bool) {
         let service = state.spec.name.clone();
         let request = PeerRequest::Leaving { service, server: server.into(), leaving };
@@ -372,7 +377,7 @@
             let address = home.peer;
             let request = request.clone();
             tokio::spawn(async move {
-                // A co-home that misses this hears it from the server itself.
+                // A co-home that misses this learns it from the server's own answers.
                 let _ = links.call(address, &request, NOTIFY_TIMEOUT).await;
             });
         }
--- a/src/route/service_state.rs
+++ b/src/route/service_state.rs
@@ -1,4 +1,4 @@
-//! One service as it is in force on this instance.
+//! The state of one service on this instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,31 +11,34 @@
 use crate::member::MemberRow;
 use crate::model::Service;
 
-/// What a co-home told of its free slots is worth nothing after this long.
+/// A co-home's report of free slots expires after this time.
 const FREE_SLOTS_AGE_MAX_MS: u64 = 300;
 
-/// A co-home that told of waiting requests is told of free slots for so long.
+/// A co-home that reported waiting requests is sent the free slots of this instance for this time.
 const QUEUE_REPORT_AGE_MAX_MS: u64 = 50;
+/// Shortest time between two load messages to the same co-home.
 const LOAD_SEND_INTERVAL_MS: u64 = 10;
 
+/// The last reported load of a co-home.
 #[derive(Clone, Copy, Debug, Default)]
 struct CoHomeLoad {
     free_slots: u32,
+    /// When `free_slots` was reported.
     reported_ms: u64,
-    /// It told that requests wait there, at this time.
+    /// When it last reported waiting requests.
     queue_reported_ms: u64,
-    /// When it was last told of this instance's load.
+    /// When the load of this instance was last sent to it.
     last_sent_ms: u64,
 }
 
 impl CoHomeLoad {
-    /// Whether it told of waiting requests a moment ago.
+    /// Whether it recently reported waiting requests.
     const fn has_queue(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.queue_reported_ms) <= QUEUE_REPORT_AGE_MAX_MS
     }
 }
 
-/// What lasts while revisions and homes change; clones share.
+/// The part of a service's state that outlives changes of its revision and homes. Clones share it.
 #[derive(Clone, Debug)]
 pub struct ServiceRuntime {
     pub slot_queue: SlotQueue,
@@ -47,7 +50,7 @@
         Self { slot_queue: SlotQueue::new(queue_max, seed), co_home_loads: Arc::default() }
     }
 
-    /// Takes note of the slots that a co-home has free.
+    /// Records the number of slots that a co-home has free.
     pub fn record_free_slots(&self, incarnation: u64, free: u32) {
         let mut loads = self.co_home_loads.lock();
         let load = loads.entry(incarnation).or_default();
@@ -55,20 +58,20 @@
         load.reported_ms = now_ms();
     }
 
-    /// Takes note that requests wait at a co-home.
+    /// Records that requests wait at a co-home.
     pub fn record_queue(&self, incarnation: u64) {
         self.co_home_loads.lock().entry(incarnation).or_default().queue_reported_ms = now_ms();
     }
 
-    /// Whether a co-home told of waiting requests a moment ago.
+    /// Whether any co-home recently reported waiting requests.
     #[must_use]
     pub fn co_home_has_queue(&self) -> bool {
         let now = now_ms();
         self.co_home_loads.lock().values().any(|load| load.has_queue(now))
     }
 
-    /// Whether word of this instance's load would help a co-home now: requests wait here or
-    /// there, and it was not told a moment ago. Counts it as told.
+    /// Whether to send this instance's load to a co-home now: requests wait here or there, and
+    /// the last message to it is not too recent. If so, the message counts as sent.
     pub fn should_send_load(&self, incarnation: u64, queued_here: bool) -> bool {
         let now = now_ms();
         let mut loads = self.co_home_loads.lock();
@@ -81,7 +84,7 @@
         tell
     }
 
-    /// Counts one of the slots that a co-home was believed to have free as taken.
+    /// Takes one of the free slots that a co-home reported; returns whether there was one.
     pub fn take_free_slot(&self, incarnation: u64) -> bool {
         let mut loads = self.co_home_loads.lock();
         let Some(load) = loads.get_mut(&incarnation) else {
@@ -96,12 +99,12 @@
     }
 }
 
-/// A snapshot that the request path reads.
+/// The snapshot of a service that the request path reads.
 #[derive(Clone, Debug)]
 pub struct ServiceState {
     pub revision: u64,
     pub spec: Arc<Service>,
-    /// Those of this instance's zone first.
+    /// The homes in the zone of this instance come first.
     pub homes: SmallVec<[Arc<MemberRow>; 4]>,
     /// Whether this instance is one of the homes.
     pub is_home: bool,
--- a/src/route/slot.rs
+++ b/src/route/slot.rs
@@ -1,4 +1,4 @@
-//! A slot in the hands of one attempt, and what those who wait for one are offered.
+//! A slot held by one attempt, and what waiting requests are offered.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
 use crate::clock::now_us;
 use crate::decide::AttemptOutcome;
 
-/// What a waiting request gets.
+/// What a waiting request is offered.
 #[derive(Debug)]
 pub enum Offer {
     Slot(Slot),
-    /// Another home told of free slots: try there.
+    /// A co-home reported free slots: the request may be forwarded there.
     Redirect,
 }
 
-/// A slot of a backend server that one attempt holds; dropped, it is given back.
+/// A slot of a backend server, held by one attempt. Dropping it releases it as cancelled.
 #[derive(Debug)]
 pub struct Slot {
     pub(super) queue: SlotQueue,
@@ -26,18 +26,18 @@
 }
 
 impl Slot {
-    /// Time since the slot was taken.
+    /// Time since the slot was taken, in microseconds.
     #[must_use]
     pub fn elapsed_us(&self) -> u64 {
         now_us().saturating_sub(self.started_us)
     }
 
-    /// Takes note of the load that the server told.
+    /// Records the load that the server reported.
     pub fn record_load(&self, in_flight: u32) {
         self.queue.record_load(self.index, in_flight);
     }
 
-    /// Gives the slot back with what was learned.
+    /// Releases the slot and records how the attempt ended.
     pub fn finish(mut self, finish: AttemptOutcome) {
         self.finished = true;
         self.queue.finish(self.index, finish);
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -1,4 +1,5 @@
-//! Binds requests to slots, late: a request waits here, not in a backend server's queue.
+//! Assigns requests to the slots of a service. A request without a free slot waits here, not in
+//! the queue of a backend server.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -26,44 +27,48 @@
 use crate::model::Preference;
 use crate::model::Service;
 
-/// Waiting requests that are offered a free slot before it is left free.
+/// Only this many requests at the front of the queue are considered for a free slot.
 const OFFERED_WAITERS_MAX: usize = 4;
 
-/// Where a request stands in the queue.
+/// Where a request enters the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueuePosition {
-    /// Behind those that wait already.
+    /// Behind all waiting requests.
     Back,
-    /// Before them: it waited here before, or has been running too long elsewhere.
+    /// Ahead of them, for a request that has waited here before.
     Front,
 }
 
-/// Hands out the slots of one service on one instance; clones share.
+/// Hands out the slots of one service on one instance. Clones share the same state.
 #[derive(Clone, Debug)]
 pub struct SlotQueue {
     state: Arc<Mutex<SlotQueueState>>,
 }
 
-/// A place in the queue, or the reason why there is none.
+/// A place in the queue, or the reason for the rejection.
 #[derive(Debug)]
 pub enum EnqueueResult {
     Queued { offer: oneshot::Receiver<Offer>, max_wait: Duration },
     Rejected(Admission),
 }
 
-/// What the binder knows of one server, for probes and operators.
+/// The state of one backend server, for probes and connection maintenance.
 #[derive(Clone, Debug)]
 pub struct ServerView {
     pub upstream: Arc<Upstream>,
+    /// Whether this instance is the keeper of the server.
     pub is_keeper: bool,
-    /// Marked as leaving by its own word.
+    /// The server announced that it is leaving.
     pub self_reported_leaving: bool,
+    /// Whether the server may get requests now.
     pub usable: bool,
+    /// Age of its last load report or progress, in microseconds.
     pub report_age_us: u64,
 }
 
 impl SlotQueue {
-    /// A binder without servers.
+    /// A queue without servers. `queue_max` limits the waiting requests; `seed` breaks ties
+    /// between servers.
     #[must_use]
     pub fn new(queue_max: usize, seed: u64) -> Self {
         let state = SlotQueueState {
@@ -76,8 +81,9 @@
         Self { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Puts a declaration in force. `kept[i]` tells whether this instance is the keeper of
-    /// `service.backend_servers[i]`; `share` divides the connections that a server accepts.
+    /// Applies a declaration. `is_keeper[i]` tells whether this instance is the keeper of
+    /// `service.backend_servers[i]`; `share` is the number of instances that divide the
+    /// connections that a server accepts.
     pub fn apply(&self, service: &Service, is_keeper: &[bool], share: u32) {
         let now = now_us();
         let mut state = self.state.lock();
@@ -99,21 +105,21 @@
             state.pool.loads_mut()[at].is_keeper = *is_keeper;
             let changed = state.set_close_reason(at, CloseReason::Drained, server.drained);
             if changed && !server.drained {
-                // The operator's word outweighs what the server said before.
+                // Undraining by the operator overrides the server's own earlier announcement.
                 state.set_close_reason(at, CloseReason::SelfReported, false);
             }
         }
         self.dispatch_slots(state);
     }
 
-    /// Counts a request, from which the budgets of extra work grow.
+    /// Counts a request; the retry and hedge budgets grow with the number of requests.
     pub fn record_request(&self) {
         let mut state = self.state.lock();
         state.pool.retry_budget.record_request();
         state.pool.hedge_budget.record_request();
     }
 
-    /// Takes a slot if one is free and nobody waits for it.
+    /// Takes a slot if one is free and no request is waiting.
     #[must_use]
     pub fn try_acquire(&self, reach: ServerScope, avoid: &[usize]) -> Option<Slot> {
         let now = now_us();
@@ -125,9 +131,9 @@
         Some(self.new_slot(&state, index, now))
     }
 
-    /// A place for a second attempt beside the one on `first`, inside the hedge budget. It comes
-    /// before those that wait: a request that has been running too long is nearer to its
-    /// caller's patience than they are, and the budget bounds how many overtake them.
+    /// Queues a hedge for the attempt on the server at `first_index`, if the hedge budget allows
+    /// it. It goes ahead of the waiting requests: a request that already runs too long is closer to
+    /// its caller's timeout than they are, and the budget bounds how many overtake them.
     #[must_use]
     pub fn enqueue_hedge(
         &self,
@@ -145,7 +151,7 @@
         Some(offer)
     }
 
-    /// Tells up to `count` waiting requests that another home has slots free; the longest
+    /// Redirects up to `count` waiting requests to another home with free slots, the longest
     /// waiting first.
     pub fn redirect_waiters(&self, count: u32) {
         let mut redirected: SmallVec<[Waiter; 8]> = SmallVec::new();
@@ -164,7 +170,7 @@
         }
     }
 
-    /// Queues a request for a slot, or tells why it gets none.
+    /// Queues a request for a slot, or returns why it is rejected.
     #[must_use]
     pub fn enqueue(
         &self,
@@ -192,12 +198,12 @@
             QueuePosition::Back => state.waiting.push_back(waiter),
             QueuePosition::Front => state.waiting.push_front(waiter),
         }
-        // A slot may have come free between the caller's try and now.
+        // A slot may have been released since the caller's `try_acquire`.
         self.dispatch_slots(state);
         EnqueueResult::Queued { offer, max_wait }
     }
 
-    /// Whether a retry is within the budget; takes it out.
+    /// Takes a token from the retry budget; returns whether it had one.
     #[must_use]
     pub fn spend_retry(&self) -> bool {
         self.state.lock().pool.retry_budget.try_spend()
@@ -209,7 +215,7 @@
         self.state.lock().pool.retry_budget.has_left()
     }
 
-    /// When an idempotent attempt is joined by a second one.
+    /// How long after its start an attempt is hedged; `None` for never.
     #[must_use]
     pub fn hedge_delay(&self, idempotent: bool) -> Option<Duration> {
         let state = self.state.lock();
@@ -228,13 +234,13 @@
         self.state.lock().pool.median_service_us()
     }
 
-    /// Whether any server within reach may be used at all now.
+    /// Whether any server within `reach` may be used now.
     #[must_use]
     pub fn has_usable_server(&self, reach: ServerScope) -> bool {
         self.state.lock().pool.usable_slots(reach, &[], now_us()) > 0
     }
 
-    /// Slots free now, and requests that wait.
+    /// The number of free slots, and of waiting requests.
     #[must_use]
     pub fn free_slots_and_waiting(&self) -> (u32, usize) {
         let state = self.state.lock();
@@ -242,8 +248,8 @@
         (state.pool.free_slots(now_us()), waiting)
     }
 
-    /// Offers slots that came free by time alone: an ejection that ended, a ramp that rose.
-    /// Tells whether anybody waited.
+    /// Hands out slots that became free by time alone: an ejection that ended, a ramp-up
+    /// that rose. Returns whether any request was waiting.
     #[must_use]
     pub fn dispatch_waiting(&self) -> bool {
         let state = self.state.lock();
@@ -254,7 +260,7 @@
         waits
     }
 
-    /// Sets or lifts one reason for a server; tells whether that was news.
+    /// Sets or clears one close reason of a server; returns whether that changed anything.
     #[must_use]
     pub fn set_closed(&self, server_id: &str, reason: CloseReason, closed: bool) -> bool {
         let mut state = self.state.lock();
@@ -264,7 +270,7 @@
         changed
     }
 
-    /// Takes note of the load that a server told.
+    /// Records the load that a server reported.
     pub fn record_load(&self, index: usize, in_flight: u32) {
         let mut state = self.state.lock();
         if let Some(load) = state.pool.loads_mut().get_mut(index) {
@@ -272,7 +278,7 @@
         }
     }
 
-    /// The declared servers, for probes.
+    /// The servers that are still declared.
     #[must_use]
     pub fn declared_servers(&self) -> Vec<ServerView> {
         let now = now_us();
@@ -306,10 +312,10 @@
         self.dispatch_slots(state);
     }
 
-    /// Gives free slots to those who wait longest.
+    /// Hands free slots to the longest waiting requests.
     ///
-    /// The slots are sent after the lock is let go: a receiver that is gone drops its slot at
-    /// once, and the slot's drop takes the lock.
+    /// The slots are sent after the lock is released: a slot whose receiver is gone is dropped at
+    /// once, and its drop takes the lock.
     fn dispatch_slots(&self, mut state: MutexGuard<'_, SlotQueueState>) {
         if state.waiting.is_empty() {
             return;
@@ -334,7 +340,7 @@
         }
         drop(state);
         for (sender, slot) in ready {
-            // A receiver that is gone gives the slot back by dropping it.
+            // If the receiver is gone, the slot is dropped and thereby released.
             let _ = sender.send(Offer::Slot(slot));
         }
     }
--- a/src/route/slot_queue_state.rs
+++ b/src/route/slot_queue_state.rs
@@ -1,4 +1,4 @@
-//! The state behind a binder: servers, their loads, and who waits.
+//! The state of a slot queue: backend servers, their loads, and the waiting requests.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 use crate::model::BackendServer;
 use crate::model::Preference;
 
-/// Why a backend server takes no new work; each reason is set and lifted on its own.
+/// Why a backend server gets no new requests. Each reason is set and cleared independently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The operator's drain mark.
+    /// An operator drained it.
     Drained,
-    /// The server said so itself, or a peer heard it say so.
+    /// The server announced that it is leaving, to this instance or to a peer.
     SelfReported,
-    /// The platform's list says so.
+    /// The platform lists it as leaving.
     PlatformReported,
-    /// It is not declared any more.
+    /// It is no longer declared.
     Removed,
 }
 
@@ -34,11 +34,11 @@
     }
 }
 
-/// One row, in step with the pool's.
+/// One backend server; its load is the row of the pool with the same index.
 #[derive(Debug)]
 pub(super) struct ServerRow {
     pub upstream: Arc<Upstream>,
-    /// Set of [`CloseReason`]s.
+    /// Bit set of [`CloseReason`]s.
     pub close_reasons: u8,
 }
 
@@ -46,15 +46,16 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub reach: ServerScope,
+    /// Indices of the servers that earlier attempts of the request used.
     pub avoid: SmallVec<[usize; 4]>,
     pub sender: oneshot::Sender<Offer>,
 }
 
-/// Everything that one lock covers.
+/// Everything that the lock of a slot queue protects.
 #[derive(Debug)]
 pub(super) struct SlotQueueState {
     pub pool: SlotPool,
-    /// In the order of the pool's rows; a row keeps its position while requests are in flight.
+    /// In the order of the pool's rows. A row keeps its index while it has requests in flight.
     pub servers: Vec<ServerRow>,
     pub waiting: VecDeque<Waiter>,
     pub queue_max: usize,
@@ -62,7 +63,8 @@
 }
 
 impl SlotQueueState {
-    /// The row of a declared server: its own, a new one, or one that nobody uses any more.
+    /// The index of the row of a declared server: its present row, that of a removed server
+    /// without requests in flight, or a new one.
     pub fn find_or_add_server(
         &mut self,
         server: &BackendServer,
@@ -77,7 +79,7 @@
         }
         let upstream = Arc::new(Upstream::new(&server.id, server.address, 1));
         let row = ServerRow { upstream, close_reasons: 0 };
-        // With the whole service new there is no older server to spare the new ones.
+        // If the whole service is new, no older server can take the load during a ramp-up.
         let load = if initial {
             ServerLoad::warm(server.slots)
         } else {
@@ -97,7 +99,8 @@
         self.servers.len() - 1
     }
 
-    /// A server that takes work again starts with a ramp.
+    /// Sets or clears one close reason; returns whether that changed anything. A server that is
+    /// reopened restarts its ramp-up.
     pub fn set_close_reason(&mut self, at: usize, reason: CloseReason, closed: bool) -> bool {
         let before = self.servers[at].close_reasons;
         let after = if closed { before | reason.bit() } else { before & !reason.bit() };
--- a/src/route/upstream.rs
+++ b/src/route/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to one backend server.
+//! The connection pool of one backend server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,20 +18,20 @@
 use crate::clock::now_ms;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection idle for longer is not used for what must not repeat: a backend server's own
-/// limit may close it just as the request is written, which would leave its outcome unknown.
+/// A connection idle for longer is not used for requests that are not idempotent: the server's
+/// own idle timeout may close it while the request is written, and the outcome would be unknown.
 const RECENT_IDLE_MAX_MS: u64 = 4_000;
-/// Older idle connections are closed.
+/// A connection idle for longer is closed.
 const IDLE_MAX_MS: u64 = 60_000;
-/// A server that was used within this keeps a spare connection.
+/// A server that was used within this time keeps a spare connection.
 const SPARE_CONN_PERIOD_MS: u64 = 10_000;
 
-/// What a connection is wanted for.
+/// How recently a pooled connection must have been used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Must not be closed under the request, as far as that can be helped.
+    /// Recently, so that the server is unlikely to close it while the request is written.
     Recent,
-    /// Any will do: a request that meets a closed connection is tried again.
+    /// At any time: a request that finds its connection closed is retried.
     Any,
 }
 
@@ -44,18 +44,22 @@
     }
 }
 
-/// A backend server with its idle connections.
+/// A backend server and its connections.
 #[derive(Debug)]
 pub struct Upstream {
     pub id: String,
     pub address: SocketAddr,
-    /// Hash by which instances name the server to each other.
+    /// Hash of `id` that identifies the server in messages between instances.
     pub id_hash: u32,
+    /// The most recently used one is last.
     idle: Mutex<Vec<IdleConn>>,
+    /// Connections open now.
     open_count: Arc<AtomicU32>,
+    /// Connections opened since the start.
     opened_total: AtomicU32,
     /// Connections that this instance may have open; at least 1.
     open_max: AtomicU32,
+    /// When a connection was last requested.
     last_used_ms: AtomicU64,
 }
 
@@ -65,8 +69,8 @@
     idle_since_ms: u64,
 }
 
-/// A connection that one attempt holds; dropped, it is closed, which tells the backend server
-/// that the answer is not wanted any more.
+/// A connection held by one attempt. Dropping it closes it, which tells the backend server that
+/// the answer is no longer wanted.
 #[derive(Debug)]
 pub struct PooledConn {
     pub sender: SendRequest<Full<Bytes>>,
@@ -74,14 +78,14 @@
 }
 
 impl PooledConn {
-    /// Keeps the connection for the next request.
+    /// Returns the connection to the pool for the next request.
     pub fn return_to_pool(self) {
         let idle = IdleConn { sender: self.sender, idle_since_ms: now_ms() };
         self.upstream.idle.lock().push(idle);
     }
 }
 
-/// Counts an open connection until it is closed.
+/// Counts an open connection until it is dropped.
 struct OpenConnPermit(Arc<AtomicU32>);
 
 impl Drop for OpenConnPermit {
@@ -91,13 +95,13 @@
 }
 
 /// The low half of the hash of a server's id.
-#[expect(clippy::cast_possible_truncation, reason = "half of a hash")]
+#[expect(clippy::cast_possible_truncation, reason = "only the low half of the hash is used")]
 fn hash_of_id(id: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32
 }
 
 impl Upstream {
-    /// No connection is opened before the first request.
+    /// A pool without connections; the first one is opened for the first request.
     #[must_use]
     pub fn new(id: &str, address: SocketAddr, open_max: u32) -> Self {
         Self {
@@ -123,7 +127,7 @@
         self.open_max.store(open_max.max(1), Ordering::Release);
     }
 
-    /// The connection that was used last, if it is not too old; older ones are below it.
+    /// Takes the most recently used idle connection, unless it has been idle for too long.
     fn pop_idle(&self, need: Freshness) -> Option<SendRequest<Full<Bytes>>> {
         let oldest_ms = now_ms().saturating_sub(need.idle_max_ms());
         let mut idle = self.idle.lock();
@@ -140,7 +144,7 @@
         None
     }
 
-    /// Whether [`Self::tidy`] may have something to do.
+    /// Whether [`Self::maintain`] may have something to do.
     #[must_use]
     pub fn needs_maintenance(&self) -> bool {
         self.recently_used() || !self.idle.lock().is_empty()
@@ -150,8 +154,8 @@
         now_ms().saturating_sub(self.last_used_ms.load(Ordering::Relaxed)) <= SPARE_CONN_PERIOD_MS
     }
 
-    /// Closes connections that were idle for too long, and opens a spare one where the server is
-    /// in use and has none: a request that comes beside others then need not wait for it.
+    /// Closes connections that were idle for too long. Opens a spare one if the server is in use
+    /// and has none, so that a request beside others need not wait for a new connection.
     pub async fn maintain(self: &Arc<Self>) {
         let now = now_ms();
         let fresh = {
@@ -163,14 +167,14 @@
             return;
         }
         if let Ok(Some(sender)) = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await {
-            // Beneath the ones in use, so that it stays a spare.
+            // Below the recently used ones, so that it stays a spare.
             self.idle.lock().insert(0, IdleConn { sender, idle_since_ms: now_ms() });
         }
     }
 
-    /// A connection that is ready for a request: the last used one, or a new one.
+    /// A connection that is ready for a request: the most recently used idle one, or a new one.
     ///
-    /// `None` when none can be opened; no byte of any request was sent then.
+    /// `None` if none can be opened; no byte of a request has been sent then.
     pub async fn checkout(self: &Arc<Self>, need: Freshness) -> Option<PooledConn> {
         self.last_used_ms.store(now_ms(), Ordering::Relaxed);
         while let Some(mut sender) = self.pop_idle(need) {
@@ -189,14 +193,14 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         self.opened_total.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            // An error here shows as an error of the attempt that uses the connection.
+            // An error also reaches the attempt that uses the connection.
             let _ = connection.await;
             drop(count);
         });
         Some(sender)
     }
 
-    /// Keeps the connections of this instance within its share of what the server accepts.
+    /// Counts a new connection, if this instance's share of the server's connections allows one.
     fn acquire_permit(&self) -> Option<OpenConnPermit> {
         let max = self.open_max.load(Ordering::Acquire);
         let next = |open: u32| (open < max).then_some(open + 1);
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Promise: a certification, order, benchmark submission or filing package runs at most once.
+//! Guarantee: a request that is not idempotent (an order, a filing) runs at most once.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -20,7 +20,7 @@
     Call::post(&format!("/orders?bytes={BYTES}"), id)
 }
 
-/// No id ran twice, and none that ran was told `not-run`.
+/// Asserts that no id ran twice, and that the last answer to one that ran is not `not-run`.
 fn assert_at_most_once(bed: &Bed, told: &HashMap<String, Vec<Told>>) {
     let counts = bed.run_counts();
     for (id, answers) in told {
@@ -35,8 +35,8 @@
     }
 }
 
-/// Story: a shop's till sends an order, hears nothing, and sends it again to another address, at
-/// once and later. Every copy must get the one answer; one pallet arrives.
+/// A caller sends a keyed order to all instances at the same time, and once more later. The order
+/// runs once, and every copy gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeats_at_any_instance_get_the_first_answer() {
     let bed = Bed::start(BedPlan { instances: 4, ..BedPlan::default() }).await;
@@ -62,9 +62,8 @@
     assert_eq!(bed.run_counts().len(), 40);
 }
 
-/// Story: a shop repeats an order whose key is bound to an instance that is no home of the
-/// service. The owner got the answer from a home; it must keep it like any other, or the shop is
-/// told that it ran and never sees what came of it.
+/// The owner of a key is not a home of the service and gets the answer from a home. It must record
+/// that answer, too: otherwise a repeat learns that the order ran, but never gets the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_is_no_home_records_the_answer() {
     let bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
@@ -79,8 +78,8 @@
     }
 }
 
-/// Story: the same with keys of the shop's own making, which name no instance: the platform's
-/// store decides who runs them, also when its answers are lost after they took effect.
+/// Keys without a prefix name no owner: the platform's store decides which instance runs them, even
+/// if the answers of the store are lost after the calls took effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_keys_run_once_through_lost_answers_of_the_store() {
     let bed = Bed::start(BedPlan::default()).await;
@@ -102,12 +101,12 @@
     }
     assert_at_most_once(&bed, &told);
     let ran = told.values().flatten().filter(|told| told.outcome() == "ran").count();
-    assert!(ran >= 60, "most must run in spite of lost answers: {ran}");
+    assert!(ran >= 60, "most requests must run despite lost answers: {ran}");
 }
 
-/// Story: the store is down. An order with a plain key ran before; its repeat must not be told
-/// not-run, because it did run; nor may it run again. A new order cannot be claimed and does not
-/// run either. Orders with a prefix need no store.
+/// While the store is down, the repeat of an order with a plain key that ran before must neither
+/// get `not-run` nor run again. A new plain key cannot be claimed and does not run. Keys with a
+/// prefix do not need the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn with_the_store_down_plain_keys_are_unknown_and_bound_keys_run() {
     let mut bed = Bed::start(BedPlan::default()).await;
@@ -130,13 +129,13 @@
     assert_eq!(bound.outcome(), "ran");
     bed.start_platform().await;
     let again = caller.call_at(addresses[1], &order("ran").with_key("plain-ran")).await;
-    assert_eq!(again, first, "the first answer, once the store tells its owner again");
+    assert_eq!(again, first, "the first answer, once the store names its owner again");
     assert_at_most_once(&bed, &told);
 }
 
-/// Story: an instance is killed while it runs filings, some not yet sent on, some on their way,
-/// some answered. Advisers repeat each at another instance, with its key. No filing may run
-/// twice, and none that ran may be told not-run.
+/// An instance is killed while it runs keyed requests: some not yet sent to a server, some in
+/// flight, some answered. Each is repeated at the other instances. None may run twice, and none
+/// that ran may get `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_owner_never_lets_a_key_run_elsewhere() {
     let mut plan = BedPlan { instances: 4, backends: 4, ..BedPlan::default() };
@@ -173,11 +172,11 @@
     assert_at_most_once(&bed, &told);
     let broken =
         told.values().filter(|answers| !matches!(answers[0], Told::Answered { .. })).count();
-    assert!(broken > 0, "the kill must hit requests, or it shows nothing");
+    assert!(broken > 0, "the kill must interrupt requests, or the test proves nothing");
 }
 
-/// Story: an instance stops as planned, with a hand-over. Shops that hold its address and repeat
-/// their orders afterwards, elsewhere, must get the answers that it gave.
+/// An instance stops as planned and hands its outcomes over. Orders that are then repeated at other
+/// instances must get the answers that it gave.
 #[tokio::test(flavor = "multi_thread")]
 async fn outcomes_survive_a_planned_stop() {
     let mut bed = Bed::start(BedPlan { instances: 4, ..BedPlan::default() }).await;
@@ -216,8 +215,8 @@
     assert_at_most_once(&bed, &told);
 }
 
-/// Story: instances are replaced one after the other in a rolling restart, each handing its
-/// record to the next. A shop repeats an order after two of them, and still gets its answer.
+/// In a rolling restart, each instance hands its outcomes to a successor. An order that is repeated
+/// after two hand-overs still gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn outcomes_survive_two_planned_stops_in_a_row() {
     let mut bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
@@ -245,8 +244,8 @@
     assert_at_most_once(&bed, &HashMap::from([("rolled".to_owned(), vec![first])]));
 }
 
-/// Story: an instance that has not heard of the service yet (or not any more) is asked with a key
-/// whose order ran elsewhere. It must not tell "not run", which it does not know.
+/// An instance that does not know the service (yet, or any longer) gets a key whose order ran at
+/// another instance. It cannot know that and must not answer `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_without_the_service_never_reports_not_run_for_a_key() {
     let bed = Bed::start(BedPlan::default()).await;
@@ -262,9 +261,9 @@
     assert_eq!((plain.outcome(), plain.code()), ("not-run", 2002));
 }
 
-/// Story: an operator declares that orders are not idempotent after all. An instance that has not
-/// heard of it yet passes an order on to a home as if it were, past the owner of its key; the home
-/// has heard of it. The shop then repeats the order at the owner. It must not run in both places.
+/// An operator declares orders not idempotent. An instance on the older revision forwards an order
+/// to a home and bypasses the owner of its key; the home has the newer revision. The order is then
+/// repeated at the owner, and must not run at both.
 #[tokio::test(flavor = "multi_thread")]
 async fn instances_that_disagree_on_idempotent_do_not_run_a_key_twice() {
     use sorrelwick::peer::Links;
@@ -302,8 +301,8 @@
     }
 }
 
-/// Story: a till that was switched off repeats an order long after. The record of it is gone, so
-/// the order must neither run again nor be told not-run.
+/// An order is repeated after its recorded outcome has expired. It must neither run again nor get
+/// `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_older_than_its_record_is_unknown() {
     let mut plan = BedPlan::default();
@@ -321,8 +320,8 @@
     assert_at_most_once(&bed, &HashMap::from([("old".to_owned(), vec![late])]));
 }
 
-/// Story: a shop hangs up in the middle of its order and asks again with the same key. The first
-/// run goes on, and the repeat gets its answer.
+/// A caller disconnects while its order runs, and repeats it with the same key. The first run
+/// continues, and the repeat gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_disconnects_gets_its_answer_on_repeat() {
     let mut plan = BedPlan::default();
--- a/tests/measuring_budget.rs
+++ b/tests/measuring_budget.rs
@@ -1,4 +1,4 @@
-//! Promise: calls made only to measure stay within the budget, over any second.
+//! Guarantee: the probes of a service stay within its measuring budget in every second.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
 
 const SECOND_MS: u64 = 1_000;
 
-/// The most events within any second.
+/// The largest number of events within any second.
 fn max_in_any_second(mut at_ms: Vec<u64>) -> usize {
     at_ms.sort_unstable();
     let window =
@@ -25,7 +25,7 @@
     (0..at_ms.len()).map(window).max().unwrap_or(0)
 }
 
-/// The tokens of all shards are the budget, whatever the numbers.
+/// The tokens of all shards add up to the budget, for any budget and number of shards.
 #[test]
 fn tokens_of_all_shards_add_up_to_the_budget() {
     property(300, |u| {
@@ -37,10 +37,10 @@
     });
 }
 
-/// Story: a few instances, each with a shard, ask each other for grants at any time; messages are
-/// late or lost, instances freeze between taking a token and sending the probe, and two of them
-/// each believe that they are the only home. However it goes, no second sees more probes than
-/// the budget. Each instance's clock is its own, and only differences count.
+/// Instances with a shard each request grants from each other at any time, messages are late or
+/// lost, instances pause between taking a token and probing, and two of them each act as the only
+/// home. No second may see more probes than the budget. Only time differences matter, since each
+/// instance has its own clock.
 #[test]
 fn no_schedule_of_grants_and_freezes_exceeds_the_budget() {
     const SERVICE: &str = "orders";
@@ -58,7 +58,7 @@
             let buckets = &holders[shard as usize];
             let count = tokens_of_shard(budget, shard, shards);
             if u.ratio(1, 6)? {
-                // A home asks this shard; the answer comes late, or not at all.
+                // A home requests the tokens of this shard; the answer is late or lost.
                 let home = u.int_in_range(0..=shards - 1)?;
                 let asked_ms = now_ms;
                 now_ms += u.int_in_range(0..=300)?;
@@ -93,14 +93,14 @@
     });
 }
 
-/// Story: a process is frozen after it took a token and before it sent the probe, for ten
-/// seconds. On waking it must not send the next probe of that token right behind it.
+/// A process pauses for ten seconds after it took a token and before it sends the probe. When it
+/// resumes, it must not send the next probe with that token right after it.
 #[test]
 fn a_pause_between_taking_a_token_and_probing_causes_no_burst() {
     let buckets = TokenBuckets::default();
     buckets.put_tokens("orders", 1, 1, 100_000, 0);
     let spent = buckets.try_take("orders", 2_000).expect("a token");
-    // Frozen from 2,000 to 12,000; the probe leaves on waking.
+    // The process pauses from 2,000 to 12,000 and then sends the probe.
     assert!(buckets.try_take("orders", 12_000).is_some(), "a probe is due by the clock alone");
     let buckets = TokenBuckets::default();
     buckets.put_tokens("orders", 1, 1, 100_000, 0);
@@ -128,8 +128,8 @@
     bed
 }
 
-/// Story: a small order service allows six probes a second. Instances come and go, one is
-/// killed, the store goes down and comes back. Its servers never see a seventh in a second.
+/// A service allows six probes per second. One instance is killed, one is added, and the store goes
+/// down and comes back: its servers must never see a seventh probe in a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_servers_see_no_more_than_the_budget_through_faults() {
     const BUDGET: u32 = 6;
@@ -141,7 +141,7 @@
     let seen = probe_times_ms(&bed, start).len();
     until("probes go on", async || probe_times_ms(&bed, start).len() > seen + 8).await;
     bed.stop_platform();
-    // Shards end with their leases, and with them the probes.
+    // The shards end with their leases, and the probes with the shards.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let seen = probe_times_ms(&bed, start).len();
     bed.start_platform().await;
@@ -154,7 +154,7 @@
     assert!(most <= BUDGET as usize, "{most} measuring calls in a second");
 }
 
-/// Story: the budget is zero, and nothing at all is sent only to measure.
+/// With a budget of zero, no probe is sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_budget_of_zero_sends_no_probe() {
     let bed = bed_with_budget(0).await;
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! Promise: what is told `not-run` truly was not run.
+//! Guarantee: a request that is answered `not-run` did not run.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use standins::caller::Told;
 use tokio::task::JoinSet;
 
-/// Every request told `not-run` is absent from the record of every backend server.
+/// Asserts that no backend server ran a request answered `not-run`; returns how many there were.
 fn assert_not_run(bed: &Bed, told: &[(String, Told)]) -> usize {
     let counts = bed.run_counts();
     let not_run = told.iter().filter(|(_, told)| told.outcome() == "not-run");
     let mut checked = 0;
     for (id, told) in not_run {
-        assert!(!counts.contains_key(id), "{id} ran, and was told not-run: {told:?}");
+        assert!(!counts.contains_key(id), "{id} ran, but was answered not-run: {told:?}");
         checked += 1;
     }
     checked
@@ -37,9 +37,9 @@
     (0..count).map(order).collect()
 }
 
-/// Story: a supplier's recall sends hundreds of orders at once to a small service. Some wait,
-/// some are refused at once, some run out of time while they wait. The border is the deadline
-/// against the first byte: an order told not-run must not be on any server's record.
+/// Hundreds of orders reach a small service at the same time: some wait, some are rejected at once,
+/// some reach their deadline in the queue. The critical case is a deadline that passes just as the
+/// first byte is sent: a server must not have run an order that is answered `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_and_late_requests_were_not_run() {
     let mut plan = BedPlan { backends: 2, ..BedPlan::default() };
@@ -53,18 +53,18 @@
         told.extend(send_burst(&callers, orders(&format!("t{turn}"), 200, timeout_ms)).await);
     }
     let not_run = assert_not_run(&bed, &told);
-    assert!(not_run > 100, "the scene must refuse, or it shows nothing: {not_run}");
+    assert!(not_run > 100, "requests must be rejected, or the test proves nothing: {not_run}");
     for (id, told) in &told {
         assert!(matches!(told, Told::Answered { .. }), "{id} got no final answer: {told:?}");
         if let Told::Answered { outcome, retry_after_ms, .. } = told
             && outcome == "not-run"
         {
-            assert!(*retry_after_ms > 0, "{id} is not told when to come back");
+            assert!(*retry_after_ms > 0, "the answer to {id} has no retry time");
         }
     }
 }
 
-/// Story: a backend server is down. Orders must be told not-run, and none may be lost.
+/// All backend servers are down. Every order must be answered `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn with_no_server_to_connect_to_nothing_runs() {
     let mut bed = Bed::start(BedPlan { backends: 2, ..BedPlan::default() }).await;
@@ -80,8 +80,8 @@
     }
 }
 
-/// Story: the operator declared 503 to be a refusal. A shedding server's 503 is told not-run,
-/// and the order may then run elsewhere, once.
+/// The operator declares 503 to be a refusal. The 503 of an overloaded server then means `not-run`,
+/// and the order may run once at another server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_declared_refusal_is_retried_and_reported_as_not_run() {
     let mut plan = BedPlan { backends: 3, instances: 1, ..BedPlan::default() };
@@ -89,7 +89,7 @@
     let bed = Bed::start(plan).await;
     let mut service = bed.service("orders");
     for server in &mut service.backend_servers {
-        // The declaration promises more than there is, so that the servers shed.
+        // More slots are declared than the servers have, so that they reject requests.
         server.slots = 3;
     }
     let revision = bed.put(0, &service, 0).await.expect("accepted");
@@ -99,15 +99,15 @@
     }
     let told = send_burst(&[bed.caller("orders", 0)], orders("shed", 60, 5_000)).await;
     let not_run = assert_not_run(&bed, &told);
-    assert!(not_run > 0, "the scene must shed, or it shows nothing");
+    assert!(not_run > 0, "servers must reject requests, or the test proves nothing");
     let counts = bed.run_counts();
     for (id, told) in told.iter().filter(|(_, told)| told.outcome() == "ran") {
         assert_eq!(counts.get(id), Some(&1), "{id}: {told:?}");
     }
 }
 
-/// Story: a server takes an order, runs it, and its answer is lost on the way. The shop must be
-/// told that this is not known, never that it was not run; and nothing repeats the order.
+/// A server runs an order, but its answer is lost. The outcome must be `unknown`, never `not-run`,
+/// and the order must not be retried.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_is_unknown_and_not_repeated() {
     let bed = Bed::start(BedPlan { backends: 3, ..BedPlan::default() }).await;
@@ -119,16 +119,15 @@
     let told = send_burst(&callers, orders("lost", 30, 5_000)).await;
     let counts = bed.run_counts();
     let unknown = told.iter().filter(|(_, told)| told.outcome() == "unknown").count();
-    assert!(unknown >= 10, "the scene must lose answers, or it shows nothing: {unknown}");
+    assert!(unknown >= 10, "answers must be lost, or the test proves nothing: {unknown}");
     assert_not_run(&bed, &told);
     for (id, _) in told {
         assert!(counts.get(&id).copied().unwrap_or(0) <= 1, "{id} ran twice");
     }
 }
 
-/// Story: a lookup runs on a server whose answer is lost; it is tried again on another, which
-/// refuses. The last word was "not run", but the first server did run it. The caller must not be
-/// told otherwise, although a lookup does no harm.
+/// A lookup runs on a server whose answer is lost, and is retried on another server, which refuses
+/// it. The last attempt did not run, but the first one did, so the answer must not be `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_retry_does_not_hide_an_attempt_that_may_have_run() {
     let mut plan = BedPlan { backends: 2, instances: 1, ..BedPlan::default() };
@@ -136,7 +135,7 @@
     let bed = Bed::start(plan).await;
     let mut service = bed.service("lookups");
     for server in &mut service.backend_servers {
-        // The declaration promises more than there is, so that the second server sheds.
+        // More slots are declared than there are, so that the second server rejects requests.
         server.slots = 4;
     }
     let revision = bed.put(0, &service, 0).await.expect("accepted");
@@ -148,11 +147,11 @@
     let told = send_burst(&[bed.caller("lookups", 0)], lookups).await;
     assert_not_run(&bed, &told);
     let unknown = told.iter().filter(|(_, told)| told.outcome() == "unknown").count();
-    assert!(unknown > 0, "the scene must lose answers, or it shows nothing");
+    assert!(unknown > 0, "answers must be lost, or the test proves nothing");
 }
 
-/// Story: a shop cancels an order just as it is sent on, again and again at different moments.
-/// Whatever becomes of it, it runs at most once, and no slot is lost by it.
+/// A caller cancels requests at different moments around their dispatch. Each runs at most once,
+/// and no slot is leaked.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelling_around_dispatch_runs_nothing_twice_and_leaks_no_slot() {
     let mut plan = BedPlan { backends: 1, instances: 1, ..BedPlan::default() };
@@ -178,8 +177,8 @@
     assert!(bed.run_counts().values().all(|count| *count == 1));
 }
 
-/// Story: an adviser's lookup is cut short by the only server that the service has. That is its
-/// final answer, known at once; it must not wait until its deadline for another server.
+/// The only server of a service loses the answer to a lookup. The final answer is known at once:
+/// the lookup must not wait until its deadline for another server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failed_lookup_on_the_only_server_is_answered_at_once() {
     let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
@@ -192,8 +191,8 @@
     assert!(since.elapsed().as_millis() < 400, "{:?}", since.elapsed());
 }
 
-/// Story: a caller behind a forward proxy names the host in the target. The service is that host,
-/// not what another field says.
+/// A caller behind a forward proxy sends an absolute target. Its host names the service and takes
+/// precedence over the `host` header.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_absolute_target_names_the_service_by_its_own_host() {
     let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
--- a/tests/outcome_schedules.rs
+++ b/tests/outcome_schedules.rs
@@ -1,5 +1,5 @@
-//! At most once, over random schedules of the record of outcomes: repeats, ends of every kind,
-//! dropped runs, time passing, planned stops with hand-over whose messages come late, twice or
+//! At-most-once execution over random schedules of the outcome table: repeats, every kind of
+//! outcome, dropped runs, expiry, and planned stops whose hand-over messages arrive late, twice or
 //! not at all.
 
 use std::collections::HashMap;
@@ -24,15 +24,15 @@
 const SUCCESSOR: u64 = 2;
 const SERVICE: &str = "orders";
 
-/// One process's record, another's that may take over, and who has run what.
+/// The table of one process, that of its possible successor, and the runs so far.
 struct Scenario {
     owner: OutcomeTable,
     successor: OutcomeTable,
     owner_started_ms: u64,
-    /// Parts on their way, with the moment they were sent.
+    /// Hand-over parts not yet delivered: the part, whether it is the last, and when it was sent.
     in_transit: Vec<(OwnerSnapshot, bool, u64)>,
     running: Vec<(String, RunGuard)>,
-    /// Runs that were begun and not told to be not-run.
+    /// By key: runs that were started and did not end as not run.
     runs: HashMap<String, u32>,
     closed: bool,
 }
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A caller sends a key, new or again, to the owner or to whom it may have left its record.
+    /// A caller sends a new or known key to the owner or to its possible successor.
     fn send(&mut self, u: &mut Unstructured<'_>, settings: &OutcomeSettings) -> Result<()> {
         let now_epoch = (now_ms() - self.owner_started_ms) / settings.epoch_ms;
         let epoch = u.int_in_range(0..=now_epoch)?;
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// A planned stop: nothing runs any more, then the record goes out in two parts.
+    /// A planned stop: once nothing runs any more, the outcomes are handed over in two parts.
     fn hand_over(&mut self) {
         if self.closed || !self.running.is_empty() {
             return;
@@ -98,13 +98,13 @@
         }
     }
 
-    /// The next part arrives; an earlier one may come once more.
+    /// Delivers the next part, which may stay queued and so be delivered again.
     fn deliver_next(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let Some((part, last, sent_ms)) = self.in_transit.first().cloned() else {
             return Ok(());
         };
-        // The receiver has heard of the owner's age in pings before; its estimate may be late by
-        // less than an epoch, but never early.
+        // The receiver knows the owner's start from earlier pings; its estimate may be late by less
+        // than an epoch, but never early.
         let born_ms = sent_ms - part.uptime_ms + u.int_in_range(0..=400)?;
         self.successor.adopt(part, born_ms, last);
         if !u.ratio(1, 4)? {
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Story: whatever shops, instances and the network do in whatever order, no key runs twice.
+/// No key runs twice, whatever callers, instances and the network do, in whatever order.
 #[test]
 fn no_schedule_runs_a_key_twice() {
     property(2_000, |u| {
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -1,4 +1,5 @@
-//! Promise: a planned stop of any part cuts off no request in flight.
+//! Guarantee: a planned stop of an instance, backend server or the platform cuts off no request in
+//! flight.
 
 use std::time::Duration;
 
@@ -11,8 +12,8 @@
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
 
-/// Callers that keep each address answer as long as they may, and note every end that is not a
-/// whole answer.
+/// Sends requests at a steady rate from callers that use each address list as long as they may;
+/// returns every result that is not a complete answer.
 fn spawn_steady_load(bed: &Bed, service: &str, requests: usize) -> JoinHandle<Vec<Told>> {
     let callers: Vec<Caller> = (0..6).map(|at| bed.caller(service, at)).collect();
     tokio::spawn(async move {
@@ -36,8 +37,8 @@
     BedPlan { instances, backend, ..BedPlan::default() }
 }
 
-/// Story: instances are replaced one after the other, two at the same time, while shops send
-/// orders and look-ups over addresses that they were told before. Every request gets its answer.
+/// Two instances stop at the same time and then a third, while callers still use the addresses that
+/// they fetched before. Every request gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_instances_cuts_off_and_refuses_nothing() {
     let mut bed = Bed::start(plan(5)).await;
@@ -53,8 +54,7 @@
     assert!(faults.is_empty(), "{} requests without a good answer: {:?}", faults.len(), faults[0]);
 }
 
-/// Story: a backend server is drained, finishes what it has, and is then shut down. Nothing that
-/// it worked on is lost.
+/// A backend server is drained, finishes its requests, and is then shut down. No request is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_and_stopping_a_backend_server_loses_nothing() {
     let mut bed = Bed::start(plan(3)).await;
@@ -73,7 +73,7 @@
     assert_eq!(record.runs().len(), ran);
 }
 
-/// Story: the platform restarts under load, and an instance stops while it is down.
+/// The platform restarts under load, and an instance stops while the platform is down.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_of_the_platform_and_a_stop_in_the_middle_of_it_lose_nothing() {
     let mut bed = Bed::start(plan(4)).await;
@@ -88,8 +88,8 @@
     assert!(faults.is_empty(), "{} requests without a good answer: {:?}", faults.len(), faults[0]);
 }
 
-/// Story: an adviser's long report is being computed when the instance is stopped, and takes
-/// longer than anybody may keep an address. It must still arrive whole.
+/// A request is in flight when its instance is stopped, and takes longer than callers may use an
+/// address. Its answer must still arrive complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_outlives_the_address_lifetime_is_finished() {
     let mut bed = Bed::start(plan(3)).await;
@@ -113,8 +113,8 @@
     }
 }
 
-/// Story: a shop's connection breaks while its order runs, and the instance is stopped. The order
-/// must not be cut off in the middle, and its outcome must be handed on: the shop asks again.
+/// A caller's connection breaks while its order runs, and then the instance is stopped. The order
+/// must finish, and its outcome must be handed over, because the caller repeats the order.
 #[tokio::test(flavor = "multi_thread")]
 async fn work_of_a_disconnected_caller_is_finished_before_the_stop() {
     let mut bed = Bed::start(plan(4)).await;
