--- a/src/balance/service_queue.rs
+++ b/src/balance/service_queue.rs
@@ -9,8 +9,8 @@
 use super::ServerChoice;
 use super::ServicePool;
 use super::TrackedServer;
+use super::available_server::AvailableServer;
 use super::service_pool::SelectionCriteria;
-use super::service_rooms::AvailableServer;
 
 /// Time that an answer needs, against the usual: started with just the usual time left, half of
 /// the requests would be late, and their slots lost for others.
--- a/src/decide/choose.rs
+++ b/src/decide/choose_server.rs
@@ -42,7 +42,7 @@
 /// Up to 64 servers from `start` on, which is random, are compared; further ones only until the
 /// first free one. A service of today's sizes is compared whole.
 #[must_use]
-pub fn choose(
+pub fn choose_server(
     loads: &[ServerLoad],
     reach: ServerScope,
     avoid: &[usize],
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,12 +1,12 @@
 //! Decisions without I/O: functions of what is known, the time and seeded random numbers.
 
 mod admit;
-mod budget;
-mod choose;
+pub mod baseline;
+mod choose_server;
 mod hedge;
 mod homes;
-pub mod naive;
 mod quantile;
+mod ratio_budget;
 mod retry;
 mod server_load;
 mod slot_pool;
@@ -14,14 +14,14 @@
 pub use admit::Admission;
 pub use admit::QueueView;
 pub use admit::admit;
-pub use budget::RatioBudget;
-pub use choose::choose;
+pub use choose_server::choose_server;
 pub use hedge::HEDGE_SHARE;
 pub use hedge::hedge_delay_us;
 pub use homes::HomeCandidate;
 pub use homes::assign_keepers;
 pub use homes::select_homes;
 pub use quantile::Quantile;
+pub use ratio_budget::RatioBudget;
 pub use retry::RETRY_SHARE;
 pub use retry::RetryView;
 pub use retry::may_retry;
--- a/src/decide/slot_pool.rs
+++ b/src/decide/slot_pool.rs
@@ -11,7 +11,7 @@
 use super::RatioBudget;
 use super::ServerLoad;
 use super::ServerScope;
-use super::choose;
+use super::choose_server;
 
 const MEDIAN: f32 = 0.5;
 const HIGH_QUANTILE: f32 = 0.96;
@@ -73,7 +73,8 @@
         now_us: u64,
     ) -> Option<usize> {
         let start = self.rng.random_range(0..self.loads.len().max(1));
-        let index = choose(&self.loads, reach, avoid, self.median_service_us(), start, now_us)?;
+        let index =
+            choose_server(&self.loads, reach, avoid, self.median_service_us(), start, now_us)?;
         self.loads[index].record_start(now_us);
         Some(index)
     }
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -1,10 +1,10 @@
 //! Limits that backend servers in need name: requests a second that they take from all instances
 //! together.
 
-mod named_limit;
+mod advertised_limit;
 mod rate_limit;
 
-pub use named_limit::AdvertisedLimit;
+pub use advertised_limit::AdvertisedLimit;
 pub use rate_limit::InvalidRateLimit;
 pub use rate_limit::LIMIT_WINDOW_S;
 pub use rate_limit::LIMIT_WINDOW_US;
--- a/standins/src/trial/model.rs
+++ b/standins/src/trial/model.rs
@@ -11,8 +11,8 @@
 use sorrelwick::decide::QueueView;
 use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::admit;
+use sorrelwick::decide::baseline;
 use sorrelwick::decide::hedge_delay_us;
-use sorrelwick::decide::naive;
 use sorrelwick::model::Preference;
 
 use super::Policy;
@@ -246,7 +246,7 @@
         let home = &mut self.homes[home];
         home.turn += 1;
         match self.policy {
-            Policy::SprayRoundRobin => naive::round_robin(home.turn, count).unwrap_or(0),
+            Policy::SprayRoundRobin => baseline::round_robin(home.turn, count).unwrap_or(0),
             Policy::SprayTwoChoices => {
                 let (a, b) = (self.rng.random_range(0..count), self.rng.random_range(0..count));
                 if home.in_flight[b] < home.in_flight[a] { b } else { a }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -10,9 +10,9 @@
 use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::SlotPool;
 use sorrelwick::decide::admit;
-use sorrelwick::decide::choose;
+use sorrelwick::decide::baseline;
+use sorrelwick::decide::choose_server;
 use sorrelwick::decide::may_retry;
-use sorrelwick::decide::naive;
 use standins::trial::Policy;
 use standins::trial::Scene;
 use standins::trial::ServiceSize;
@@ -38,8 +38,9 @@
             loads.push(load);
         }
         let in_flight: Vec<u32> = loads.iter().map(|load| load.in_flight).collect();
-        let ours = choose(&loads, ServerScope::Own, &[], 0.0, u.choose_index(count)?, NOW_US);
-        let naive = naive::least_in_flight(&in_flight).expect("a server");
+        let ours =
+            choose_server(&loads, ServerScope::Own, &[], 0.0, u.choose_index(count)?, NOW_US);
+        let naive = baseline::least_in_flight(&in_flight).expect("a server");
         assert_eq!(in_flight[ours.expect("room everywhere")], in_flight[naive]);
         Ok(())
     });
