--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -14,8 +14,8 @@
 /// is gone never does.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a retry waits for the check of the previous server, so that a crash by this very request
-/// counts before it is sent again. An address that does not even refuse connections is not waited for.
+/// How long a retry waits for the check of the previous server, so that a crash by the request itself is
+/// counted before it is sent again. An address that does not even refuse connections is not waited for.
 pub const CRASH_CHECK_WAIT: Duration = Duration::from_millis(25);
 
 /// A send that got no complete response.
@@ -26,7 +26,7 @@
     pub service: String,
     /// Id of the server.
     pub server: String,
-    /// Hash of the server's id and start, by which instances identify it to each other.
+    /// Hash that identifies the server between instances: of its id, and in the gateway also of its start.
     pub server_hash: u32,
     pub address: SocketAddr,
 }
--- a/src/quarantine/suspect_record.rs
+++ b/src/quarantine/suspect_record.rs
@@ -13,7 +13,7 @@
     /// may share a cause outside of the request, such as a power loss; a crash of the next level came after
     /// the request was sent again.
     pub level: u16,
-    /// Hash of the server's id and start.
+    /// Hash that identifies the server, see [`super::FailedSend::server_hash`].
     pub server: u32,
     /// Tells apart requests with the same fingerprint; see [`super::Fingerprints::variant_in`].
     pub variant: u32,
