--- a/src/measure/grants.rs
+++ b/src/measure/grants.rs
@@ -14,22 +14,22 @@
     board: &Blackboard,
     shard: &Shard,
     buckets: &TokenBuckets,
-    asked: &GrantRequest,
+    request: &GrantRequest,
 ) -> Vec<u32> {
     let now = now_ms();
     let until_ms = now + board.settings.measuring.grant_ms;
     let number = shard.current(now).filter(|_| shard.valid_until_ms() >= until_ms);
     let services = board.services();
-    let granted = asked.services.iter().map(|name| {
+    let granted = request.services.iter().map(|name| {
         let (Some(number), Some(state)) = (number, services.get(name)) else {
             return 0;
         };
         let shards = board.settings.measuring.shards;
         let count = tokens_of_shard(state.spec.measuring_budget_per_s, number, shards);
-        let given = !state.is_home
+        let granted_now = !state.is_home
             && count > 0
             && buckets.grant_own(name, board.incarnation, until_ms, now);
-        if given { count } else { 0 }
+        if granted_now { count } else { 0 }
     });
     granted.collect()
 }
--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -29,9 +29,11 @@
 use crate::route::Router;
 use crate::route::ServiceState;
 
+/// Pause between two rounds over all services.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest body of a health answer.
 const ANSWER_MAX_BYTES: usize = 64 << 10;
 /// A server whose last report is not older than this needs no probe.
 const FRESH_AGE_MAX_US: u64 = 1_000_000;
@@ -67,8 +69,8 @@
     Some((status, leaving))
 }
 
-/// Probes a server. Health answers can be misleading, so one may close a server but may reopen
-/// only a server that was closed by its own announcement.
+/// Probes a server. Health answers are unreliable: one may close a server, but reopens it only if
+/// it was closed by its own announcement.
 async fn probe(
     router: &Router,
     state: &ServiceState,
@@ -76,8 +78,8 @@
     upstream: &Arc<crate::route::Upstream>,
 ) {
     router.board.counters.add(Counter::Probes);
-    let asked = call_health_path(&state.spec.health_path, upstream);
-    let Ok(Some((status, leaving))) = tokio::time::timeout(PROBE_TIMEOUT, asked).await else {
+    let health_call = call_health_path(&state.spec.health_path, upstream);
+    let Ok(Some((status, leaving))) = tokio::time::timeout(PROBE_TIMEOUT, health_call).await else {
         return;
     };
     let slot_queue = &state.runtime.slot_queue;
@@ -102,13 +104,14 @@
     if shard.current(now_ms()).is_none() {
         buckets.drop_own(service, router.board.incarnation);
     }
-    let Some(spent) = buckets.try_take(service, now_ms()) else {
+    let Some(token) = buckets.try_take(service, now_ms()) else {
         return;
     };
     probe(&router, &state, &id, &upstream).await;
-    spent.mark_sent(now_ms());
+    token.mark_sent(now_ms());
 }
 
+/// Adds the tokens of this instance's own shard, unless they are granted to another.
 fn put_own_tokens(board: &Blackboard, state: &ServiceState, buckets: &TokenBuckets, shard: &Shard) {
     let now = now_ms();
     let service = &state.spec.name;
@@ -129,14 +132,14 @@
     grantor: &MemberRow,
     buckets: &TokenBuckets,
 ) {
-    let asked_ms = now_ms();
+    let requested_ms = now_ms();
     let from = router.board.incarnation;
     let request = PeerRequest::Grant(GrantRequest { from, services: services.to_vec() });
     let reply = router.links.call(grantor.peer, &request, GRANT_TIMEOUT).await;
     let Ok(PeerReply::Granted(counts)) = reply else {
         return;
     };
-    let until_ms = asked_ms + router.board.settings.measuring.grant_ms;
+    let until_ms = requested_ms + router.board.settings.measuring.grant_ms;
     for (service, count) in services.iter().zip(counts) {
         if count > 0 {
             buckets.put_tokens(service, grantor.incarnation, count, until_ms, now_ms());
@@ -144,6 +147,7 @@
     }
 }
 
+/// Requests the tokens of all other instances, one after the other.
 async fn request_grants(router: &Router, buckets: &TokenBuckets) {
     let board = &router.board;
     let services = board.services();
@@ -164,7 +168,7 @@
     }
 }
 
-/// Requests grants from all other instances, for the services that this one is a home of.
+/// Requests grants from all other instances, again after each grant period.
 async fn run_grant_requests(router: Router, buckets: TokenBuckets) {
     let grant_ms = router.board.settings.measuring.grant_ms;
     loop {
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -66,16 +66,16 @@
 pub fn apply_platform_list(board: &Blackboard, leaving: &BTreeSet<SocketAddr>) {
     for (name, state) in board.services().iter() {
         for server in &state.spec.backend_servers {
-            let leaves = leaving.contains(&server.address);
+            let is_leaving = leaving.contains(&server.address);
             if !state.runtime.slot_queue.set_closed(
                 &server.id,
                 CloseReason::PlatformReported,
-                leaves,
+                is_leaving,
             ) {
                 continue;
             }
             let (service, id) = (name.clone(), server.id.clone());
-            board.note(if leaves {
+            board.note(if is_leaving {
                 EventKind::ServerLeaving { service, server: id }
             } else {
                 // The platform saw the server leave and return, which overrides the server's own
--- a/src/measure/shard.rs
+++ b/src/measure/shard.rs
@@ -57,7 +57,7 @@
         self.held.lock().map_or(0, |held| held.valid_until_ms)
     }
 
-    /// Records that `shard` may be used until `until_ms`.
+    /// Records that `shard` may be used until `valid_until_ms`.
     pub fn hold(&self, shard: u32, valid_until_ms: u64) {
         *self.held.lock() = Some(HeldShard { shard, valid_until_ms });
     }
@@ -67,6 +67,7 @@
     }
 }
 
+/// How much of a lease may be used.
 fn usable_ms(ttl_ms: u64) -> u64 {
     ttl_ms - ttl_ms / CLOCK_MARGIN_DIVISOR
 }
@@ -85,12 +86,12 @@
     let shards = board.settings.measuring.shards;
     let first = rand::rng().random_range(0..shards);
     let value = format!("{:016x}", board.incarnation);
-    for turn in 0..ACQUIRE_ATTEMPTS_MAX.min(shards) {
-        let number = (first + turn) % shards;
+    for attempt in 0..ACQUIRE_ATTEMPTS_MAX.min(shards) {
+        let number = (first + attempt) % shards;
         let path = format!("{ROOT}/{number}");
-        let taken = store.acquire(&path, value.as_bytes(), &lease).await;
-        board.note_store(taken.as_ref().err().map(ToString::to_string));
-        match taken {
+        let acquired = store.acquire(&path, value.as_bytes(), &lease).await;
+        board.note_store(acquired.as_ref().err().map(ToString::to_string));
+        match acquired {
             Ok(true) => {
                 shard.hold(number, requested_ms + usable_ms(ttl_ms));
                 board.note(EventKind::ShardTaken { shard: number });
--- a/src/measure/token_buckets.rs
+++ b/src/measure/token_buckets.rs
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Token {
-    /// The token may be used before this time only.
+    /// The token may be used only before this time.
     expires_ms: u64,
     /// The token may be used from this time on; each probe moves it.
     ready_at_ms: u64,
@@ -54,7 +54,7 @@
     buckets: TokenBuckets,
     service: String,
     grantor: u64,
-    at: usize,
+    index: usize,
 }
 
 impl TakenToken {
@@ -64,7 +64,7 @@
         let service_tokens = by_service.get_mut(&self.service);
         let tokens =
             service_tokens.and_then(|service_tokens| service_tokens.tokens.get_mut(&self.grantor));
-        if let Some(token) = tokens.and_then(|tokens| tokens.get_mut(self.at)) {
+        if let Some(token) = tokens.and_then(|tokens| tokens.get_mut(self.index)) {
             token.ready_at_ms = token.ready_at_ms.max(now_ms + TOKEN_INTERVAL_MS);
         }
     }
@@ -126,10 +126,10 @@
         let service_tokens = by_service.get_mut(service)?;
         for (grantor, tokens) in &mut service_tokens.tokens {
             let ready = |token: &Token| token.ready_at_ms <= now_ms && now_ms < token.expires_ms;
-            if let Some(at) = tokens.iter().position(ready) {
-                tokens[at].ready_at_ms = now_ms + TOKEN_INTERVAL_MS;
+            if let Some(index) = tokens.iter().position(ready) {
+                tokens[index].ready_at_ms = now_ms + TOKEN_INTERVAL_MS;
                 let (service, grantor) = (service.to_owned(), *grantor);
-                return Some(TakenToken { buckets: self.clone(), service, grantor, at });
+                return Some(TakenToken { buckets: self.clone(), service, grantor, index });
             }
         }
         None
--- a/src/outcome/claims.rs
+++ b/src/outcome/claims.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 
 const ROOT: &str = "sorrelwick/claims";
-/// How often a claim is read after its creation did not succeed, before it counts as unavailable.
+/// Reads of a claim after its creation failed or was not confirmed; then it counts as unavailable.
 const READ_BACK_ATTEMPTS: u32 = 3;
 const READ_BACK_PAUSE: Duration = Duration::from_millis(50);
 
@@ -33,8 +33,8 @@
     if store.put_if(&path, value.as_bytes(), 0).await == Ok(true) {
         return Some(own);
     }
-    for turn in 0..READ_BACK_ATTEMPTS {
-        if turn > 0 {
+    for attempt in 0..READ_BACK_ATTEMPTS {
+        if attempt > 0 {
             tokio::time::sleep(READ_BACK_PAUSE).await;
         }
         if let Ok(Some(entry)) = store.get(&path).await {
--- a/src/outcome/mod.rs
+++ b/src/outcome/mod.rs
@@ -1,4 +1,6 @@
 //! At-most-once execution: idempotency keys, and the recorded outcomes of their requests.
+//!
+//! A key is owned by an incarnation: one process of an instance, from its start to its stop.
 
 mod claims;
 mod idempotency_key;
--- a/src/outcome/recorded_outcome.rs
+++ b/src/outcome/recorded_outcome.rs
@@ -25,11 +25,11 @@
     }
 }
 
-/// The outcome of a keyed request that may have run; for one that did not run, none is recorded.
+/// The outcome of a keyed request that may have run; none is recorded for one that did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedOutcome {
     Answer(Arc<RecordedAnswer>),
-    /// The request ran; its answer was too large to record.
+    /// The request ran; its answer was not recorded, for example because of its size.
     AnswerNotKept,
     /// The request may have run, and will not run again.
     Unknown(Code),
@@ -40,6 +40,7 @@
 pub struct HandoverRow {
     /// Service and key.
     pub key: (String, String),
+    /// The epoch of the key.
     pub epoch: u64,
     pub outcome: RecordedOutcome,
 }
--- a/src/outcome/table.rs
+++ b/src/outcome/table.rs
@@ -17,6 +17,7 @@
 use crate::conf::OutcomeSettings;
 use crate::errors::Code;
 
+/// Service and key.
 type RowKey = (String, String);
 
 #[derive(Debug)]
@@ -34,16 +35,18 @@
     epoch: u64,
 }
 
+/// The rows of the keys of one incarnation.
 #[derive(Debug)]
 struct OwnerRecord {
     rows: HashMap<RowKey, TrackedRow>,
     /// Bytes of recorded answers; at most `answers_max_bytes`.
     answers_bytes: usize,
-    /// When the process whose keys these are started, on this process's clock.
+    /// Start of the process that owns these keys, on this process's clock.
     started_ms: u64,
     /// Epochs after which a key is rejected.
     window_epochs: u64,
-    /// No key without a row may run here: the rows were handed over, or are still being received.
+    /// Keys without a row must not run here: the rows were handed over, or are still being
+    /// received.
     closed: bool,
 }
 
@@ -118,7 +121,7 @@
     #[must_use]
     pub fn begin(&self, incarnation: u64, epoch: u64, service: &str, key: &str) -> KeyDecision {
         let mut records = self.records.lock();
-        let held: usize = records.values().map(|record| record.rows.len()).sum();
+        let row_count: usize = records.values().map(|record| record.rows.len()).sum();
         let Some(record) = records.get_mut(&incarnation) else {
             return KeyDecision::NotOwner;
         };
@@ -137,7 +140,7 @@
         if epoch + record.window_epochs < now_epoch || epoch > now_epoch + 1 {
             return KeyDecision::Expired;
         }
-        if held >= self.settings.rows_max {
+        if row_count >= self.settings.rows_max {
             return KeyDecision::Full;
         }
         let (sender, receiver) = watch::channel(None);
@@ -174,7 +177,7 @@
     }
 
     /// Removes the rows whose keys are rejected by now, and the closed records of other
-    /// incarnations once they are empty.
+    /// incarnations once they are empty and their window has passed.
     pub fn expire(&self, own: u64) {
         let now = now_ms();
         let mut records = self.records.lock();
@@ -247,7 +250,8 @@
         Self { rows: HashMap::new(), answers_bytes: 0, started_ms, window_epochs, closed: false }
     }
 
-    /// Records an answer only while all recorded answers stay within `max_bytes`.
+    /// The outcome to record: without its answer if that would exceed `max_bytes` for all recorded
+    /// answers, which it is counted towards otherwise.
     fn within_answers_limit(
         &mut self,
         outcome: RecordedOutcome,
@@ -268,14 +272,14 @@
         let window = self.window_epochs;
         let mut freed = 0;
         self.rows.retain(|_, tracked| {
-            let stays = tracked.epoch + window >= now_epoch
+            let retained = tracked.epoch + window >= now_epoch
                 || matches!(tracked.state, RowState::Running(_));
             if let (false, RowState::Done(RecordedOutcome::Answer(answer))) =
-                (stays, &tracked.state)
+                (retained, &tracked.state)
             {
                 freed += answer.size_bytes();
             }
-            stays
+            retained
         });
         self.answers_bytes -= freed;
     }
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -68,9 +68,9 @@
 impl std::fmt::Display for BodyError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Upstream(err) => write!(f, "backend server: {err}"),
-            Self::Peer(err) => write!(f, "peer: {err}"),
-            Self::Deadline => f.write_str("deadline passed"),
+            Self::Upstream(err) => write!(f, "answer of the backend server cut short: {err}"),
+            Self::Peer(err) => write!(f, "answer of the peer cut short: {err}"),
+            Self::Deadline => f.write_str("answer not complete at the request's deadline"),
         }
     }
 }
@@ -82,6 +82,7 @@
 #[derive(Debug)]
 pub struct UpstreamBody {
     incoming: Incoming,
+    /// `None` once the body has ended.
     resources: Option<(Slot, PooledConn, PendingSend)>,
     /// Fires at the request's deadline, which covers the whole answer: without it, a server that
     /// stalls in the middle would hold its slot and its caller forever.
@@ -94,24 +95,24 @@
         slot: Slot,
         conn: PooledConn,
         remaining: Duration,
-        watch: PendingSend,
+        pending_send: PendingSend,
     ) -> Self {
         let deadline = Box::pin(tokio::time::sleep(remaining));
-        Self { incoming, resources: Some((slot, conn, watch)), deadline }
+        Self { incoming, resources: Some((slot, conn, pending_send)), deadline }
     }
 
-    fn release(&mut self, whole: bool) {
-        let Some((slot, conn, watch)) = self.resources.take() else {
+    fn release(&mut self, complete: bool) {
+        let Some((slot, conn, pending_send)) = self.resources.take() else {
             return;
         };
-        if whole {
+        if complete {
             conn.return_to_pool();
-            watch.record_response();
+            pending_send.record_response();
             let latency_us = slot.elapsed_us();
-            slot.finish(AttemptOutcome::Answered { latency_us });
+            slot.release(AttemptOutcome::Answered { latency_us });
         } else {
-            slot.finish(AttemptOutcome::Failed);
-            drop(watch.record_truncated());
+            slot.release(AttemptOutcome::Failed);
+            drop(pending_send.record_truncated());
         }
     }
 }
@@ -119,8 +120,11 @@
 /// The body of an answer. One that is cut short ends with an error, never as if it were complete.
 #[derive(Debug)]
 pub enum AnswerBody {
-    Whole(Bytes),
+    /// Complete, in memory.
+    Buffered(Bytes),
+    /// Streamed from a backend server.
     Upstream(Box<UpstreamBody>),
+    /// Streamed from another instance; `first` came with the head of the answer.
     Peer { first: Bytes, rest: RecvStream },
 }
 
@@ -146,8 +150,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             Self::Upstream(body) => {
                 if body.deadline.as_mut().poll(cx).is_ready() {
                     body.release(false);
@@ -172,7 +176,7 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
+            Self::Buffered(bytes) => bytes.is_empty(),
             // The slot is released only by the poll that reads the end of the body.
             Self::Upstream(_) => false,
             Self::Peer { first, rest } => first.is_empty() && rest.is_end_stream(),
@@ -181,7 +185,7 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Upstream(body) => body.incoming.size_hint(),
             Self::Peer { .. } => SizeHint::default(),
         }
@@ -233,7 +237,7 @@
             retry_after_ms,
             status: status_of(code, outcome),
             headers,
-            body: AnswerBody::Whole(text.into()),
+            body: AnswerBody::Buffered(text.into()),
         }
     }
 
@@ -279,11 +283,11 @@
         match (self.outcome, &self.body) {
             (Outcome::NotRun, _) => None,
             (Outcome::Unknown, _) => Some(RecordedOutcome::Unknown(self.code)),
-            (Outcome::Ran, AnswerBody::Whole(body)) => {
+            (Outcome::Ran, AnswerBody::Buffered(body)) => {
                 let headers = fields::end_to_end_headers(&self.headers);
                 let status = self.status.as_u16();
-                let whole = RecordedAnswer { status, headers, body: body.clone() };
-                Some(RecordedOutcome::Answer(Arc::new(whole)))
+                let answer = RecordedAnswer { status, headers, body: body.clone() };
+                Some(RecordedOutcome::Answer(Arc::new(answer)))
             }
             (Outcome::Ran, _) => Some(RecordedOutcome::AnswerNotKept),
         }
@@ -293,10 +297,10 @@
     #[must_use]
     pub fn replay(recorded: &RecordedOutcome) -> Self {
         match recorded {
-            RecordedOutcome::Answer(whole) => {
-                let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
-                let headers = fields::header_map(&whole.headers);
-                Self::ran(status, headers, AnswerBody::Whole(whole.body.clone()))
+            RecordedOutcome::Answer(answer) => {
+                let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
+                let headers = fields::header_map(&answer.headers);
+                Self::ran(status, headers, AnswerBody::Buffered(answer.body.clone()))
             }
             RecordedOutcome::AnswerNotKept => Self::generated(Outcome::Ran, Code::AnswerNotKept, 0),
             RecordedOutcome::Unknown(code) => Self::unknown(*code),
@@ -329,11 +333,11 @@
         let streamed = AnswerBody::Peer { first: reply.first, rest: reply.rest };
         let body = match small {
             Some(expected) => {
-                let whole = streamed.collect().await.map_err(|_| PeerError::Lost)?.to_bytes();
-                if whole.len() as u64 != expected {
+                let buffered = streamed.collect().await.map_err(|_| PeerError::Lost)?.to_bytes();
+                if buffered.len() as u64 != expected {
                     return Err(PeerError::Lost);
                 }
-                AnswerBody::Whole(whole)
+                AnswerBody::Buffered(buffered)
             }
             None => streamed,
         };
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -29,7 +29,7 @@
 use crate::quarantine::AdmittedSend;
 use crate::quarantine::PendingSend;
 
-/// Retry delay for the caller, in milliseconds, if the server names none.
+/// Retry delay for the caller, in milliseconds, if nothing better is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 100;
 /// Retry delay for the caller, in milliseconds, if no connection to the server can be opened.
 const UNREACHABLE_RETRY_AFTER_MS: u64 = 1_000;
@@ -95,20 +95,20 @@
     let Some(request) = build_request(proxy_request) else {
         return Answer::not_run(Code::BadRequest, 0).into();
     };
-    let left = Duration::from_micros(proxy_request.remaining_us());
-    let need = if proxy_request.idempotent { Freshness::Any } else { Freshness::Recent };
+    let remaining = Duration::from_micros(proxy_request.remaining_us());
+    let freshness = if proxy_request.idempotent { Freshness::Any } else { Freshness::Recent };
     let upstream = Arc::clone(&slot.upstream);
-    let conn = match tokio::time::timeout(left, upstream.checkout(need)).await {
+    let conn = match tokio::time::timeout(remaining, upstream.checkout(freshness)).await {
         Ok(Some(conn)) => conn,
         Ok(None) => {
-            slot.finish(AttemptOutcome::Failed);
+            slot.release(AttemptOutcome::Failed);
             return Answer::not_run(Code::ConnectFailed, UNREACHABLE_RETRY_AFTER_MS).into();
         }
         Err(_) => return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into(),
     };
     let (failed_send, send) = (proxy_request.failed_send(&upstream), Arc::clone(admitted_send));
-    let watch = PendingSend { send, failed_send };
-    send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, watch).await
+    let pending_send = PendingSend { send, failed_send };
+    send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, pending_send).await
 }
 
 async fn send_on_conn(
@@ -118,26 +118,27 @@
     mut conn: PooledConn,
     request: Request<Full<Bytes>>,
     buffer_bytes: usize,
-    watch: PendingSend,
+    pending_send: PendingSend,
 ) -> AttemptResult {
-    let left = Duration::from_micros(proxy_request.remaining_us());
-    if left.is_zero() {
+    let remaining = Duration::from_micros(proxy_request.remaining_us());
+    if remaining.is_zero() {
         return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into();
     }
-    let response = match tokio::time::timeout(left, conn.sender.try_send_request(request)).await {
-        Ok(Ok(response)) => response,
-        Ok(Err(mut err)) => {
-            slot.finish(AttemptOutcome::Failed);
-            // hyper returns the message only if no byte of it was written.
-            let untouched = err.take_message().is_some();
-            return if untouched {
-                Answer::not_run(Code::ConnectFailed, DEFAULT_RETRY_AFTER_MS).into()
-            } else {
-                Answer::unknown(Code::AnswerLost).into()
-            };
-        }
-        Err(_) => return Answer::unknown(Code::DeadlineAfterDispatch).into(),
-    };
+    let response =
+        match tokio::time::timeout(remaining, conn.sender.try_send_request(request)).await {
+            Ok(Ok(response)) => response,
+            Ok(Err(mut err)) => {
+                slot.release(AttemptOutcome::Failed);
+                // hyper returns the message only if no byte of it was written.
+                let unsent = err.take_message().is_some();
+                return if unsent {
+                    Answer::not_run(Code::ConnectFailed, DEFAULT_RETRY_AFTER_MS).into()
+                } else {
+                    Answer::unknown(Code::AnswerLost).into()
+                };
+            }
+            Err(_) => return Answer::unknown(Code::DeadlineAfterDispatch).into(),
+        };
     let report = ServerReport::parse(response.headers());
     report.apply(&slot);
     let leaving = report.leaving;
@@ -146,10 +147,11 @@
         return AttemptResult { answer, leaving };
     }
     if !has_delimited_body(&response, &proxy_request.method) {
-        slot.finish(AttemptOutcome::Failed);
+        slot.release(AttemptOutcome::Failed);
         return AttemptResult { answer: Answer::unknown(Code::AnswerTruncated), leaving };
     }
-    let answer = receive_answer(proxy_request, response, slot, conn, buffer_bytes, watch).await;
+    let answer =
+        receive_answer(proxy_request, response, slot, conn, buffer_bytes, pending_send).await;
     AttemptResult { answer, leaving }
 }
 
@@ -181,17 +183,18 @@
     if body.collect().await.is_ok() {
         conn.return_to_pool();
     }
-    let finish = cooldown.map_or(AttemptOutcome::Refused, |cooldown| {
+    let outcome = cooldown.map_or(AttemptOutcome::Refused, |cooldown| {
         AttemptOutcome::RefusedWithCooldown { cooldown_us: duration_us(cooldown) }
     });
-    slot.finish(finish);
+    slot.release(outcome);
     Answer::not_run(
         Code::Refused,
         cooldown.map_or(DEFAULT_RETRY_AFTER_MS, |cooldown| duration_us(cooldown) / 1000),
     )
 }
 
-/// How long the server wants no further requests: the seconds in the `retry-after` of a refusal.
+/// How long the server asks for no further requests, by the `retry-after` of a refusal; `None`
+/// without a valid number of seconds.
 fn parse_retry_after(headers: &HeaderMap, server: &str) -> Option<Duration> {
     let text = fields::header_text(headers, "retry-after")?;
     let seconds = text.trim().parse().ok();
@@ -206,7 +209,7 @@
     };
     info!(
         event = "server-rests", server = server, rest_ms = cooldown.as_millis();
-        "the server refused a request and asks for a pause"
+        "the server refused a request and asks for no further requests for a time"
     );
     Some(cooldown)
 }
@@ -221,33 +224,33 @@
     slot: Slot,
     conn: PooledConn,
     buffer_bytes: usize,
-    watch: PendingSend,
+    pending_send: PendingSend,
 ) -> Answer {
     let (parts, incoming) = response.into_parts();
     let headers = fields::header_map(&fields::end_to_end_headers(&parts.headers));
     let size = incoming.size_hint().exact();
-    let left = Duration::from_micros(proxy_request.remaining_us());
+    let remaining = Duration::from_micros(proxy_request.remaining_us());
     if size.is_none_or(|size| size > buffer_bytes as u64) {
-        let body = UpstreamBody::new(incoming, slot, conn, left, watch);
+        let body = UpstreamBody::new(incoming, slot, conn, remaining, pending_send);
         return Answer::ran(parts.status, headers, AnswerBody::Upstream(Box::new(body)));
     }
-    let Ok(collected) = tokio::time::timeout(left, incoming.collect()).await else {
+    let Ok(collected) = tokio::time::timeout(remaining, incoming.collect()).await else {
         return Answer::unknown(Code::DeadlineAfterDispatch);
     };
     let Ok(collected) = collected else {
-        slot.finish(AttemptOutcome::Failed);
+        slot.release(AttemptOutcome::Failed);
         return Answer::unknown(Code::AnswerTruncated);
     };
     conn.return_to_pool();
     let latency_us = slot.elapsed_us();
     let failed = is_server_failure(parts.status);
     if !failed {
-        watch.record_response();
+        pending_send.record_response();
     }
-    slot.finish(if failed {
+    slot.release(if failed {
         AttemptOutcome::Failed
     } else {
         AttemptOutcome::Answered { latency_us }
     });
-    Answer::ran(parts.status, headers, AnswerBody::Whole(collected.to_bytes()))
+    Answer::ran(parts.status, headers, AnswerBody::Buffered(collected.to_bytes()))
 }
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -131,14 +131,14 @@
 /// has been forwarded then.
 async fn read_request(router: &Router, request: Request<Incoming>) -> Result<ProxyRequest, Answer> {
     let settings = &router.board.settings.requests;
-    let refuse = |err: &Coded| Answer::not_run(err.code, 0);
+    let reject = |err: &Coded| Answer::not_run(err.code, 0);
     let (parts, incoming) = request.into_parts();
     let headers = &parts.headers;
     let service = service_name(&parts).ok_or_else(|| Answer::not_run(Code::BadRequest, 0))?;
     let key = match headers.get(fields::IDEMPOTENCY_KEY) {
         Some(value) => {
             let text = value.to_str().unwrap_or("");
-            Some(IdempotencyKey::parse(text).map_err(|err| refuse(&err))?)
+            Some(IdempotencyKey::parse(text).map_err(|err| reject(&err))?)
         }
         None => None,
     };
@@ -205,7 +205,7 @@
     let keep_ms = board.settings.requests.address_keep_ms;
     let answer = AddressList { service: service.into(), keep_ms, addresses };
     let text = serde_json::to_vec(&answer).unwrap_or_default();
-    let mut response = Response::new(AnswerBody::Whole(text.into()));
+    let mut response = Response::new(AnswerBody::Buffered(text.into()));
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert("content-type", json);
     response
@@ -215,21 +215,21 @@
 fn list_addresses(router: &Router, service: &str, zone: &str) -> Vec<AddressEntry> {
     let board = &router.board;
     let view = board.members_view();
-    let mut named: Vec<Arc<MemberRow>> = Vec::new();
+    let mut listed: Vec<Arc<MemberRow>> = Vec::new();
     if let Some(state) = board.services().get(service) {
         let placement = Placement::decide(&state.spec, &view.rows, board.incarnation, zone);
-        named.extend(placement.homes);
+        listed.extend(placement.homes);
     }
     let others = view.rows.iter().filter(|row| row.state.takes_work());
     let mut others: Vec<&Arc<MemberRow>> = others.collect();
     others.sort_by_key(|row| (row.zone != zone, row.incarnation ^ board.incarnation));
     for row in others {
-        if !named.iter().any(|known| known.incarnation == row.incarnation) {
-            named.push(Arc::clone(row));
+        if !listed.iter().any(|known| known.incarnation == row.incarnation) {
+            listed.push(Arc::clone(row));
         }
     }
-    named.truncate(ADDRESSES_MAX);
-    named.iter().map(|row| address_entry(router, row)).collect()
+    listed.truncate(ADDRESSES_MAX);
+    listed.iter().map(|row| address_entry(router, row)).collect()
 }
 
 fn address_entry(router: &Router, row: &MemberRow) -> AddressEntry {
--- a/src/route/fields.rs
+++ b/src/route/fields.rs
@@ -54,11 +54,11 @@
 /// The fields that are forwarded, as pairs for messages between instances.
 #[must_use]
 pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<(String, Vec<u8>)> {
-    let named: Vec<String> = connection_options(headers);
-    let travel = headers.iter().filter(|(name, _)| {
-        !is_not_forwarded(name) && !named.iter().any(|other| other == name.as_str())
+    let options: Vec<String> = connection_options(headers);
+    let forwarded = headers.iter().filter(|(name, _)| {
+        !is_not_forwarded(name) && !options.iter().any(|other| other == name.as_str())
     });
-    travel.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
+    forwarded.map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec())).collect()
 }
 
 /// The hop-by-hop fields that the `connection` field lists.
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -60,9 +60,9 @@
         let incarnation = self.board.incarnation;
         let epoch = self.board.outcomes.epoch_of(incarnation)?;
         let own = KeyPrefix { incarnation, epoch };
-        let within = Duration::from_micros(proxy_request.remaining_us());
+        let remaining = Duration::from_micros(proxy_request.remaining_us());
         let claimed = claim(&self.store, &proxy_request.service, &key.text, own);
-        tokio::time::timeout(within, claimed).await.ok().flatten()
+        tokio::time::timeout(remaining, claimed).await.ok().flatten()
     }
 
     async fn forward_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
@@ -139,8 +139,8 @@
         mut result: watch::Receiver<Option<RecordedOutcome>>,
     ) -> Answer {
         self.board.counters.add(Counter::Followed);
-        let within = Duration::from_micros(proxy_request.remaining_us());
-        let ended = tokio::time::timeout(within, result.wait_for(Option::is_some)).await;
+        let remaining = Duration::from_micros(proxy_request.remaining_us());
+        let ended = tokio::time::timeout(remaining, result.wait_for(Option::is_some)).await;
         match ended {
             Ok(Ok(outcome)) => outcome
                 .as_ref()
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,8 +1,8 @@
 //! The request path: caller listener, idempotency key, home instance, slot, backend server.
 //!
-//! The homes of a service are the instances that send its requests to backend servers; a co-home
-//! is another home of the same service. Each backend server has one keeper: the only home that
-//! hands out its slots. A slot is the capacity for one request in flight on a backend server.
+//! The homes of a service are the instances that normally send its requests to the backend
+//! servers; a co-home is another home of the same service. Each backend server has one keeper: the
+//! home that hands out its slots. A slot is the capacity of a backend server for one request.
 
 mod answer;
 mod attempt;
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -16,7 +16,9 @@
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
+/// Pause between two rounds over the queues of all services.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of a load message.
 const SEND_TIMEOUT: Duration = Duration::from_millis(200);
 /// Load messages per second, over all services: at about 90 bytes each they take 3.6 KB of the
 /// 5 KB of control traffic that a node may send per second.
@@ -26,7 +28,9 @@
 
 /// Rate limit for the load messages of this instance.
 struct TokenBucket {
+    /// Messages that may be sent at once.
     tokens: f64,
+    /// When the tokens were last refilled.
     refilled_ms: u64,
 }
 
@@ -57,7 +61,7 @@
     }
 }
 
-fn send_load_to_co_homes(router: &Router, state: &ServiceState, budget: &mut TokenBucket) {
+fn send_load_to_co_homes(router: &Router, state: &ServiceState, rate_limit: &mut TokenBucket) {
     let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
     if free == 0 && waiting == 0 {
         return;
@@ -65,7 +69,7 @@
     for home in &state.homes {
         if home.incarnation == router.board.incarnation
             || !state.runtime.should_send_load(home.incarnation, waiting > 0)
-            || !budget.try_take()
+            || !rate_limit.try_take()
         {
             continue;
         }
@@ -91,7 +95,7 @@
 }
 
 /// Serves the queues of all services once; returns whether requests wait here or at a co-home.
-fn serve_queues(router: &Router, budget: &mut TokenBucket) -> bool {
+fn serve_queues(router: &Router, rate_limit: &mut TokenBucket) -> bool {
     let mut waiting = false;
     let services = router.board.services().clone();
     for state in services.values() {
@@ -102,7 +106,7 @@
         }
         waiting = true;
         if state.is_home && state.homes.len() > 1 {
-            send_load_to_co_homes(router, state, budget);
+            send_load_to_co_homes(router, state, rate_limit);
         }
     }
     waiting
@@ -111,10 +115,10 @@
 /// Serves the queues of this instance while there are any: hands out slots that became free by
 /// time alone, and sends load messages to the co-homes. Sleeps while there are no queues.
 pub async fn run_queues(router: Router) {
-    let mut budget = TokenBucket { tokens: MESSAGES_BURST_MAX, refilled_ms: now_ms() };
+    let mut rate_limit = TokenBucket { tokens: MESSAGES_BURST_MAX, refilled_ms: now_ms() };
     loop {
         router.board.queue_formed.notified().await;
-        while serve_queues(&router, &mut budget) {
+        while serve_queues(&router, &mut rate_limit) {
             tokio::time::sleep(QUEUE_INTERVAL).await;
         }
     }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -29,7 +29,7 @@
         let kind = state.spec.kind_of(&proxy_request.method, proxy_request.path());
         // Instances may briefly have different revisions in force: a request is retried only if
         // every instance that handles it considers it idempotent.
-        let passed_as_idempotent = proxy_request.idempotent;
+        let forwarded_as_idempotent = proxy_request.idempotent;
         proxy_request.idempotent &= kind.is_some_and(|kind| kind.idempotent);
         if !proxy_request.idempotent
             && proxy_request.key.is_none()
@@ -37,7 +37,7 @@
         {
             return Answer::not_run(Code::KeyRequired, 0);
         }
-        let answer = self.dispatch(&state, proxy_request, passed_as_idempotent).await;
+        let answer = self.dispatch(&state, proxy_request, forwarded_as_idempotent).await;
         self.board.counters.add(Counter::of_outcome(answer.outcome));
         answer
     }
@@ -46,7 +46,7 @@
         &self,
         state: &Arc<ServiceState>,
         proxy_request: ProxyRequest,
-        passed_as_idempotent: bool,
+        forwarded_as_idempotent: bool,
     ) -> Answer {
         if proxy_request.idempotent {
             return self.run(state, &proxy_request).await;
@@ -54,7 +54,7 @@
         // At a home, the owner of the key has already decided on it, unless the sender, on an older
         // revision, considered the request idempotent and bypassed the owner: if it ran here then,
         // it could run a second time at the owner.
-        let key_resolved = proxy_request.stage >= Stage::Home && !passed_as_idempotent;
+        let key_resolved = proxy_request.stage >= Stage::Home && !forwarded_as_idempotent;
         match proxy_request.key.clone() {
             Some(key) if !key_resolved => self.run_keyed(state, proxy_request, key).await,
             _ => self.run_detached(state, proxy_request).await,
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -37,6 +37,7 @@
 /// Added to the deadline of a forwarded request, so that the other instance's final answer arrives
 /// before this instance gives up and answers `unknown`.
 const FORWARD_GRACE: Duration = Duration::from_millis(20);
+/// Timeout of a message about a leaving server.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Retry delay for the caller, in milliseconds, if nothing better is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 100;
@@ -56,6 +57,7 @@
     answer.outcome != Outcome::Ran || is_server_failure(answer.status)
 }
 
+/// The answer to a request that is not admitted to the queue.
 fn rejection(admission: Admission) -> Answer {
     match admission {
         Admission::NoServer { retry_after_ms } => Answer::not_run(Code::NoServer, retry_after_ms),
@@ -76,6 +78,8 @@
     other.await.after_earlier_attempts(may_have_run)
 }
 
+/// Whether the request is to be retried after this answer; if so, takes a token from the retry
+/// budget.
 fn try_spend_retry(
     state: &ServiceState,
     proxy_request: &ProxyRequest,
@@ -137,7 +141,7 @@
         let head = proxy_request.pass_head(stage);
         let within = Duration::from_micros(proxy_request.remaining_us()) + FORWARD_GRACE;
         let buffer_bytes = self.board.settings.requests.answer_buffer_bytes;
-        let passed = async {
+        let forwarded = async {
             let reply = self.links.pass(to.peer, &head, &proxy_request.body).await?;
             if let Some(state) = self.board.services().get(&proxy_request.service) {
                 state.runtime.record_free_slots(to.incarnation, reply.head.free);
@@ -145,11 +149,13 @@
             }
             Answer::from_peer(reply, buffer_bytes).await
         };
-        let answer = tokio::time::timeout(within, passed).await.map_err(|_| PeerError::Lost)??;
+        let answer =
+            tokio::time::timeout(within, forwarded).await.map_err(|_| PeerError::Lost)??;
         self.board.counters.add(Counter::Passed);
         Ok(answer)
     }
 
+    /// Runs a request on the backend servers or at a co-home, with retries.
     async fn run_locally(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
         let mut avoid: SmallVec<[usize; 4]> = SmallVec::new();
         let mut attempts = 0;
@@ -183,7 +189,7 @@
     }
 
     /// Chooses where the next attempt runs: in a free slot of the servers that this home keeps,
-    /// else at a co-home with free slots, else where the queue assigns it.
+    /// else at a co-home with free slots, else where the queue directs it.
     async fn choose_target(
         &self,
         state: &ServiceState,
@@ -191,20 +197,20 @@
         avoid: &[usize],
     ) -> Target {
         let slot_queue = &state.runtime.slot_queue;
-        let reach = if state.is_home { ServerScope::Own } else { ServerScope::All };
-        if let Some(slot) = slot_queue.try_acquire(reach, avoid) {
+        let scope = if state.is_home { ServerScope::Own } else { ServerScope::All };
+        if let Some(slot) = slot_queue.try_acquire(scope, avoid) {
             return Target::Local(slot);
         }
         if let Some(home) =
-            self.choose_co_home(state, proxy_request, slot_queue.has_usable_server(reach))
+            self.choose_co_home(state, proxy_request, slot_queue.has_usable_server(scope))
         {
             return Target::CoHome(home);
         }
         // A home that keeps no usable server, and has no co-home to forward to, uses all servers.
-        let reach = if slot_queue.has_usable_server(reach) { reach } else { ServerScope::All };
+        let scope = if slot_queue.has_usable_server(scope) { scope } else { ServerScope::All };
         self.board.counters.add(Counter::Queued);
         self.board.queue_formed.notify_one();
-        self.wait_for_target(state, proxy_request, avoid, reach).await
+        self.wait_for_target(state, proxy_request, avoid, scope).await
     }
 
     /// Waits until a slot is free here or a co-home reports free slots.
@@ -213,12 +219,12 @@
         state: &ServiceState,
         proxy_request: &ProxyRequest,
         avoid: &[usize],
-        reach: ServerScope,
+        scope: ServerScope,
     ) -> Target {
         let mut position = QueuePosition::Back;
         loop {
             let (offer, max_wait) = match state.runtime.slot_queue.enqueue(
-                reach,
+                scope,
                 avoid,
                 position,
                 proxy_request.remaining_us(),
@@ -289,8 +295,8 @@
             answer = &mut first => return answer,
             () = tokio::time::sleep(delay) => {}
         }
-        let reach = if state.is_home { ServerScope::Own } else { ServerScope::All };
-        let Some(offer) = slot_queue.enqueue_hedge(reach, index) else {
+        let scope = if state.is_home { ServerScope::Own } else { ServerScope::All };
+        let Some(offer) = slot_queue.enqueue_hedge(scope, index) else {
             return first.await;
         };
         let slot = tokio::select! {
--- a/src/route/service_state.rs
+++ b/src/route/service_state.rs
@@ -14,7 +14,7 @@
 /// A co-home's report of free slots expires after this time.
 const FREE_SLOTS_AGE_MAX_MS: u64 = 300;
 
-/// A co-home that reported waiting requests is sent the free slots of this instance for this time.
+/// For this time after it reported waiting requests, a co-home is sent the load of this instance.
 const QUEUE_REPORT_AGE_MAX_MS: u64 = 50;
 /// Shortest time between two load messages to the same co-home.
 const LOAD_SEND_INTERVAL_MS: u64 = 10;
@@ -42,6 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct ServiceRuntime {
     pub slot_queue: SlotQueue,
+    /// By incarnation.
     co_home_loads: Arc<Mutex<HashMap<u64, CoHomeLoad>>>,
 }
 
@@ -77,11 +78,11 @@
         let mut loads = self.co_home_loads.lock();
         let load = loads.entry(incarnation).or_default();
         let due = now.saturating_sub(load.last_sent_ms) >= LOAD_SEND_INTERVAL_MS;
-        let tell = due && (queued_here || load.has_queue(now));
-        if tell {
+        let send = due && (queued_here || load.has_queue(now));
+        if send {
             load.last_sent_ms = now;
         }
-        tell
+        send
     }
 
     /// Takes one of the free slots that a co-home reported; returns whether there was one.
@@ -102,6 +103,7 @@
 /// The snapshot of a service that the request path reads.
 #[derive(Clone, Debug)]
 pub struct ServiceState {
+    /// The revision of `spec`.
     pub revision: u64,
     pub spec: Arc<Service>,
     /// The homes in the zone of this instance come first.
--- a/src/route/slot.rs
+++ b/src/route/slot.rs
@@ -22,7 +22,7 @@
     pub index: usize,
     pub upstream: Arc<Upstream>,
     pub(super) started_us: u64,
-    pub(super) finished: bool,
+    pub(super) released: bool,
 }
 
 impl Slot {
@@ -38,16 +38,16 @@
     }
 
     /// Releases the slot and records how the attempt ended.
-    pub fn finish(mut self, finish: AttemptOutcome) {
-        self.finished = true;
-        self.queue.finish(self.index, finish);
+    pub fn release(mut self, outcome: AttemptOutcome) {
+        self.released = true;
+        self.queue.release_slot(self.index, outcome);
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if !self.finished {
-            self.queue.finish(self.index, AttemptOutcome::Cancelled);
+        if !self.released {
+            self.queue.release_slot(self.index, AttemptOutcome::Cancelled);
         }
     }
 }
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -48,7 +48,11 @@
 /// A place in the queue, or the reason for the rejection.
 #[derive(Debug)]
 pub enum EnqueueResult {
-    Queued { offer: oneshot::Receiver<Offer>, max_wait: Duration },
+    /// The request waits for `offer`, at most for `max_wait`.
+    Queued {
+        offer: oneshot::Receiver<Offer>,
+        max_wait: Duration,
+    },
     Rejected(Admission),
 }
 
@@ -88,25 +92,25 @@
         let now = now_us();
         let mut state = self.state.lock();
         state.preference = service.preference;
-        for at in 0..state.servers.len() {
-            let upstream = &state.servers[at].upstream;
+        for index in 0..state.servers.len() {
+            let upstream = &state.servers[index].upstream;
             let declared = service
                 .backend_servers
                 .iter()
                 .any(|server| server.id == upstream.id && server.address == upstream.address);
-            state.set_close_reason(at, CloseReason::Removed, !declared);
+            state.set_close_reason(index, CloseReason::Removed, !declared);
         }
         let initial = state.servers.is_empty();
         for (server, is_keeper) in service.backend_servers.iter().zip(is_keeper) {
-            let at = state.find_or_add_server(server, initial, now);
+            let index = state.find_or_add_server(server, initial, now);
             let open_max = (server.connections_max / share.max(1)).max(1);
-            state.servers[at].upstream.set_open_max(open_max);
-            state.pool.loads_mut()[at].slots = server.slots;
-            state.pool.loads_mut()[at].is_keeper = *is_keeper;
-            let changed = state.set_close_reason(at, CloseReason::Drained, server.drained);
+            state.servers[index].upstream.set_open_max(open_max);
+            state.pool.loads_mut()[index].slots = server.slots;
+            state.pool.loads_mut()[index].is_keeper = *is_keeper;
+            let changed = state.set_close_reason(index, CloseReason::Drained, server.drained);
             if changed && !server.drained {
                 // Undraining by the operator overrides the server's own earlier announcement.
-                state.set_close_reason(at, CloseReason::SelfReported, false);
+                state.set_close_reason(index, CloseReason::SelfReported, false);
             }
         }
         self.dispatch_slots(state);
@@ -121,13 +125,13 @@
 
     /// Takes a slot if one is free and no request is waiting.
     #[must_use]
-    pub fn try_acquire(&self, reach: ServerScope, avoid: &[usize]) -> Option<Slot> {
+    pub fn try_acquire(&self, scope: ServerScope, avoid: &[usize]) -> Option<Slot> {
         let now = now_us();
         let mut state = self.state.lock();
         if state.waiting.iter().any(|waiter| !waiter.sender.is_closed()) {
             return None;
         }
-        let index = state.pool.acquire_slot(reach, avoid, now)?;
+        let index = state.pool.acquire_slot(scope, avoid, now)?;
         Some(self.new_slot(&state, index, now))
     }
 
@@ -137,7 +141,7 @@
     #[must_use]
     pub fn enqueue_hedge(
         &self,
-        reach: ServerScope,
+        scope: ServerScope,
         first_index: usize,
     ) -> Option<oneshot::Receiver<Offer>> {
         let mut state = self.state.lock();
@@ -146,7 +150,7 @@
         }
         let (sender, offer) = oneshot::channel();
         let avoid = SmallVec::from_slice(&[first_index]);
-        state.waiting.push_front(Waiter { reach, avoid, sender });
+        state.waiting.push_front(Waiter { scope, avoid, sender });
         self.dispatch_slots(state);
         Some(offer)
     }
@@ -174,7 +178,7 @@
     #[must_use]
     pub fn enqueue(
         &self,
-        reach: ServerScope,
+        scope: ServerScope,
         avoid: &[usize],
         position: QueuePosition,
         remaining_us: u64,
@@ -184,7 +188,7 @@
         let view = QueueView {
             waiting: state.waiting.len(),
             waiting_max: state.queue_max,
-            slots: state.pool.usable_slots(reach, avoid, now_us()),
+            slots: state.pool.usable_slots(scope, avoid, now_us()),
             median_service_us: state.pool.median_service_us(),
             remaining_us,
         };
@@ -193,7 +197,7 @@
             refusal => return EnqueueResult::Rejected(refusal),
         };
         let (sender, offer) = oneshot::channel();
-        let waiter = Waiter { reach, avoid: avoid.into(), sender };
+        let waiter = Waiter { scope, avoid: avoid.into(), sender };
         match position {
             QueuePosition::Back => state.waiting.push_back(waiter),
             QueuePosition::Front => state.waiting.push_front(waiter),
@@ -234,10 +238,10 @@
         self.state.lock().pool.median_service_us()
     }
 
-    /// Whether any server within `reach` may be used now.
+    /// Whether any server within `scope` may be used now.
     #[must_use]
-    pub fn has_usable_server(&self, reach: ServerScope) -> bool {
-        self.state.lock().pool.usable_slots(reach, &[], now_us()) > 0
+    pub fn has_usable_server(&self, scope: ServerScope) -> bool {
+        self.state.lock().pool.usable_slots(scope, &[], now_us()) > 0
     }
 
     /// The number of free slots, and of waiting requests.
@@ -248,8 +252,8 @@
         (state.pool.free_slots(now_us()), waiting)
     }
 
-    /// Hands out slots that became free by time alone: an ejection that ended, a ramp-up
-    /// that rose. Returns whether any request was waiting.
+    /// Hands out slots that became free by time alone: an ejection ended, or a ramp-up advanced.
+    /// Returns whether any request was waiting.
     #[must_use]
     pub fn dispatch_waiting(&self) -> bool {
         let state = self.state.lock();
@@ -265,7 +269,7 @@
     pub fn set_closed(&self, server_id: &str, reason: CloseReason, closed: bool) -> bool {
         let mut state = self.state.lock();
         let found = state.servers.iter().position(|server| server.upstream.id == server_id);
-        let changed = found.is_some_and(|at| state.set_close_reason(at, reason, closed));
+        let changed = found.is_some_and(|index| state.set_close_reason(index, reason, closed));
         self.dispatch_slots(state);
         changed
     }
@@ -302,13 +306,13 @@
             index,
             upstream: Arc::clone(&state.servers[index].upstream),
             started_us: now_us,
-            finished: false,
+            released: false,
         }
     }
 
-    pub(super) fn finish(&self, index: usize, finish: AttemptOutcome) {
+    pub(super) fn release_slot(&self, index: usize, outcome: AttemptOutcome) {
         let mut state = self.state.lock();
-        state.pool.release_slot(index, finish, now_us());
+        state.pool.release_slot(index, outcome, now_us());
         self.dispatch_slots(state);
     }
 
@@ -322,19 +326,21 @@
         }
         let now = now_us();
         let mut ready: SmallVec<[(oneshot::Sender<Offer>, Slot); 4]> = SmallVec::new();
-        let mut at = 0;
-        while at < state.waiting.len().min(OFFERED_WAITERS_MAX) {
-            if state.waiting[at].sender.is_closed() {
-                state.waiting.remove(at);
+        let mut position = 0;
+        while position < state.waiting.len().min(OFFERED_WAITERS_MAX) {
+            if state.waiting[position].sender.is_closed() {
+                state.waiting.remove(position);
                 continue;
             }
             let SlotQueueState { pool, waiting, .. } = &mut *state;
-            let Some(index) = pool.acquire_slot(waiting[at].reach, &waiting[at].avoid, now) else {
-                at += 1;
+            let Some(index) =
+                pool.acquire_slot(waiting[position].scope, &waiting[position].avoid, now)
+            else {
+                position += 1;
                 continue;
             };
             let slot = self.new_slot(&state, index, now);
-            if let Some(waiter) = state.waiting.remove(at) {
+            if let Some(waiter) = state.waiting.remove(position) {
                 ready.push((waiter.sender, slot));
             }
         }
--- a/src/route/slot_queue_state.rs
+++ b/src/route/slot_queue_state.rs
@@ -45,7 +45,8 @@
 /// A request that waits for a slot.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub reach: ServerScope,
+    /// The servers whose slots it may get.
+    pub scope: ServerScope,
     /// Indices of the servers that earlier attempts of the request used.
     pub avoid: SmallVec<[usize; 4]>,
     pub sender: oneshot::Sender<Offer>,
@@ -57,7 +58,9 @@
     pub pool: SlotPool,
     /// In the order of the pool's rows. A row keeps its index while it has requests in flight.
     pub servers: Vec<ServerRow>,
+    /// The longest waiting request is first.
     pub waiting: VecDeque<Waiter>,
+    /// Most requests that may wait.
     pub queue_max: usize,
     pub preference: Preference,
 }
@@ -74,8 +77,8 @@
         let same = |row: &ServerRow| {
             row.upstream.id == server.id && row.upstream.address == server.address
         };
-        if let Some(at) = self.servers.iter().position(same) {
-            return at;
+        if let Some(index) = self.servers.iter().position(same) {
+            return index;
         }
         let upstream = Arc::new(Upstream::new(&server.id, server.address, 1));
         let row = ServerRow { upstream, close_reasons: 0 };
@@ -86,13 +89,14 @@
             ServerLoad::cold(server.slots, now_us)
         };
         let removed = CloseReason::Removed.bit();
-        let unused = (0..self.servers.len()).find(|&at| {
-            self.servers[at].close_reasons & removed != 0 && self.pool.loads()[at].in_flight == 0
+        let unused = (0..self.servers.len()).find(|&index| {
+            self.servers[index].close_reasons & removed != 0
+                && self.pool.loads()[index].in_flight == 0
         });
-        if let Some(at) = unused {
-            self.servers[at] = row;
-            self.pool.loads_mut()[at] = load;
-            return at;
+        if let Some(index) = unused {
+            self.servers[index] = row;
+            self.pool.loads_mut()[index] = load;
+            return index;
         }
         self.servers.push(row);
         self.pool.loads_mut().push(load);
@@ -101,11 +105,11 @@
 
     /// Sets or clears one close reason; returns whether that changed anything. A server that is
     /// reopened restarts its ramp-up.
-    pub fn set_close_reason(&mut self, at: usize, reason: CloseReason, closed: bool) -> bool {
-        let before = self.servers[at].close_reasons;
+    pub fn set_close_reason(&mut self, index: usize, reason: CloseReason, closed: bool) -> bool {
+        let before = self.servers[index].close_reasons;
         let after = if closed { before | reason.bit() } else { before & !reason.bit() };
-        self.servers[at].close_reasons = after;
-        let load = &mut self.pool.loads_mut()[at];
+        self.servers[index].close_reasons = after;
+        let load = &mut self.pool.loads_mut()[index];
         if before != 0 && after == 0 {
             load.restart_ramp_up(now_us());
         }
--- a/src/route/upstream.rs
+++ b/src/route/upstream.rs
@@ -18,10 +18,11 @@
 use crate::clock::now_ms;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection idle for longer is not used for requests that are not idempotent: the server's
-/// own idle timeout may close it while the request is written, and the outcome would be unknown.
+/// Idle time after which a connection is not used for requests that are not idempotent: the idle
+/// timeout of the server may close it while the request is written, which leaves the outcome
+/// unknown.
 const RECENT_IDLE_MAX_MS: u64 = 4_000;
-/// A connection idle for longer is closed.
+/// Idle time after which a connection is closed.
 const IDLE_MAX_MS: u64 = 60_000;
 /// A server that was used within this time keeps a spare connection.
 const SPARE_CONN_PERIOD_MS: u64 = 10_000;
@@ -128,8 +129,8 @@
     }
 
     /// Takes the most recently used idle connection, unless it has been idle for too long.
-    fn pop_idle(&self, need: Freshness) -> Option<SendRequest<Full<Bytes>>> {
-        let oldest_ms = now_ms().saturating_sub(need.idle_max_ms());
+    fn pop_idle(&self, freshness: Freshness) -> Option<SendRequest<Full<Bytes>>> {
+        let oldest_ms = now_ms().saturating_sub(freshness.idle_max_ms());
         let mut idle = self.idle.lock();
         while let Some(last) = idle.pop() {
             if last.sender.is_closed() {
@@ -154,16 +155,16 @@
         now_ms().saturating_sub(self.last_used_ms.load(Ordering::Relaxed)) <= SPARE_CONN_PERIOD_MS
     }
 
-    /// Closes connections that were idle for too long. Opens a spare one if the server is in use
-    /// and has none, so that a request beside others need not wait for a new connection.
+    /// Closes connections that were idle for too long. Opens a spare one if the server was used
+    /// recently and has none, so that a concurrent request need not wait for a new connection.
     pub async fn maintain(self: &Arc<Self>) {
         let now = now_ms();
-        let fresh = {
+        let has_recent = {
             let mut idle = self.idle.lock();
-            idle.retain(|one| now - one.idle_since_ms <= IDLE_MAX_MS && !one.sender.is_closed());
-            idle.iter().any(|one| now - one.idle_since_ms <= RECENT_IDLE_MAX_MS)
+            idle.retain(|conn| now - conn.idle_since_ms <= IDLE_MAX_MS && !conn.sender.is_closed());
+            idle.iter().any(|conn| now - conn.idle_since_ms <= RECENT_IDLE_MAX_MS)
         };
-        if fresh || !self.recently_used() {
+        if has_recent || !self.recently_used() {
             return;
         }
         if let Ok(Some(sender)) = tokio::time::timeout(CONNECT_TIMEOUT, self.connect()).await {
@@ -175,9 +176,9 @@
     /// A connection that is ready for a request: the most recently used idle one, or a new one.
     ///
     /// `None` if none can be opened; no byte of a request has been sent then.
-    pub async fn checkout(self: &Arc<Self>, need: Freshness) -> Option<PooledConn> {
+    pub async fn checkout(self: &Arc<Self>, freshness: Freshness) -> Option<PooledConn> {
         self.last_used_ms.store(now_ms(), Ordering::Relaxed);
-        while let Some(mut sender) = self.pop_idle(need) {
+        while let Some(mut sender) = self.pop_idle(freshness) {
             if sender.ready().await.is_ok() {
                 return Some(PooledConn { sender, upstream: Arc::clone(self) });
             }
@@ -187,7 +188,7 @@
     }
 
     async fn connect(&self) -> Option<SendRequest<Full<Bytes>>> {
-        let count = self.acquire_permit()?;
+        let permit = self.acquire_permit()?;
         let stream = TcpStream::connect(self.address).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
@@ -195,7 +196,7 @@
         tokio::spawn(async move {
             // An error also reaches the attempt that uses the connection.
             let _ = connection.await;
-            drop(count);
+            drop(permit);
         });
         Some(sender)
     }
