--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -248,7 +248,7 @@
             table: Arc::clone(&table),
             quotas: Arc::clone(&quotas),
         };
-        let quota_gate = QuotaLimiter {
+        let quota_limiter = QuotaLimiter {
             board: Arc::clone(&board),
             links: links.clone(),
             table: Arc::clone(&table),
@@ -262,7 +262,7 @@
             dispatcher: dispatcher.clone(),
             config,
             servers,
-            quota_gate: quota_gate.clone(),
+            quota_gate: quota_limiter.clone(),
         };
         let forwarder = Forwarder {
             dialect: dialect.clone(),
@@ -271,9 +271,9 @@
             admission: admission.clone(),
             response_memory: Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE)),
         };
-        let room = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE));
-        let patience = Arc::new(SpentTimeEstimator::default());
-        let callers = CallerHandler { forwarder, room, patience, quota_gate };
+        let body_memory = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE));
+        let spent_time = Arc::new(SpentTimeEstimator::default());
+        let callers = CallerHandler { forwarder, body_memory, spent_time, quota_limiter };
         let readiness =
             ReadinessHandler { dialect: dialect.clone(), board: Arc::clone(&board), table };
         let addresses = AddressHandler { dialect, board: Arc::clone(&board), admission };
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! What must hold of the configuration for a request to be admitted, or rejected for good.
+//! Checks whether the active configuration is fresh enough to admit a request or to reject it
+//! permanently.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,21 +12,24 @@
 use crate::conf::GatewaySettings;
 use crate::errors::Code;
 
-/// Part of the time for which a key that was taken away may be served: the rest is for clocks that differ.
+/// Fraction of the key revocation time up to which the configuration's last confirmation may be old
+/// for keys to be accepted. The rest allows for clocks that run at different rates.
 const PROOF_AGE_REJECT_RATIO: f64 = 0.9;
-/// Part of it after which callers are sent to other instances.
+/// Fraction of the key revocation time after which the instance reports itself as not ready, so
+/// that callers move to other instances before keys are refused.
 const PROOF_AGE_UNREADY_RATIO: f64 = 0.6;
-/// When to come back: another instance, or this one a moment later, has asked the store.
+/// Retry delay, in milliseconds, for a request refused because the configuration may be stale. By
+/// then this instance has asked the store again, or the caller reaches another instance.
 const STALE_CONFIG_RETRY_MS: u64 = 200;
 
-/// The configuration in force, and how far it can be relied on; clones share.
+/// The current configuration and how fresh it is known to be. Clones share state.
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub table: CurrentRouteTable,
     age: Arc<MirrorAge>,
-    /// A version is in force everywhere within this.
+    /// Time within which a new configuration version is active on every instance.
     config_apply: Duration,
-    /// For so long a key may be served after it was taken away; not bounded without.
+    /// How long a revoked key may still be accepted; unbounded if `None`.
     key_revocation: Option<Duration>,
 }
 
@@ -34,7 +38,7 @@
 }
 
 impl Admission {
-    /// Relies on `table` as far as `age` and the bounds of the settings allow.
+    /// Creates the checks of `table` from the age of its copy and the bounds in the settings.
     #[must_use]
     pub fn new(table: CurrentRouteTable, age: Arc<MirrorAge>, settings: &GatewaySettings) -> Self {
         Self {
@@ -50,17 +54,18 @@
             .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(part)))
     }
 
-    /// Whether callers should be sent here: keys will hold for a while.
+    /// Whether callers should be sent to this instance: no keys are required, or they can be
+    /// accepted for some time yet.
     #[must_use]
     pub fn accepts_callers(&self) -> bool {
         let any_keys = self.table.load().as_ref().is_some_and(|table| table.workspaces.is_some());
         !any_keys || self.confirmed_within(PROOF_AGE_UNREADY_RATIO)
     }
 
-    /// Whether what is in force is proved to be new enough to serve anybody by a key.
+    /// Checks that the active configuration is confirmed recently enough to accept any key.
     ///
     /// # Errors
-    /// The final answer where it is not.
+    /// A retryable reply if it is not.
     pub fn check_freshness(&self) -> Result<(), LocalReply> {
         if self.confirmed_within(PROOF_AGE_REJECT_RATIO) {
             Ok(())
@@ -69,10 +74,10 @@
         }
     }
 
-    /// Whether a caller who was admitted before may still be served.
+    /// Checks that a caller admitted earlier may still be served.
     ///
     /// # Errors
-    /// The final answer where the key opens nothing any more, or nobody knows.
+    /// The final reply if its key is no longer valid, or if that cannot be determined.
     pub fn check_caller(&self, caller: Option<&Caller>) -> Result<(), LocalReply> {
         let Some(caller) = caller else {
             return Ok(());
@@ -85,8 +90,9 @@
         Err(self.reject_or_retry(LocalReply::key_rejected()))
     }
 
-    /// A rejection for good, if the table that it goes by cannot be older than a version may take to be in
-    /// force everywhere: a route or key that is missing may be new.
+    /// Returns a permanent rejection as it is if the route table is recent enough to support it.
+    /// Otherwise returns a retryable reply, since the route or key that is missing may just have
+    /// been added.
     #[must_use]
     pub fn reject_or_retry(&self, rejection: LocalReply) -> LocalReply {
         if rejection.retry_after_ms.is_none() && self.age.age() > self.config_apply {
@@ -95,10 +101,10 @@
         rejection
     }
 
-    /// The route table, or the answer that there is none.
+    /// The current route table.
     ///
     /// # Errors
-    /// Without any configuration.
+    /// A retryable reply if no configuration has been loaded.
     pub fn table(&self, retry_after_ms: u64) -> Result<Arc<RouteTable>, LocalReply> {
         let table = self.table.load_full();
         table.ok_or_else(|| LocalReply::not_run(Code::NoConfiguration, retry_after_ms))
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, told by its key.
+//! Identifies the workspace of a request by its API key.
 
 use std::sync::Arc;
 
@@ -13,17 +13,18 @@
 use crate::workspace::KeyHash;
 use crate::workspace::Workspace;
 
-/// When to come back while a workspace cannot be read: its operators correct that within minutes.
+/// Retry delay, in milliseconds, while the entry of a workspace is unreadable. Operators correct
+/// that within minutes.
 const SUSPENDED_KEY_RETRY_MS: u64 = 2_000;
 
-/// The workspace of a request, and the key that says so.
+/// The workspace of a request and the hash of the key that identified it.
 #[derive(Clone, Debug)]
 pub struct Caller {
     pub workspace: Arc<Workspace>,
     key: KeyHash,
 }
 
-/// The only key that a request bears.
+/// The hash of the request's key; `None` unless the header occurs exactly once and is not empty.
 fn single_key(headers: &HeaderMap, name: &HeaderName) -> Option<KeyHash> {
     let mut values = headers.get_all(name).iter();
     let value = values.next().filter(|value| !value.is_empty())?;
@@ -31,10 +32,10 @@
 }
 
 impl Caller {
-    /// Whose request it is; `None` where no key is needed.
+    /// Identifies the caller; `None` if the route or configuration requires no key.
     ///
     /// # Errors
-    /// The final answer where the key opens nothing.
+    /// The final reply if the key is missing or unknown, or if its workspace is unreadable.
     pub fn authenticate(
         table: &RouteTable,
         route: &Route,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Whether its key still opens the same workspace.
+    /// Whether the key still belongs to the same workspace.
     #[must_use]
     pub fn still_authenticated(&self, table: &RouteTable) -> bool {
         let access = table.workspaces.as_ref().and_then(|workspaces| workspaces.access(self.key));
--- a/src/gateway/caller_handler.rs
+++ b/src/gateway/caller_handler.rs
@@ -1,4 +1,4 @@
-//! Requests of callers: read, routed, forwarded, answered.
+//! Serves callers' requests: reads, routes and forwards them, and returns the reply.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,13 +23,13 @@
 use super::RouteTable;
 use super::forward_request::ForwardRequest;
 use super::forwarder::Forwarder;
-use super::memory_room::MemoryBudget;
-use super::memory_room::MemoryReservation;
-use super::patience::SpentTimeEstimator;
-use super::quota_gate::QuotaLimiter;
+use super::memory_budget::MemoryBudget;
+use super::memory_budget::MemoryReservation;
+use super::quota_limiter::QuotaLimiter;
 use super::reply::LocalReply;
 use super::reply::Reply;
 use super::reply::ReplyBody;
+use super::spent_time_estimator::SpentTimeEstimator;
 use crate::board::Counter;
 use crate::board::Latency;
 use crate::board::Phase;
@@ -41,22 +41,23 @@
 use crate::peer::Links;
 use crate::quarantine::Fingerprints;
 
-/// When to come back while no configuration is known: the first one is there within a second.
+/// Retry delay, in milliseconds, while no configuration is loaded. The first one arrives within a
+/// second.
 const NO_CONFIG_RETRY_MS: u64 = 300;
-/// When to come back while bodies fill the memory set aside for them.
+/// Retry delay, in milliseconds, while request bodies fill the memory reserved for them.
 const BODY_MEMORY_RETRY_MS: u64 = 500;
 
-/// The configuration in force; `None` until the first is known.
+/// The current configuration; `None` until the first one is loaded.
 pub type CurrentRouteTable = Arc<ArcSwapOption<RouteTable>>;
 
-/// Serves callers; clones share.
+/// Handles callers' requests. Clones share state.
 #[derive(Clone, Debug)]
 pub struct CallerHandler<D> {
     pub forwarder: Forwarder<D>,
-    /// For the bodies of requests.
-    pub room: Arc<MemoryBudget>,
-    pub patience: Arc<SpentTimeEstimator>,
-    pub quota_gate: QuotaLimiter<Links>,
+    /// Memory for request bodies.
+    pub body_memory: Arc<MemoryBudget>,
+    pub spent_time: Arc<SpentTimeEstimator>,
+    pub quota_limiter: QuotaLimiter<Links>,
 }
 
 impl<D: Dialect> CallerHandler<D> {
@@ -68,7 +69,8 @@
         self.forwarder.admission.table.load()
     }
 
-    /// The route of a request and whose it is, or the answer that it is not served.
+    /// Finds the route of a request and identifies its caller, or returns the reply that rejects
+    /// it.
     fn admit(
         &self,
         parts: &http::request::Parts,
@@ -78,35 +80,38 @@
         let found = table.find_route(request_host(parts), parts.uri.path()).cloned();
         let no_route = || LocalReply::rejected(StatusCode::NOT_FOUND, Code::NoRoute);
         let route = found.ok_or_else(|| admission.reject_or_retry(no_route()))?;
-        let fields = self.forwarder.dialect.header_names();
-        let caller = Caller::authenticate(&table, &route, &parts.headers, &fields.api_key)
-            .map_err(|own| admission.reject_or_retry(own))?;
+        let names = self.forwarder.dialect.header_names();
+        let caller = Caller::authenticate(&table, &route, &parts.headers, &names.api_key)
+            .map_err(|rejection| admission.reject_or_retry(rejection))?;
         if caller.is_some() {
             admission.check_freshness()?;
         }
         Ok((route, caller))
     }
 
-    /// The caller's request, whole.
+    /// Reads the complete request, within the quota, size and time limits.
     async fn read_request(
         &self,
         request: Request<Incoming>,
         arrived_us: u64,
-        part: &mut MemoryReservation,
+        reservation: &mut MemoryReservation,
     ) -> Result<ForwardRequest, LocalReply> {
         let (parts, incoming) = request.into_parts();
         let (route, caller) = self.admit(&parts)?;
-        let quota = self.quota_gate.acquire(caller.as_ref()).await?;
-        let fields = self.forwarder.dialect.header_names();
-        let told = parts.headers.get(&fields.timeout_ms).and_then(|value| value.to_str().ok());
-        let told_ms = told.and_then(|text| text.trim().parse::<u64>().ok());
-        let timeout_ms = told_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-        let spent_us =
-            told_ms.map_or(0, |told_ms| self.patience.spent_ms(&route.name, told_ms)) * 1000;
+        let quota = self.quota_limiter.acquire(caller.as_ref()).await?;
+        let names = self.forwarder.dialect.header_names();
+        let timeout_text =
+            parts.headers.get(&names.timeout_ms).and_then(|value| value.to_str().ok());
+        let caller_timeout_ms = timeout_text.and_then(|text| text.trim().parse::<u64>().ok());
+        let timeout_ms = caller_timeout_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
+        let spent_us = caller_timeout_ms.map_or(0, |caller_timeout_ms| {
+            self.spent_time.spent_ms(&route.name, caller_timeout_ms)
+        }) * 1000;
         let deadline_us = arrived_us + timeout_ms * 1000;
-        let left = Duration::from_micros(deadline_us.saturating_sub(now_us()));
+        let remaining = Duration::from_micros(deadline_us.saturating_sub(now_us()));
         let body_bytes_max = self.current_limits().body_bytes_max;
-        let body = tokio::time::timeout(left, read_body(incoming, body_bytes_max, part)).await;
+        let body =
+            tokio::time::timeout(remaining, read_body(incoming, body_bytes_max, reservation)).await;
         let body = body.unwrap_or_else(|_| {
             Err(LocalReply::rejected(StatusCode::REQUEST_TIMEOUT, Code::BodyIncomplete))
         });
@@ -116,7 +121,7 @@
             return Err(LocalReply::not_run(Code::NoServer, NO_CONFIG_RETRY_MS));
         };
         Ok(ForwardRequest {
-            id: parts.headers.get(&fields.request_id).cloned(),
+            id: parts.headers.get(&names.request_id).cloned(),
             fingerprints: fingerprints(&parts, &body),
             path_and_query: target(&parts).to_owned(),
             method: parts.method,
@@ -135,10 +140,10 @@
 
     async fn respond(&self, request: Request<Incoming>) -> Reply {
         let arrived_us = now_us();
-        let fields = self.forwarder.dialect.header_names();
-        let id = request.headers().get(&fields.request_id).cloned();
-        let mut part = self.room.reservation();
-        let mut reply = match self.read_request(request, arrived_us, &mut part).await {
+        let names = self.forwarder.dialect.header_names();
+        let id = request.headers().get(&names.request_id).cloned();
+        let mut reservation = self.body_memory.reservation();
+        let mut reply = match self.read_request(request, arrived_us, &mut reservation).await {
             Ok(request) => {
                 let reply = self.forwarder.forward(&request).await;
                 if reply.not_run() {
@@ -147,20 +152,20 @@
                 self.log_request(&request, &reply);
                 reply
             }
-            Err(own) => {
+            Err(rejection) => {
                 let id = id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-");
                 info!(
-                    event = "request-rejected", id = id, code = own.code.number(),
-                    status = own.status.as_u16(), version = self.config_version();
-                    "not forwarded"
+                    event = "request-rejected", id = id, code = rejection.code.number(),
+                    status = rejection.status.as_u16(), version = self.config_version();
+                    "request rejected"
                 );
-                own.into()
+                rejection.into()
             }
         };
         if reply.code != Code::Ok
             && let Some(id) = id
         {
-            reply.headers.insert(fields.request_id.clone(), id);
+            reply.headers.insert(names.request_id.clone(), id);
         }
         reply
     }
@@ -185,7 +190,7 @@
             status = reply.status.as_u16(), code = reply.code.number(),
             took_ms = took.as_millis(), spent_before_ms = request.spent_us / 1000,
             allowed_ms = request.deadline_us.saturating_sub(request.arrived_us) / 1000;
-            "answered"
+            "request completed"
         );
     }
 }
@@ -195,7 +200,7 @@
     parts.uri.host().or(named).unwrap_or("")
 }
 
-/// Path and query.
+/// The path and query of a request.
 fn target(parts: &http::request::Parts) -> &str {
     parts.uri.path_and_query().map_or("/", |target| target.as_str())
 }
@@ -205,27 +210,27 @@
     Fingerprints::of(caller, request_host(parts), parts.method.as_str(), target(parts), body)
 }
 
-/// Reads a body within the limits.
+/// Reads a request body within the size and memory limits.
 async fn read_body(
     mut incoming: Incoming,
     bytes_max: usize,
-    part: &mut MemoryReservation,
+    reservation: &mut MemoryReservation,
 ) -> Result<Bytes, LocalReply> {
     let too_large = || LocalReply::rejected(StatusCode::PAYLOAD_TOO_LARGE, Code::BodyTooLarge);
-    let told = incoming.size_hint().exact().unwrap_or(0);
-    if told > bytes_max as u64 {
+    let declared_bytes = incoming.size_hint().exact().unwrap_or(0);
+    if declared_bytes > bytes_max as u64 {
         return Err(too_large());
     }
     let mut body = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
-        let cut = |_| LocalReply::rejected(StatusCode::BAD_REQUEST, Code::BodyIncomplete);
-        let Ok(bytes) = frame.map_err(cut)?.into_data() else {
+        let incomplete = |_| LocalReply::rejected(StatusCode::BAD_REQUEST, Code::BodyIncomplete);
+        let Ok(bytes) = frame.map_err(incomplete)?.into_data() else {
             continue;
         };
         if body.len() + bytes.len() > bytes_max {
             return Err(too_large());
         }
-        if !part.try_grow(bytes.len()) {
+        if !reservation.try_grow(bytes.len()) {
             return Err(LocalReply::not_run(Code::BodyRoomFull, BODY_MEMORY_RETRY_MS));
         }
         body.extend_from_slice(&bytes);
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform calls the things that a gateway says and hears; implemented by its adapter.
+//! The names and formats of a platform, implemented by its adapter.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,78 +11,80 @@
 use crate::model::ServerRow;
 use crate::workspace::redact_keys;
 
-/// Header fields between callers, gateway and backend servers.
+/// Names of the headers exchanged with callers and backend servers.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identifies one attempt of a caller; echoed by backend servers.
+    /// Identifies one attempt of a caller. Backend servers echo it.
     pub request_id: HeaderName,
-    /// The key by which a caller's workspace is told; never sent on.
+    /// The API key that identifies the caller's workspace; never forwarded.
     pub api_key: HeaderName,
-    /// Tells a backend server whose request it is; set here, whatever the caller sent.
+    /// Tells a backend server the workspace of a request. A value sent by the caller is replaced.
     pub workspace: HeaderName,
-    /// Milliseconds that the sender still waits.
+    /// Milliseconds that the sender of a request keeps waiting.
     pub timeout_ms: HeaderName,
-    /// Names the backend server that a request is meant for; others refuse it.
+    /// Id of the backend server that a request is meant for. Other servers refuse it.
     pub expected_server: HeaderName,
-    /// Present on answers made by a backend server's own work.
+    /// Present on responses that the backend server itself produced by running the request.
     pub signature: HeaderName,
-    /// Load of a backend server, read by [`Dialect::parse_load`].
+    /// Load of a backend server, parsed by [`Dialect::parse_load`].
     pub load: HeaderName,
-    /// Present when the backend server did not run the request.
+    /// Present if the backend server did not run the request.
     pub not_run: HeaderName,
-    /// Id of the backend server, on health answers.
+    /// Id of the backend server, on health check responses.
     pub server_id: HeaderName,
-    /// Milliseconds for which a backend server stays cold, on health answers of those that are.
+    /// Milliseconds of warm-up that the backend server has left, on health check responses while it
+    /// warms up.
     pub warmup_left_ms: HeaderName,
-    /// Requests a second, as a decimal number, that a backend server takes from all instances together;
-    /// present while it names such a limit.
+    /// Requests per second, as a decimal number, that a backend server accepts from all instances
+    /// together; present while it sets such a limit.
     pub rate_limit: HeaderName,
-    /// Present on all answers of a backend server that leaves.
+    /// Present on all responses of a backend server that drains.
     pub draining: HeaderName,
 }
 
-/// Where the platform's store keeps what the gateway reads and writes.
+/// Keys of the platform's store that the gateway reads and writes.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreKeys {
-    /// Keys that the operators write begin so: the configuration and the evacuations.
+    /// Prefix of the keys that operators write: the configuration and the evacuations.
     pub operators_prefix: &'static str,
     pub config: &'static str,
-    /// Keys of evacuations begin so; the availability zone follows. One is in force while its key is
-    /// there.
+    /// Prefix of evacuation keys, followed by the availability zone. A zone is evacuated while its
+    /// key exists.
     pub evacuations_prefix: &'static str,
-    /// Keys of backend servers begin so; their id follows.
+    /// Prefix of backend server keys, followed by the server id.
     pub servers_prefix: &'static str,
-    /// Keys of instances begin so; written by the instances themselves.
+    /// Prefix of instance keys, which the instances write themselves.
     pub instances_prefix: &'static str,
-    /// Keys of requests that crash backend servers begin so; written by the instances themselves.
+    /// Prefix of the keys of requests suspected of crashing backend servers, which the instances
+    /// write themselves.
     pub suspects_prefix: &'static str,
 }
 
-/// Paths that the platform calls on an instance.
+/// Paths of an instance that the platform calls.
 #[derive(Clone, Copy, Debug)]
 pub struct InstancePaths {
     pub addresses: &'static str,
     pub readiness: &'static str,
-    /// Field of the query of `addresses` that names the caller's zone.
+    /// Query parameter of `addresses` that names the caller's zone.
     pub zone_query_param: &'static str,
 }
 
-/// One platform's names and formats. It translates and decides nothing.
+/// The names and formats of one platform. It only translates and makes no decisions.
 pub trait Dialect: Clone + Send + Sync + 'static {
-    /// Names of header fields.
+    /// Names of the HTTP headers.
     fn header_names(&self) -> &HeaderNames;
 
     /// Keys of the store.
     fn store_keys(&self) -> StoreKeys;
 
-    /// Paths of an instance.
+    /// Paths served by an instance.
     fn instance_paths(&self) -> InstancePaths;
 
-    /// A version of the operators' configuration, in the light of the one before; as the product
-    /// writes it, unless a platform writes it otherwise.
+    /// Decodes a version of the operators' configuration, falling back on `before` for parts that
+    /// are unreadable. The default reads the product's own format.
     ///
     /// # Errors
-    /// Says why nothing of it can be read.
+    /// Why the configuration as a whole cannot be read.
     fn decode_config(
         &self,
         value: &[u8],
@@ -91,21 +93,21 @@
         RouteTable::parse(value, before)
     }
 
-    /// A version of the configuration with the hashes of keys in their place, as it is kept and handed
-    /// on; read by [`Dialect::decode_config`].
+    /// Encodes a version of the configuration with its keys replaced by their hashes, as it is
+    /// stored and passed to other instances. [`Dialect::decode_config`] reads it.
     fn redact_config(&self, value: Vec<u8>) -> Vec<u8> {
         redact_keys(value)
     }
 
-    /// A listed backend server.
+    /// Decodes the entry of a backend server.
     ///
     /// # Errors
-    /// Says what cannot be read.
+    /// What cannot be read.
     fn decode_server(&self, id: &str, value: &[u8]) -> Result<ServerRow, String>;
 
-    /// The load that a backend server tells.
+    /// Parses the load that a backend server reports.
     fn parse_load(&self, text: &str) -> Option<LoadReport>;
 
-    /// The answer to callers that ask which addresses to use, and how long to keep it.
+    /// Encodes the list of instance addresses for callers, and how long they may keep it.
     fn encode_addresses(&self, addresses: &[SocketAddr], keep: Duration) -> Vec<u8>;
 }
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Gives requests their backend servers, over all services.
+//! Assigns backend servers to requests, for all services.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,63 +32,63 @@
 use crate::model::ServerRow;
 use crate::starts::HomeShare;
 
-/// How often queues are looked at, while somebody waits, for requests that became late and servers
-/// that came back.
+/// Interval at which the queues, while not empty, are checked for expired requests and for servers
+/// that became available again.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Time between two clean-ups of servers that are gone.
+/// Interval between removals of servers that are gone.
 const CLEANUP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a waiting request is told.
+/// What a queued request receives: a slot or a refusal.
 type QueueOutcome = Result<Box<Grant>, Refusal>;
 
 #[derive(Debug, Default)]
 pub(super) struct DispatcherState {
     pub(super) pools: HashMap<Arc<str>, ServicePool>,
     pub(super) servers: HashMap<Arc<str>, Arc<Server>>,
-    /// The same servers by the hash by which instances name them to each other.
+    /// The same servers by the hash that identifies them in messages between instances.
     pub(super) by_key: HashMap<u32, Arc<Server>>,
     pub(super) starts: ServerStarts,
     pub(super) claims: AddressClaims,
     pub(super) evacuations: Evacuations,
-    /// By service.
+    /// Limits for servers that warm up, by service.
     pub(super) cold_policies: HashMap<Arc<str>, ColdRule>,
     pub(super) home_set: Arc<HomeShare>,
     pub(super) peers: PeerLiveness,
     pub(super) in_use: ServersInUse,
-    /// Whether any server is unlisted and not forgotten yet.
+    /// Whether any unlisted server has not been removed yet.
     pub(super) any_unlisted: bool,
-    /// Raised by each change of the list of servers.
+    /// Incremented by each change of the list of servers.
     pub(super) list_version: u64,
     waiters: HashMap<u64, oneshot::Sender<QueueOutcome>>,
 }
 
 impl DispatcherState {
-    /// Services for which requests wait.
+    /// Services with queued requests.
     pub(super) fn services_with_queue(&self) -> Vec<Arc<str>> {
         let waited_for = self.pools.iter().filter(|(_, pool)| pool.queue_len() > 0);
         waited_for.map(|(service, _)| Arc::clone(service)).collect()
     }
 }
 
-/// Hands out slots; clones share.
+/// Assigns slots of backend servers to requests. Clones share state.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     zone: Arc<str>,
-    /// Of all instances together.
+    /// Retry budget of all instances together.
     pub(super) retry_allowance: RetryAllowance,
-    /// Instances that divide the slack of the repeat budget.
+    /// Number of instances that share the slack of the retry budget.
     pub(super) budget_sharers: Arc<AtomicUsize>,
     next_ticket: Arc<AtomicU64>,
     pub(super) state: Arc<Mutex<DispatcherState>>,
-    /// Slots that are handed out now.
+    /// Slots in use.
     granted_slots: Arc<AtomicUsize>,
-    /// Told when the first slot is handed out after none was.
+    /// Notified when the number of slots in use rises from zero.
     became_busy: Arc<Notify>,
-    /// Told when a request begins to wait.
+    /// Notified when a request is queued.
     enqueued: Arc<Notify>,
 }
 
-/// Takes a request out of the queue when its caller leaves.
+/// Removes a request from the queue if its caller leaves.
 struct QueueEntryGuard<'a> {
     dispatcher: &'a Dispatcher,
     service: &'a Arc<str>,
@@ -111,7 +111,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher of an instance in `zone` that knows no server yet.
+    /// Creates a dispatcher without servers for an instance in `zone`.
     #[must_use]
     pub fn new(zone: &str, retry_allowance: RetryAllowance) -> Self {
         Self {
@@ -146,31 +146,31 @@
         Some(Grant { server, choice, ticket, spec: ask, end: SendOutcome::Cancelled, dispatcher })
     }
 
-    /// All servers known now.
+    /// All known servers.
     #[must_use]
     pub fn servers(&self) -> Vec<Arc<Server>> {
         self.state.lock().servers.values().cloned().collect()
     }
 
-    /// Changes whenever the list of servers does.
+    /// A number that changes with the list of servers.
     #[must_use]
     pub fn list_version(&self) -> u64 {
         self.state.lock().list_version
     }
 
-    /// Takes note that connections of a server are used beside requests.
+    /// Records that a connection to a server is opened for something other than a request.
     pub fn record_use(&self, server: &Arc<Server>) {
         self.state.lock().in_use.record(server);
     }
 
-    /// The usual time of such a request, in milliseconds.
+    /// The typical duration of such a request, in milliseconds.
     #[must_use]
     pub fn typical_ms(&self, service: &str, ask: &RequestSpec) -> f64 {
         let state = self.state.lock();
         state.pools.get(service).map_or(ask.target_ms, |pool| pool.typical_ms(ask))
     }
 
-    /// A slot for a second send, only if one is free that nobody waits for.
+    /// Takes a slot for a hedged request, if one is free and nothing is queued for it.
     #[must_use]
     pub fn try_acquire_spare(&self, service: &str, ask: &RequestSpec) -> Option<Grant> {
         let mut state = self.state.lock();
@@ -183,14 +183,14 @@
         self.grant_slot(&mut state, choice, ticket, ask.clone())
     }
 
-    /// A slot for a request, now or after some waiting.
+    /// Takes a slot for a request, which waits in the queue if none is free.
     ///
     /// # Errors
-    /// When none would come in time.
+    /// If no slot is expected to become free in time.
     pub async fn acquire(&self, service: &Arc<str>, ask: RequestSpec) -> Result<Grant, Refusal> {
         let ticket = self.ticket();
         let mut undelivered = Vec::new();
-        let offer = {
+        let receiver = {
             let mut state = self.state.lock();
             state.forget_silent_peers(now_us());
             let pool = state.pools.entry(Arc::clone(service)).or_default();
@@ -203,20 +203,20 @@
             }
             let pool = state.pools.entry(Arc::clone(service)).or_default();
             pool.enqueue(ticket, ask, now_us())?;
-            let (sender, offer) = oneshot::channel();
+            let (sender, receiver) = oneshot::channel();
             state.waiters.insert(ticket, sender);
             self.enqueued.notify_one();
             self.serve_waiting(&mut state, service, &mut undelivered);
-            offer
+            receiver
         };
-        let queued = QueueEntryGuard { dispatcher: self, service, ticket };
-        let offered = offer.await;
-        drop(queued);
+        let entry = QueueEntryGuard { dispatcher: self, service, ticket };
+        let outcome = receiver.await;
+        drop(entry);
         let refused = Refusal { no_server: true, ..Refusal::default() };
-        offered.unwrap_or(Err(refused)).map(|grant| *grant)
+        outcome.unwrap_or(Err(refused)).map(|grant| *grant)
     }
 
-    /// What a request is told whose time passed while it waited.
+    /// The refusal for a request that timed out in the queue.
     #[must_use]
     pub fn refusal(&self, service: &str, retry_after_ms: u64) -> Refusal {
         let state = self.state.lock();
@@ -246,7 +246,7 @@
         self.serve_waiting(&mut state, service, &mut undelivered);
     }
 
-    /// Does something with what is believed of a server; `None` for one that is forgotten.
+    /// Applies `work` to the state of a server; `None` if the server is no longer known.
     fn with_tracked_server<T>(
         &self,
         server: &Server,
@@ -255,30 +255,31 @@
         self.state.lock().tracked_server(server).map(work)
     }
 
-    /// Takes in the answer to a health check, and for how long the server says that it is cold.
-    pub fn record_health_check(&self, server: &Server, well: bool, cold_left_ms: Option<u64>) {
+    /// Records the result of a health check, and how long the server says that it continues to warm
+    /// up.
+    pub fn record_health_check(&self, server: &Server, healthy: bool, warmup_left_ms: Option<u64>) {
         self.with_tracked_server(server, |track| {
-            track.record_health_check(well, now_us());
-            track.record_warmup_left(cold_left_ms, now_us());
+            track.record_health_check(healthy, now_us());
+            track.record_warmup_left(warmup_left_ms, now_us());
         });
     }
 
-    /// Whether any server of a service ever told its load.
+    /// Whether any server of a service has ever reported its load.
     #[must_use]
     pub fn service_reports_load(&self, service: &str) -> bool {
         let state = self.state.lock();
-        let told = |track: &TrackedServer| track.slowdown_age_us(now_us()).is_some();
-        state.pools.get(service).is_some_and(|pool| pool.servers.iter().any(told))
+        let has_report = |track: &TrackedServer| track.slowdown_age_us(now_us()).is_some();
+        state.pools.get(service).is_some_and(|pool| pool.servers.iter().any(has_report))
     }
 
-    /// Whether a server ever told its load.
+    /// Whether a server has ever reported its load.
     #[must_use]
     pub fn reports_load(&self, server: &Server) -> bool {
         self.with_tracked_server(server, |track| track.slowdown_age_us(now_us()).is_some())
             .unwrap_or(false)
     }
 
-    /// Whether a server told its load after `since_us`.
+    /// Whether a server has reported its load after `since_us`.
     #[must_use]
     pub fn reported_load_since(&self, server: &Server, since_us: u64) -> bool {
         let age_us =
@@ -286,29 +287,29 @@
         age_us.is_some_and(|age_us| now_us().saturating_sub(age_us) > since_us)
     }
 
-    /// Takes note that a server did not answer a health check.
+    /// Records that a server did not respond to a health check.
     pub fn record_check_timeout(&self, server: &Server) {
         self.with_tracked_server(server, |track| track.record_check_timeout(now_us()));
     }
 
-    /// Whether nothing of this instance runs anywhere.
+    /// Whether no request of this instance is running at any server.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.granted_slots.load(Ordering::Acquire) == 0
     }
 
-    /// Returns at once while something runs, else as soon as something does.
+    /// Waits until a request of this instance is running; returns at once if one is.
     pub async fn wait_until_busy(&self) {
-        let began = self.became_busy.notified();
-        tokio::pin!(began);
-        began.as_mut().enable();
+        let became_busy = self.became_busy.notified();
+        tokio::pin!(became_busy);
+        became_busy.as_mut().enable();
         if self.is_idle() {
-            began.await;
+            became_busy.await;
         }
     }
 
-    /// Whether a server is no place any more for a request that was given a slot of it, expecting an
-    /// answer after `expected_ms`; see [`ServicePool::worse`].
+    /// Whether a request that was given a slot of a server, and expects a response after
+    /// `expected_ms`, should no longer be sent there; see [`ServicePool::worse`].
     #[must_use]
     pub fn is_worse(&self, server: &Server, ask: &RequestSpec, expected_ms: f64) -> bool {
         let state = self.state.lock();
@@ -318,14 +319,14 @@
         })
     }
 
-    /// Whether requests wait for slots.
+    /// Whether any request is queued.
     #[must_use]
     pub fn has_queue(&self) -> bool {
         self.state.lock().pools.values().any(|pool| pool.queue_len() > 0)
     }
 
-    /// Offers free slots to those that wait. Grants that cannot be delivered are left in
-    /// `undelivered`, to be dropped once the lock is released: dropping takes it again.
+    /// Gives free slots to queued requests. Grants that cannot be delivered are left in
+    /// `undelivered`: dropping one takes the lock, so the caller drops them after releasing it.
     pub(super) fn serve_waiting(
         &self,
         state: &mut DispatcherState,
@@ -351,7 +352,7 @@
         }
     }
 
-    /// Refuses the waiting requests that became late, and serves those that can be.
+    /// Refuses queued requests that expired, and gives free slots to the others.
     fn process_queues(&self) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
@@ -370,25 +371,26 @@
         let refusal = pool.refusal(now_us());
         for ticket in pool.expire_queued(now_us()) {
             if let Some(sender) = state.waiters.remove(&ticket) {
-                // A caller that left meanwhile needs no refusal.
+                // The receiver is gone if the caller left; no refusal is needed then.
                 let _ = sender.send(Err(refusal));
             }
         }
     }
 
-    /// Serves and refuses waiting requests as time passes, until the process ends.
+    /// Serves and expires queued requests as time passes, and removes servers that are gone, until
+    /// the process ends.
     ///
-    /// Without a queue it sleeps: at a hundred turns a second an idle instance would spend more on
-    /// looking at nothing than on all of its other control work.
+    /// Sleeps while no request is queued: polling a hundred times a second would cost an idle
+    /// instance more than all of its other control work.
     pub async fn run(self) {
-        let tidied = self.clone();
-        let tidy = async move {
+        let cleaner = self.clone();
+        let clean_up_loop = async move {
             loop {
                 tokio::time::sleep(CLEANUP_INTERVAL).await;
-                tidied.clean_up();
+                cleaner.clean_up();
             }
         };
-        let serve = async move {
+        let serve_loop = async move {
             loop {
                 self.enqueued.notified().await;
                 while self.has_queue() {
@@ -397,6 +399,6 @@
                 }
             }
         };
-        tokio::join!(tidy, serve);
+        tokio::join!(clean_up_loop, serve_loop);
     }
 }
--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves, taken in.
+//! Records what backend servers report about themselves in their responses.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::model::ServerState;
 
 impl Dispatcher {
-    /// Takes in what a server said of itself.
+    /// Records what a server reported about itself.
     pub fn record_notice(&self, server: &Server, heard: Heard, notice: ServerNotice) {
         let mut state = self.state.lock();
         let Some(track) = state.tracked_server(server) else {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a server asked this instance for rest.
+    /// Whether a server has asked this instance to send it nothing for some time.
     #[must_use]
     pub fn in_cooldown(&self, server: &Server) -> bool {
         let mut state = self.state.lock();
@@ -78,7 +78,7 @@
     info!(
         event = "server-rests", server = &*track.row.id, service = &*track.row.service,
         rest_ms = rest.as_millis(), heard = heard.name(), running = track.own_in_flight();
-        "it turned a request away and asks for rest"
+        "the server refused a request and asked for a pause"
     );
 }
 
@@ -90,7 +90,7 @@
     );
 }
 
-/// What the server said before stays in force.
+/// Logs a rate limit that cannot be read. The server's previous limit remains in effect.
 fn record_invalid_rate_limit(track: &mut TrackedServer, heard: Heard) {
     if !track.start_limits.rate_limit.record_unreadable() {
         return;
--- a/src/gateway/dispatcher_peers.rs
+++ b/src/gateway/dispatcher_peers.rs
@@ -1,4 +1,4 @@
-//! What other instances have at the backend servers, and what they are told of this one.
+//! Exchange of the number of requests that each instance has in flight at the backend servers.
 
 use std::collections::HashMap;
 
@@ -8,16 +8,16 @@
 use crate::peer::ServerLoadRow;
 use crate::peer::ServerLoads;
 
-/// A peer that was not heard for this long is gone, and its requests with it: four of the
-/// intervals at which an idle peer is heard.
+/// Time without a message after which a peer, and its in-flight requests, are taken to be gone:
+/// four times the interval at which an idle peer sends.
 pub(super) const PEER_TIMEOUT_US: u64 = 1_000_000;
-/// Least time between two looks for peers that fell silent.
+/// Minimum interval between two checks for peers that timed out.
 const PEER_CHECK_INTERVAL_US: u64 = 50_000;
 
-/// When each peer was heard last.
+/// When a message of each peer last arrived.
 ///
-/// Kept here and not with each server: a word then costs as many steps as it names servers, however
-/// many there are, and the servers are gone through only when a peer falls silent.
+/// Kept once instead of with each server: the cost of a message then depends only on the servers
+/// that it names, and all servers are visited only when a peer times out.
 #[derive(Debug, Default)]
 pub(super) struct PeerLiveness {
     last_heard_us: HashMap<u64, u64>,
@@ -25,7 +25,7 @@
 }
 
 impl PeerLiveness {
-    /// Takes out the peers that fell silent.
+    /// Removes and returns the peers that timed out.
     fn take_silent(&mut self, now_us: u64) -> Vec<u64> {
         if now_us.saturating_sub(self.last_check_us) < PEER_CHECK_INTERVAL_US {
             return Vec::new();
@@ -42,7 +42,7 @@
 }
 
 impl DispatcherState {
-    /// Forgets what peers have that fell silent.
+    /// Discards the in-flight requests of peers that timed out.
     pub(super) fn forget_silent_peers(&mut self, now_us: u64) {
         for peer in self.peers.take_silent(now_us) {
             for track in self.pools.values_mut().flat_map(|pool| &mut pool.servers) {
@@ -52,7 +52,7 @@
     }
 
     fn record_peer_load(&mut self, from: u64, row: ServerLoadRow, now_us: u64) {
-        // A server that the peer knows and this one does not, or not any more.
+        // The peer may know a server that is not known here yet, or no longer.
         let Some(server) = self.by_key.get(&row.server).cloned() else {
             return;
         };
@@ -63,8 +63,9 @@
 }
 
 impl Dispatcher {
-    /// What this instance has at the servers, and the pace of those it has just heard of; of the
-    /// others there is nothing to tell. Only servers with connections are looked at.
+    /// The in-flight requests of this instance at each server, and the slowdown of servers that
+    /// reported it recently. Only servers with open connections are visited; there is nothing to
+    /// report about the others.
     #[must_use]
     pub fn own_loads(&self) -> Vec<ServerLoadRow> {
         let mut state = self.state.lock();
@@ -77,7 +78,7 @@
         rows.filter(|row| row.in_flight > 0 || row.pace_percent > 0).collect()
     }
 
-    /// Takes in what changed in what another instance has at the servers.
+    /// Records changes in the in-flight requests of a peer.
     pub fn record_peer_loads(&self, loads: &ServerLoads) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -1,4 +1,4 @@
-//! The servers that a dispatcher hands out slots of: listed, started anew, gone.
+//! Maintains the dispatcher's servers as they are listed, restarted and removed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,23 +14,23 @@
 use crate::clock::now_us;
 use crate::model::ServerRow;
 
-/// Servers of a service that an instance which is no home knows.
+/// Maximum number of servers per service known to an instance that is not a home.
 const SAMPLE_SERVERS_MAX: usize = 16;
 
 impl DispatcherState {
-    /// What is believed of one start of a server; `None` once a later one is known.
+    /// The state of one start of a server; `None` once a later start is known.
     pub(super) fn tracked_server(&mut self, server: &Server) -> Option<&mut TrackedServer> {
         let track = self.pools.get_mut(&server.row.service)?.server_mut(&server.row.id)?;
         (track.key == server.key).then_some(track)
     }
 
-    /// Who of those that are listed at one address is used.
+    /// Marks the latest server listed at an address as used, and the earlier one as superseded.
     fn claim_address(&mut self, row: &ServerRow) {
         if let Some(before) = self.claims.claim(row.address, &row.id) {
             info!(
                 event = "address-taken-over", server = &*row.id, before = &*before,
                 address = row.address.to_string().as_str();
-                "the one before is not used while both are listed"
+                "the earlier server is not used while both are listed"
             );
             self.set_superseded(&before, true);
         }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Forgets the servers that are neither listed nor in use, if any was unlisted.
+    /// Removes servers that are neither listed nor in use, if any was unlisted.
     fn forget_unlisted(&mut self) {
         if !self.any_unlisted {
             return;
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Takes note of a later start. The pool that it is listed in replaces what it believes; one of
-    /// another service would keep it.
+    /// Discards the state of a server that started again. Within the same service the pool replaces
+    /// that state itself; the pool of another service would keep it.
     fn forget_previous_start(&mut self, before: &Server, row: &ServerRow) {
         info!(
             event = "server-started-anew", server = &*row.id, service = &*before.row.service,
             before_ms = before.row.started_ms;
-            "what was known of it is forgotten"
+            "the state of the earlier start is discarded"
         );
         if before.row.service != row.service
             && let Some(pool) = self.pools.get_mut(&before.row.service)
@@ -110,8 +110,8 @@
 }
 
 impl Dispatcher {
-    /// Lists a server, unless the row is of an earlier start, or an earlier report, than what is
-    /// known already.
+    /// Lists a server, unless the row is from an earlier start or an earlier report than the latest
+    /// known one.
     pub fn list_server(&self, row: ServerRow) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
@@ -121,8 +121,8 @@
         self.apply_row(&mut state, &row, &mut undelivered);
     }
 
-    /// A server that starts again holds and knows nothing of before, so neither do we: its
-    /// connections, slots, pace and failures go with the start that they were of.
+    /// Applies the row of a server. A restarted server has no memory of its earlier requests, so
+    /// its connections, slots, slowdown and failures are discarded here as well.
     fn apply_row(
         &self,
         state: &mut DispatcherState,
@@ -159,7 +159,7 @@
         self.serve_waiting(state, &service, undelivered);
     }
 
-    /// Some servers of each service that may be used, of this zone if it has any; by id.
+    /// Ids of a sample of usable servers of each service, preferring those in `zone`.
     #[must_use]
     pub fn sample(&self, zone: u64) -> Vec<Arc<str>> {
         let state = self.state.lock();
@@ -171,24 +171,24 @@
             .collect()
     }
 
-    /// The servers of this part, of each service those among which requests are given one first.
+    /// The servers of this subset, with the preferred servers of each service first.
     #[must_use]
-    pub fn near_servers(&self, part: &ServerSubset) -> Vec<Arc<Server>> {
+    pub fn near_servers(&self, subset: &ServerSubset) -> Vec<Arc<Server>> {
         let state = self.state.lock();
         let pools = state.pools.values();
         let near = pools.flat_map(|pool| {
-            part.select(&pool.servers).into_iter().map(|place| &pool.servers[place].row.id)
+            subset.select(&pool.servers).into_iter().map(|place| &pool.servers[place].row.id)
         });
         near.filter_map(|id| state.servers.get(id).cloned()).collect()
     }
 
-    /// Whether any server is listed here.
+    /// Whether any server is known.
     #[must_use]
     pub fn has_servers(&self) -> bool {
         !self.state.lock().servers.is_empty()
     }
 
-    /// The platform no longer lists a server; it may be used for `grace` more.
+    /// Handles the removal of a server from the platform's list. It may be used for `grace` longer.
     pub fn unlist_server(&self, id: &str, grace: Duration) {
         let mut state = self.state.lock();
         state.starts.drop_held(id);
@@ -197,13 +197,14 @@
         }
     }
 
-    /// Another server has the address of this one now. A later start of it, which may have another
-    /// address, is not concerned.
+    /// Stops using a server because another server now has its address. Does not affect a later
+    /// start of the same server, which may have another address.
     pub fn unlist_displaced(&self, server: &Server) {
         self.state.lock().mark_unlisted(server, Duration::ZERO);
     }
 
-    /// Clears away what is gone, and puts reports in force that nobody contradicted.
+    /// Removes servers and connections that are no longer needed, and applies held rows that
+    /// nothing contradicted.
     pub(super) fn clean_up(&self) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -1,5 +1,5 @@
-//! This instance's parts of what all instances share: the budget of repeats, and the connections
-//! that backend servers accept.
+//! This instance's shares of limits that apply to all instances together: the retry budget and the
+//! connections that backend servers accept.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,18 +15,19 @@
 use crate::cold::ColdRule;
 use crate::starts::HomeShare;
 
-/// This instance's part of the connections that a server accepts; it needs one at least.
+/// This instance's share of the connections that a server accepts; at least one.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a part of a whole number"
+    reason = "a share of an integer"
 )]
-fn connection_share(rule: &ServiceConfig, part: f64) -> u32 {
-    (f64::from(rule.connections_max) * part).max(1.0) as u32
+fn connection_share(rule: &ServiceConfig, share: f64) -> u32 {
+    (f64::from(rule.connections_max) * share).max(1.0) as u32
 }
 
 impl DispatcherState {
-    /// Tells the pool of a service what holds for its servers in need, and who shares that.
+    /// Passes the limits for servers that warm up or recover, and this instance's share of them, to
+    /// the pool of a service.
     pub(super) fn update_start_limits(&mut self, service: &Arc<str>) {
         let rule = self.cold_policies.get(service).copied().unwrap_or_default();
         let pool = self.pools.entry(Arc::clone(service)).or_default();
@@ -42,41 +43,42 @@
 }
 
 impl Dispatcher {
-    /// Counts a request of a caller, on which the budget of repeats depends.
+    /// Counts a caller's request, which adds to the retry budget.
     pub fn count_request(&self, service: &Arc<str>) {
         let mut state = self.state.lock();
         let pool = state.pools.entry(Arc::clone(service)).or_default();
         pool.retry_budget.record_request(&self.retry_allowance, now_us());
     }
 
-    /// Divides the slack of the repeat budget among so many homes, and the slots of all servers if
-    /// this instance is one of them.
-    #[expect(clippy::cast_precision_loss, reason = "some homes")]
-    pub fn set_home_count(&self, homes: usize, own: bool) {
+    /// Divides the slack of the retry budget among this number of homes, and the slots of all
+    /// servers too if this instance is one of them.
+    #[expect(clippy::cast_precision_loss, reason = "a small number of homes")]
+    pub fn set_home_count(&self, homes: usize, is_home: bool) {
         let homes = homes.max(1);
         self.budget_sharers.store(homes, Ordering::Release);
-        let fair_share = if own { 1.0 / homes as f64 } else { 0.0 };
+        let fair_share = if is_home { 1.0 / homes as f64 } else { 0.0 };
         for pool in self.state.lock().pools.values_mut() {
             pool.fair_share = fair_share;
         }
     }
 
-    /// Looks first at the servers of this part, as they are listed now.
-    pub fn set_subset(&self, part: Option<&ServerSubset>) {
+    /// Makes each pool prefer the servers of this subset, as currently listed.
+    pub fn set_subset(&self, subset: Option<&ServerSubset>) {
         for pool in self.state.lock().pools.values_mut() {
-            pool.set_subset(part);
+            pool.set_subset(subset);
         }
     }
 
-    /// Keeps to a part of the connections that each server of these services accepts.
-    pub fn set_connection_share(&self, services: &HashMap<Arc<str>, ServiceConfig>, part: f64) {
+    /// Limits this instance to its share of the connections that each server of these services
+    /// accepts.
+    pub fn set_connection_share(&self, services: &HashMap<Arc<str>, ServiceConfig>, share: f64) {
         let mut state = self.state.lock();
         let DispatcherState { pools, servers, .. } = &mut *state;
         let own_max = |service: &str| {
-            services.get(service).map_or(u32::MAX, |rule| connection_share(rule, part))
+            services.get(service).map_or(u32::MAX, |rule| connection_share(rule, share))
         };
         for (service, pool) in pools.iter_mut() {
-            // One is left for health checks.
+            // One connection is reserved for health checks.
             let for_requests = own_max(service).saturating_sub(1).max(1);
             pool.own_in_flight_max = usize::try_from(for_requests).unwrap_or(usize::MAX);
         }
@@ -85,14 +87,14 @@
         }
     }
 
-    /// Takes over what holds for the cold servers of each service.
+    /// Replaces the limits for servers that warm up, by service.
     pub fn set_cold_policies(&self, rules: HashMap<Arc<str>, ColdRule>) {
         let mut state = self.state.lock();
         state.cold_policies = rules;
         state.update_all_start_limits();
     }
 
-    /// Keeps to a part of what servers in need may get.
+    /// Sets this instance's share of the limits for servers that warm up or recover.
     pub fn set_home_set(&self, share: HomeShare) {
         let mut state = self.state.lock();
         if *state.home_set != share {
@@ -101,15 +103,15 @@
         }
     }
 
-    /// What this instance may repeat.
-    #[expect(clippy::cast_precision_loss, reason = "a few homes")]
+    /// This instance's share of the retry budget.
+    #[expect(clippy::cast_precision_loss, reason = "a small number of homes")]
     fn own_retry_allowance(&self) -> RetryAllowance {
         let sharers = self.budget_sharers.load(Ordering::Acquire) as f64;
         RetryAllowance { slack: self.retry_allowance.slack / sharers, ..self.retry_allowance }
     }
 
-    /// Slots of all servers of these services together. An entry may name a service that nobody
-    /// declared; its server gets no requests.
+    /// Total slots of all servers of these services. An entry may name an undeclared service, whose
+    /// servers receive no requests.
     #[must_use]
     pub fn total_slots(&self, services: &HashMap<Arc<str>, ServiceConfig>) -> u32 {
         let state = self.state.lock();
@@ -119,7 +121,7 @@
         tracks.map(|track| track.row.slots).sum()
     }
 
-    /// Takes one repeat out of the budget of the service.
+    /// Takes one retry from the budget of a service; `false` if none is left.
     #[must_use]
     pub fn spend_retry(&self, service: &str, need: RetryNeed) -> bool {
         let mut state = self.state.lock();
--- a/src/gateway/dispatcher_zones.rs
+++ b/src/gateway/dispatcher_zones.rs
@@ -1,24 +1,24 @@
-//! The availability zones whose servers the dispatcher passes over.
+//! Evacuation of availability zones: stops and resumes the use of a zone's servers.
 
 use std::sync::Arc;
 
 use super::dispatcher::Dispatcher;
 use crate::clock::now_us;
 
-/// What an evacuation, or its end, changed.
+/// The effect of an evacuation or of its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneChange {
     /// Listed servers of the zone.
     pub servers: usize,
-    /// Requests of this instance that run there, and are finished.
+    /// In-flight requests of this instance at these servers, which run to completion.
     pub running: usize,
-    /// How long the zone was evacuated; 0 when that begins.
+    /// How long the zone was evacuated, in microseconds; 0 when an evacuation begins.
     pub lasted_us: u64,
 }
 
 impl Dispatcher {
-    /// Gives the servers of a zone nothing more; `None` if that is so already.
-    #[expect(clippy::must_use_candidate, reason = "what changed is for the log")]
+    /// Stops sending requests to the servers of a zone; `None` if it is already evacuated.
+    #[expect(clippy::must_use_candidate, reason = "the change is only logged")]
     pub fn evacuate(&self, zone: &str) -> Option<ZoneChange> {
         let mut state = self.state.lock();
         if !state.evacuations.begin(zone, now_us()) {
@@ -34,8 +34,8 @@
         Some(change)
     }
 
-    /// Uses the servers of a zone again; `None` if they were used.
-    #[expect(clippy::must_use_candidate, reason = "what changed is for the log")]
+    /// Resumes using the servers of a zone; `None` if it is not evacuated.
+    #[expect(clippy::must_use_candidate, reason = "the change is only logged")]
     pub fn readmit(&self, zone: &str) -> Option<ZoneChange> {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole, on its way to a backend server.
+//! A complete request of a caller, to be forwarded to a backend server.
 
 use std::sync::Arc;
 
@@ -21,34 +21,34 @@
 use crate::quarantine::Fingerprints;
 use crate::route::is_hop_by_hop;
 
-/// Everything that every send of the request needs.
+/// A request with everything that each attempt to send it needs.
 #[derive(Debug)]
 pub struct ForwardRequest {
     pub id: Option<HeaderValue>,
-    /// The same each time that its caller sends it, whatever the id.
+    /// Identify repetitions of the same request, whatever its id.
     pub fingerprints: Fingerprints,
     pub method: Method,
-    /// Path and query, byte for byte.
+    /// Path and query, byte for byte as received.
     pub path_and_query: String,
     pub headers: HeaderMap,
     pub body: Bytes,
     pub route: Arc<Route>,
-    /// Whose request it is; `None` where no key is needed.
+    /// The caller; `None` if no key is required.
     pub caller: Option<Caller>,
-    /// Its token of the workspace's quota.
+    /// Token of the workspace's quota that the request consumes.
     pub quota: QuotaToken,
     pub service: Arc<str>,
-    /// Where the servers of the service answer health checks.
+    /// Path of the service's health check.
     pub health_path: Option<String>,
     pub arrived_us: u64,
-    /// Time that its caller spent on it before.
+    /// Estimated time that the caller spent on earlier attempts, in microseconds.
     pub spent_us: u64,
-    /// When the caller's own deadline or the route's timeout ends it, whichever is first.
+    /// The caller's deadline or the end of the route's timeout, whichever comes first.
     pub deadline_us: u64,
 }
 
 impl ForwardRequest {
-    /// 0 is served first; the workspace's goes before the route's.
+    /// Queue priority, where 0 is served first. The workspace's takes precedence over the route's.
     #[must_use]
     pub fn priority(&self) -> u32 {
         let of_workspace = self.caller.as_ref().and_then(|caller| caller.workspace.priority);
@@ -61,20 +61,21 @@
         self.deadline_us.saturating_sub(now_us()) / 1000
     }
 
-    /// Who repeats it if this instance does not. Callers come back once with what was refused, or
-    /// with what is idempotent; the time spent before tells that this one did.
+    /// Whether the caller can retry if this instance does not. Callers retry once, after a refusal
+    /// or if the request is idempotent; time spent on earlier attempts shows that this is that
+    /// retry.
     #[must_use]
     pub const fn retry_need(&self) -> RetryNeed {
         if self.spent_us == 0 { RetryNeed::CallerCanRetry } else { RetryNeed::LastChance }
     }
 
-    /// The id as text, for logs.
+    /// The request id as text, for logs.
     #[must_use]
     pub fn id_text(&self) -> &str {
         self.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// A send of it to `server` that brought no whole answer.
+    /// Describes an attempt that `server` did not answer completely.
     #[must_use]
     pub fn failed_send(&self, server: &Server) -> FailedSend {
         FailedSend {
@@ -86,10 +87,10 @@
         }
     }
 
-    /// What it needs of a backend server other than those in `tried`.
+    /// The request's requirements for a backend server other than those in `tried`.
     #[must_use]
     pub fn spec(&self, tried: &[Arc<str>]) -> RequestSpec {
-        #[expect(clippy::cast_precision_loss, reason = "an aim of some seconds")]
+        #[expect(clippy::cast_precision_loss, reason = "a latency target of a few seconds")]
         let aim_ms = self.route.aim_ms as f64;
         RequestSpec {
             route: self.route.name.as_str().into(),
@@ -103,9 +104,9 @@
         }
     }
 
-    /// The head as it is sent to the backend server `server_id`, with the time that is left now.
+    /// Encodes the request head for the backend server `server_id`, with the time that now remains.
     #[must_use]
-    pub fn encode_head(&self, fields: &HeaderNames, server_id: &str) -> BytesMut {
+    pub fn encode_head(&self, names: &HeaderNames, server_id: &str) -> BytesMut {
         let mut head = BytesMut::with_capacity(512);
         let mut line = |parts: &[&[u8]]| {
             for part in parts {
@@ -119,21 +120,21 @@
             self.path_and_query.as_bytes(),
             b" HTTP/1.1",
         ]);
-        let named = connection_options(&self.headers);
+        let connection_only = connection_options(&self.headers);
         for (name, value) in &self.headers {
-            if !is_set_by_gateway(fields, name)
-                && !named.iter().any(|other| name.as_str().eq_ignore_ascii_case(other))
+            if !is_set_by_gateway(names, name)
+                && !connection_only.iter().any(|other| name.as_str().eq_ignore_ascii_case(other))
             {
                 line(&[name.as_str().as_bytes(), b": ", value.as_bytes()]);
             }
         }
-        let left = self.remaining_ms().to_string();
-        line(&[fields.timeout_ms.as_str().as_bytes(), b": ", left.as_bytes()]);
+        let remaining_ms = self.remaining_ms().to_string();
+        line(&[names.timeout_ms.as_str().as_bytes(), b": ", remaining_ms.as_bytes()]);
         if let Some(caller) = &self.caller {
             let name = caller.workspace.name.as_bytes();
-            line(&[fields.workspace.as_str().as_bytes(), b": ", name]);
+            line(&[names.workspace.as_str().as_bytes(), b": ", name]);
         }
-        line(&[fields.expected_server.as_str().as_bytes(), b": ", server_id.as_bytes()]);
+        line(&[names.expected_server.as_str().as_bytes(), b": ", server_id.as_bytes()]);
         let bodyless = self.method == Method::GET || self.method == Method::HEAD;
         if !self.body.is_empty() || !bodyless {
             let length = self.body.len().to_string();
@@ -144,18 +145,18 @@
     }
 }
 
-/// Fields that this instance sets, and those that concern only the caller's connection.
-fn is_set_by_gateway(fields: &HeaderNames, name: &HeaderName) -> bool {
-    *name == fields.timeout_ms
-        || *name == fields.expected_server
-        || *name == fields.api_key
-        || *name == fields.workspace
+/// Whether a header is set by this instance, or concerns only the caller's connection.
+fn is_set_by_gateway(names: &HeaderNames, name: &HeaderName) -> bool {
+    *name == names.timeout_ms
+        || *name == names.expected_server
+        || *name == names.api_key
+        || *name == names.workspace
         || *name == http::header::CONTENT_LENGTH
         || *name == http::header::EXPECT
         || is_hop_by_hop(name)
 }
 
-/// Names that the `connection` field declares to be for one connection only.
+/// Header names that the `connection` header limits to this connection.
 fn connection_options(headers: &HeaderMap) -> Vec<&str> {
     let values = headers.get_all(http::header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/src/gateway/framing.rs
+++ b/src/gateway/framing.rs
@@ -1,4 +1,4 @@
-//! How the end of an HTTP/1.1 answer is told.
+//! Determines where an HTTP/1.1 response ends and decodes its body.
 
 use bytes::Buf;
 use bytes::Bytes;
@@ -6,25 +6,25 @@
 use http::HeaderMap;
 use http::StatusCode;
 
-/// What ends a body.
+/// How the end of a body is indicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(u64),
     Chunked,
-    /// The server closes the connection in order.
+    /// The body ends when the server closes the connection cleanly.
     UntilClose,
 }
 
-/// Bytes that are not what the protocol allows there.
+/// The framing of a response violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidFraming;
 
 impl Framing {
-    /// The framing of an answer.
+    /// The framing of a response.
     ///
     /// # Errors
-    /// When its header fields contradict each other: whoever believes the other field would take
-    /// part of the body for the next answer.
+    /// If the headers contradict each other: a recipient that relied on the wrong one would take
+    /// part of the body for the next response.
     pub fn of(status: StatusCode, headers: &HeaderMap) -> Result<Self, InvalidFraming> {
         if status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED {
             return Ok(Self::Length(0));
@@ -51,7 +51,7 @@
     }
 }
 
-/// Takes the content out of what a connection delivers.
+/// Extracts the content of a body from the bytes of a connection.
 #[derive(Debug)]
 pub struct BodyDecoder {
     framing: Framing,
@@ -59,35 +59,35 @@
     complete: bool,
 }
 
-/// Where in a chunked body the decoder is.
+/// Position of the decoder within a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkState {
     Size,
     Data(u64),
-    /// The line end behind a chunk.
+    /// The line break after the data of a chunk.
     DataEnd,
-    /// Fields behind the last chunk, up to an empty line.
+    /// Trailer fields after the last chunk, up to an empty line.
     Trailer,
 }
 
-/// Longest line of a chunk's size or a trailer field.
+/// Maximum length of a chunk size line or a trailer field.
 const LINE_MAX_BYTES: usize = 1_024;
 
 impl BodyDecoder {
-    /// A decoder of one body.
+    /// Creates a decoder for one body.
     #[must_use]
     pub const fn new(framing: Framing) -> Self {
         let complete = matches!(framing, Framing::Length(0));
         Self { framing, chunk: ChunkState::Size, complete }
     }
 
-    /// Whether the body is whole.
+    /// Whether the body is complete.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Takes note that the connection was closed in order; tells whether the body is whole.
+    /// Handles a clean close of the connection and returns whether the body is complete.
     pub const fn finish_at_close(&mut self) -> bool {
         if matches!(self.framing, Framing::UntilClose) {
             self.complete = true;
@@ -95,10 +95,10 @@
         self.complete
     }
 
-    /// The next content in `input`; `None` when more bytes are needed or the body is whole.
+    /// The next content in `input`; `None` if more bytes are needed or the body is complete.
     ///
     /// # Errors
-    /// When a chunk is not framed as the protocol says.
+    /// If the chunked framing is invalid.
     pub fn decode(&mut self, input: &mut BytesMut) -> Result<Option<Bytes>, InvalidFraming> {
         if self.complete || input.is_empty() {
             return Ok(None);
@@ -161,7 +161,8 @@
     input.split_to(most).freeze()
 }
 
-/// Takes one line and tells its length without the line end; `None` when it is not whole yet.
+/// Consumes one line and returns its length without the line break; `None` if the line is
+/// incomplete.
 fn take_line(input: &mut BytesMut) -> Result<Option<usize>, InvalidFraming> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         return if input.len() > LINE_MAX_BYTES { Err(InvalidFraming) } else { Ok(None) };
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -1,4 +1,4 @@
-//! A slot that a request was given.
+//! A slot granted to a request.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::balance::ServerChoice;
 use crate::model::Heard;
 
-/// A slot of a backend server, given back when it is dropped.
+/// A slot of a backend server, released on drop.
 #[derive(Debug)]
 pub struct Grant {
     pub server: Arc<Server>,
-    /// What was believed of the server when it was chosen.
+    /// The state of the server when it was chosen.
     pub choice: ServerChoice,
     pub(super) ticket: u64,
     pub(super) spec: RequestSpec,
@@ -23,18 +23,19 @@
 }
 
 impl Grant {
-    /// Takes note of how the send ended; dropped without, it counts as cancelled.
+    /// Releases the slot with the result of the attempt. A grant dropped otherwise counts as
+    /// cancelled.
     pub fn end(mut self, end: SendOutcome) {
         self.end = end;
     }
 
-    /// Whether the server looks much slower than when it was chosen, or turned out full.
+    /// Whether the server is now much slower than when it was chosen, or has become full.
     #[must_use]
     pub fn server_is_worse(&self) -> bool {
         self.dispatcher.is_worse(&self.server, &self.spec, self.choice.expected_ms)
     }
 
-    /// Takes in what the server said of itself in its answer.
+    /// Records what the server reported about itself in its response.
     pub fn record_notice(&self, notice: ServerNotice) {
         self.dispatcher.record_notice(&self.server, Heard::Answer, notice);
     }
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -1,4 +1,4 @@
-//! One health check on a connection to a backend server.
+//! A health check over a connection to a backend server.
 
 use super::Dialect;
 use super::dispatcher::Dispatcher;
@@ -10,11 +10,11 @@
 use super::server_notice::text;
 use crate::model::Heard;
 
-/// Asks a server how it is, and takes in its load and pace; tells whether the connection may be
-/// used for the next request.
+/// Sends a health check and records the load and slowdown that the server reports. Returns whether
+/// the connection can be used for the next request.
 ///
 /// # Errors
-/// When no answer came, or that of another server which has the address now.
+/// If there is no response, or if another server responds that now has the address.
 pub async fn check_health<D: Dialect>(
     dialect: &D,
     dispatcher: &Dispatcher,
@@ -22,18 +22,15 @@
     conn: &mut ServerConn,
     path: &str,
 ) -> Result<bool, ExchangeError> {
-    let fields = dialect.header_names();
+    let names = dialect.header_names();
     let head = format!("GET {path} HTTP/1.1\r\nhost: {}\r\n\r\n", server.conns.address());
-    let echo = ResponseMatcher {
-        id_header: &fields.request_id,
-        id: None,
-        not_run_header: &fields.not_run,
-    };
+    let echo =
+        ResponseMatcher { id_header: &names.request_id, id: None, not_run_header: &names.not_run };
     let answer = conn.exchange(head.as_bytes(), &[], echo).await?;
     let mut decoder = answer.decoder();
     while conn.read_body(&mut decoder).await?.is_some() {}
     let text = |name| text(&answer.headers, name);
-    if text(&fields.server_id).is_some_and(|id| *id != *server.row.id) {
+    if text(&names.server_id).is_some_and(|id| *id != *server.row.id) {
         dispatcher.unlist_displaced(server);
         return Err(ExchangeError::Garbled);
     }
@@ -42,7 +39,7 @@
         Heard::Check,
         ServerNotice::read(dialect, answer.status, &answer.headers),
     );
-    let cold_left_ms = text(&fields.warmup_left_ms).and_then(|text| text.trim().parse().ok());
+    let cold_left_ms = text(&names.warmup_left_ms).and_then(|text| text.trim().parse().ok());
     dispatcher.record_health_check(server, answer.status.is_success(), cold_left_ms);
     Ok(conn.finish(&answer))
 }
--- a/src/gateway/memory_room.rs
+++ b/src/gateway/memory_budget.rs
@@ -1,17 +1,17 @@
-//! Memory set aside for the bodies of requests and answers.
+//! A limit on the memory for the bodies of requests and responses.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
 
-/// A bound on bytes held at the same time, over all connections.
+/// A limit on the bytes held at the same time by all connections.
 #[derive(Debug)]
 pub struct MemoryBudget {
     used: AtomicUsize,
     max_bytes: usize,
 }
 
-/// Part of a room, given back when dropped.
+/// Bytes reserved from a budget, released on drop.
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: Arc<MemoryBudget>,
@@ -19,19 +19,19 @@
 }
 
 impl MemoryBudget {
-    /// Room for `max_bytes`.
+    /// Creates a budget of `max_bytes`.
     #[must_use]
     pub const fn new(max_bytes: usize) -> Self {
         Self { used: AtomicUsize::new(0), max_bytes }
     }
 
-    /// Bytes that are held now.
+    /// Bytes reserved now.
     #[must_use]
     pub fn used_bytes(&self) -> usize {
         self.used.load(Ordering::Acquire)
     }
 
-    /// A part that holds nothing yet.
+    /// Creates an empty reservation.
     #[must_use]
     pub fn reservation(self: &Arc<Self>) -> MemoryReservation {
         MemoryReservation { budget: Arc::clone(self), bytes: 0 }
@@ -39,7 +39,8 @@
 }
 
 impl MemoryReservation {
-    /// Takes more bytes; `false`, with nothing taken, when the room has not that many left.
+    /// Reserves more bytes; `false`, without reserving any, if the budget does not have that many
+    /// left.
     #[must_use]
     pub fn try_grow(&mut self, bytes: usize) -> bool {
         let max_bytes = self.budget.max_bytes;
--- a/src/gateway/quota_gate.rs
+++ b/src/gateway/quota_limiter.rs
@@ -1,4 +1,4 @@
-//! Lets requests pass within the quota of their workspace.
+//! Limits requests to the quota of their workspace.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,20 +20,20 @@
 use crate::quota::Quotas;
 use crate::workspace::Workspace;
 
-/// How long one instance is given to lend tokens, and all that are asked together.
+/// Timeout for one instance to lend tokens, and for all that are asked together.
 const LENDER_TIMEOUT: Duration = Duration::from_millis(50);
 const BORROW_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long a request waits for this instance to find the others, and how often it looks.
+/// How long a request waits for this instance to discover its peers, and how often that is checked.
 const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(400);
 const PEER_DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const MILLITOKENS_PER_TOKEN: f64 = 1000.0;
 
-/// A token of a workspace's quota; spent unless it is given back.
+/// A token of a workspace's quota; consumed unless refunded.
 #[derive(Debug, Default)]
 pub struct QuotaToken(Option<(Arc<Quotas>, Arc<Workspace>)>);
 
 impl QuotaToken {
-    /// The request did not run.
+    /// Returns the token of a request that did not run.
     pub fn refund(&self) {
         if let Some((quotas, workspace)) = &self.0 {
             quotas.refund(workspace);
@@ -41,7 +41,7 @@
     }
 }
 
-/// Gives out tokens of quotas, and borrows them from other instances.
+/// Takes tokens from workspace quotas, and borrows them from other instances.
 #[derive(Clone, Debug)]
 pub struct QuotaLimiter<L> {
     pub board: Arc<Blackboard>,
@@ -53,29 +53,30 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "rounded down, so that no token is made"
+    reason = "rounded down, so that no tokens are created"
 )]
 fn to_millitokens(tokens: f64) -> u32 {
     (tokens * MILLITOKENS_PER_TOKEN).clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
 impl<L: PeerCalls> QuotaLimiter<L> {
-    /// A token for a request; where there is no quota, none is needed.
+    /// Takes a token for a request; none is needed without a quota.
     ///
     /// # Errors
-    /// The answer to a request above the quota.
+    /// The reply to a request that exceeds the quota.
     pub async fn acquire(&self, caller: Option<&Caller>) -> Result<QuotaToken, LocalReply> {
         let Some(caller) = caller.filter(|caller| caller.workspace.is_limited()) else {
             return Ok(QuotaToken::default());
         };
         let workspace = &caller.workspace;
         self.wait_for_placement().await;
-        let dry = match self.quotas.take(workspace, now_us()) {
+        let out_of_tokens = match self.quotas.take(workspace, now_us()) {
             Ok(()) => return Ok(self.token(workspace)),
-            Err(dry) => dry,
+            Err(out_of_tokens) => out_of_tokens,
         };
-        let asked = dry.lenders.len();
-        let borrowed = tokio::time::timeout(BORROW_TIMEOUT, self.borrow(workspace, &dry)).await;
+        let asked = out_of_tokens.lenders.len();
+        let borrowed =
+            tokio::time::timeout(BORROW_TIMEOUT, self.borrow(workspace, &out_of_tokens)).await;
         if borrowed == Ok(true) {
             return Ok(self.token(workspace));
         }
@@ -85,18 +86,18 @@
         self.board.counters.add(Counter::OverQuota);
         info!(
             event = "over-quota", workspace = &*workspace.name, rate_per_s = workspace.rate_per_s,
-            burst = workspace.burst, retry_after_ms = dry.retry_after_ms, asked = asked;
-            "no token in time"
+            burst = workspace.burst, retry_after_ms = out_of_tokens.retry_after_ms, asked = asked;
+            "no token available in time"
         );
-        Err(LocalReply::over_quota(dry.retry_after_ms))
+        Err(LocalReply::over_quota(out_of_tokens.retry_after_ms))
     }
 
     fn token(&self, workspace: &Arc<Workspace>) -> QuotaToken {
         QuotaToken(Some((Arc::clone(&self.quotas), Arc::clone(workspace))))
     }
 
-    /// An instance that knows nobody may be one of hundreds that start: it holds no tokens until it knows
-    /// who does.
+    /// Waits until other instances are known. An instance without peers may be one of hundreds that
+    /// are starting, so it has no tokens until it knows which instances hold them.
     async fn wait_for_placement(&self) {
         let began = Instant::now();
         while !self.quotas.placement_known() && began.elapsed() < PEER_DISCOVERY_TIMEOUT {
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Asks those who hold tokens, one after the other, until one is there.
-    async fn borrow(&self, workspace: &Workspace, dry: &OutOfTokens) -> bool {
-        for lender in &dry.lenders {
-            let tokens = self.request_tokens(*lender, workspace, dry.tokens_wanted).await;
+    /// Asks the instances that hold tokens, one after the other, until a token is available.
+    async fn borrow(&self, workspace: &Workspace, out_of_tokens: &OutOfTokens) -> bool {
+        for lender in &out_of_tokens.lenders {
+            let tokens = self.request_tokens(*lender, workspace, out_of_tokens.tokens_wanted).await;
             if tokens <= 0.0 {
                 continue;
             }
@@ -119,18 +120,18 @@
         false
     }
 
-    /// Tokens that one instance lends.
+    /// The tokens that an instance lends.
     async fn request_tokens(&self, lender: SocketAddr, workspace: &Workspace, wanted: f64) -> f64 {
         let workspace = workspace.name.to_string();
         let request = PeerRequest::QuotaTokens { workspace, wanted_milli: to_millitokens(wanted) };
-        // One that does not answer lends nothing; the next is asked.
+        // If there is no response, the next lender is asked.
         match self.links.call(lender, &request, LENDER_TIMEOUT).await {
             Ok(PeerReply::QuotaTokens(milli)) => f64::from(milli) / MILLITOKENS_PER_TOKEN,
             _ => 0.0,
         }
     }
 
-    /// Tokens for another instance, in thousandths.
+    /// Lends tokens to another instance, in thousandths of a token.
     #[must_use]
     pub fn lend(&self, workspace: &str, wanted_milli: u32) -> u32 {
         let table = self.table.load();
--- a/src/gateway/shunned.rs
+++ b/src/gateway/relay_cooldowns.rs
@@ -1,4 +1,4 @@
-//! Relays that are not asked for a while.
+//! Cooldowns of relays after a failure.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,12 +7,13 @@
 
 use crate::clock::now_us;
 
-/// Relays that did not answer or were not certain, each until when it is passed over, in microseconds.
+/// Relays in cooldown because they did not respond or their copy was not known to be fresh, each
+/// with the end of the cooldown in microseconds.
 #[derive(Debug, Default)]
 pub struct RelayCooldowns(SmallVec<[(SocketAddr, u64); 4]>);
 
 impl RelayCooldowns {
-    /// Passes over a relay for so long from now on; forgets those whose time is over.
+    /// Excludes a relay for the duration of `pause`, and removes cooldowns that have ended.
     pub fn start(&mut self, peer: SocketAddr, pause: Duration) {
         let now_us = now_us();
         self.0.retain(|(other, until_us)| *other != peer && *until_us > now_us);
@@ -20,7 +21,7 @@
         self.0.push((peer, now_us.saturating_add(pause_us)));
     }
 
-    /// Whether this one is passed over now.
+    /// Whether a relay is in cooldown now.
     pub fn is_active(&self, peer: SocketAddr) -> bool {
         self.0.iter().any(|(other, until_us)| *other == peer && *until_us > now_us())
     }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Replies to callers.
 
 use std::pin::Pin;
 use std::task::Context;
@@ -14,24 +14,24 @@
 use http_body::SizeHint;
 use tokio::sync::mpsc;
 
-use super::memory_room::MemoryReservation;
+use super::memory_budget::MemoryReservation;
 use super::server_conn::ExchangeError;
 use crate::errors::Code;
 use crate::task::TaskGuard;
 
-/// The body of an answer.
+/// The body of a reply.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// An answer of this instance's own, which has no body.
+    /// A reply of this instance, without a body.
     Empty,
-    /// Held whole, and counted as held until the caller has taken it.
-    Buffered { bytes: Option<Bytes>, _held: MemoryReservation },
-    /// Too large to be held: passed on as it comes. An error ends the caller's connection, so that
-    /// a body that was cut short never looks whole.
+    /// A complete body, whose memory stays reserved until the caller has received it.
+    Buffered { bytes: Option<Bytes>, _reservation: MemoryReservation },
+    /// A body too large for the buffer, passed on as it arrives. An error closes the caller's
+    /// connection, so that a truncated body never looks complete.
     Streamed {
         chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
         bytes: Option<u64>,
-        /// Reads from the backend server; ends with the body, which cancels the work there.
+        /// Reads from the backend server. Dropped with the body, which cancels the request there.
         reader: TaskGuard,
     },
 }
@@ -79,17 +79,17 @@
     }
 }
 
-/// A final answer.
+/// The final reply to a request.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: ReplyBody,
-    /// `Ok` for a backend server's answer, else why this instance answers itself.
+    /// `Ok` for a backend server's response, otherwise the reason for this instance's own reply.
     pub code: Code,
 }
 
-/// Statuses by which a gateway promises that the request did not run and will not.
+/// Statuses that guarantee to callers that the request did not run and will not.
 pub const NOT_RUN_STATUSES: [StatusCode; 4] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::MISDIRECTED_REQUEST,
@@ -97,24 +97,24 @@
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// An answer of this instance's own.
+/// A reply produced by this instance instead of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalReply {
     pub status: StatusCode,
     pub code: Code,
-    /// When to come back, for a request that did not run.
+    /// Retry delay in milliseconds, for a request that did not run.
     pub retry_after_ms: Option<u64>,
 }
 
 impl LocalReply {
-    /// The request did not run and will not; when to come back.
+    /// The request did not run and will not; the caller may retry after the delay.
     #[must_use]
     pub const fn not_run(code: Code, retry_after_ms: u64) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Self { status, code, retry_after_ms: Some(retry_after_ms) }
     }
 
-    /// The request may have run and its answer is missing.
+    /// The request may have run, but its response is missing.
     #[must_use]
     pub fn unknown(code: Code) -> Self {
         let timed_out = code == Code::DeadlineAfterDispatch;
@@ -122,20 +122,20 @@
         Self::rejected(status, code)
     }
 
-    /// The workspace has sent more than its quota; when the next request may pass.
+    /// The workspace exceeded its quota; the next request may pass after the delay.
     #[must_use]
     pub const fn over_quota(retry_after_ms: u64) -> Self {
         let status = StatusCode::TOO_MANY_REQUESTS;
         Self { status, code: Code::QuotaSpent, retry_after_ms: Some(retry_after_ms) }
     }
 
-    /// The request does not bear the key of a workspace.
+    /// The request lacks a valid key of a workspace.
     #[must_use]
     pub const fn key_rejected() -> Self {
         Self::rejected(StatusCode::UNAUTHORIZED, Code::KeyRejected)
     }
 
-    /// The request is not one that can be served at all.
+    /// The request can never be served.
     #[must_use]
     pub const fn rejected(status: StatusCode, code: Code) -> Self {
         Self { status, code, retry_after_ms: None }
@@ -143,24 +143,24 @@
 }
 
 impl From<LocalReply> for Reply {
-    fn from(own: LocalReply) -> Self {
+    fn from(local: LocalReply) -> Self {
         let mut headers = HeaderMap::new();
-        let seconds = own.retry_after_ms.map(|ms| Duration::from_millis(ms).as_secs_f64());
+        let seconds = local.retry_after_ms.map(|ms| Duration::from_millis(ms).as_secs_f64());
         if let Some(value) = seconds.and_then(|seconds| format!("{seconds:.3}").parse().ok()) {
             headers.insert(http::header::RETRY_AFTER, value);
         }
-        Self { status: own.status, headers, body: ReplyBody::Empty, code: own.code }
+        Self { status: local.status, headers, body: ReplyBody::Empty, code: local.code }
     }
 }
 
 impl Reply {
-    /// Whether this instance says that the request did not run and will not.
+    /// Whether this instance guarantees that the request did not run and will not.
     #[must_use]
     pub fn not_run(&self) -> bool {
         self.code != Code::Ok && NOT_RUN_STATUSES.contains(&self.status)
     }
 
-    /// As an HTTP response.
+    /// Converts the reply to an HTTP response.
     #[must_use]
     pub fn into_response(self) -> Response<ReplyBody> {
         let mut response = Response::new(self.body);
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! The operators' routes: which service a request goes to, and the care it deserves.
+//! The operators' routes: the service that a request goes to, and how it may be retried.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,32 +10,32 @@
 
 use crate::workspace::WorkspaceTable;
 
-/// The care that a route's requests deserve.
+/// Whether the requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// Idempotent, with answers that may be far larger than what an instance holds.
+    /// Idempotent, with responses that may be far larger than the buffer of an instance.
     Download,
-    /// Must not run more than once.
+    /// Requests must not run more than once.
     AtMostOnce,
-    /// A kind that this version does not know, or none: nothing says that a repeat does no harm, so
+    /// No kind, or one that this version does not know. Repeating such a request might do harm, so
     /// it is treated as [`RouteKind::AtMostOnce`].
     #[default]
     #[serde(other)]
     Unknown,
 }
 
-/// A service that a route sends requests to, with its part of them.
+/// A service that receives a fraction of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     pub service: Arc<str>,
-    /// Part of the requests, relative to the other targets' weights.
+    /// Share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// One route: requests of a host below a path prefix.
+/// A route for the requests of a host below a path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     pub name: String,
@@ -44,20 +44,20 @@
     pub prefix: String,
     #[serde(default)]
     pub kind: RouteKind,
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for a reply.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth its full value.
+    /// Latency target: a response within this time has its full value.
     pub aim_ms: u64,
-    /// Most backend servers that one request is sent to.
+    /// Maximum number of backend servers that one request is sent to.
     #[serde(default = "attempts_default")]
     pub attempts_max: u32,
-    /// 0 is served first.
+    /// Queue priority, where 0 is served first.
     #[serde(default)]
     pub priority: u32,
-    /// Its requests need no key, and are of no workspace.
+    /// Whether requests need no key and belong to no workspace.
     #[serde(default)]
     pub key_exempt: bool,
-    /// The only service, where requests are not split.
+    /// The only service, if requests are not split.
     #[serde(default)]
     pub(super) service: Option<Arc<str>>,
     /// The services among which requests are split.
@@ -69,36 +69,37 @@
     1
 }
 
-/// Where the operators do not bound connections, the instances' own limits do.
+/// Unlimited: if operators set no limit, only the instances' own limits apply.
 const fn connections_default() -> u32 {
     u32::MAX
 }
 
-/// What the operators say of a service.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceConfig {
     pub name: Arc<str>,
     pub health_path: String,
-    /// Connections that a backend server of the service takes from everybody together.
+    /// Maximum number of connections that a backend server accepts from all clients together.
     #[serde(default = "connections_default")]
     pub connections_max: u32,
-    /// How long a backend server stays cold, in seconds.
+    /// Duration of a backend server's warm-up, in seconds.
     #[serde(default)]
     pub warmup_s: f64,
-    /// Requests a second that a cold one tolerates from all instances together; not bounded without.
+    /// Requests per second that a server accepts during warm-up from all instances together;
+    /// unlimited if `None`.
     #[serde(default)]
     pub cold_per_s: Option<f64>,
 }
 
 impl ServiceConfig {
-    /// How long a backend server stays cold.
+    /// Duration of a backend server's warm-up.
     #[must_use]
     pub fn warmup(&self) -> Duration {
         Duration::try_from_secs_f64(self.warmup_s).unwrap_or_default()
     }
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size of callers' requests and on their idle time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CallerLimits {
@@ -109,7 +110,7 @@
 }
 
 impl Default for CallerLimits {
-    /// In force until the operators' configuration is known.
+    /// The limits until the operators' configuration is loaded.
     fn default() -> Self {
         Self {
             header_bytes_max: 16 << 10,
@@ -120,20 +121,20 @@
     }
 }
 
-/// One version of the operators' configuration, ready for lookups.
+/// One version of the operators' configuration, indexed for lookups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteTable {
     pub version: u64,
     pub services: HashMap<Arc<str>, ServiceConfig>,
     pub limits: CallerLimits,
-    /// `None` where requests need no key.
+    /// `None` if requests need no key.
     pub workspaces: Option<WorkspaceTable>,
-    /// By host in lower case; those with longer prefixes come first.
+    /// Routes by host in lower case, sorted by descending prefix length.
     routes: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// A table of these routes, services and limits.
+    /// Creates a table of these routes, services and limits.
     #[must_use]
     pub fn new(
         version: u64,
@@ -153,13 +154,13 @@
         Self { version, services, limits, workspaces: None, routes: by_host }
     }
 
-    /// The route of this name.
+    /// The route with this name.
     #[must_use]
     pub fn route_named(&self, name: &str) -> Option<&Arc<Route>> {
         self.routes.values().flatten().find(|route| route.name == name)
     }
 
-    /// The route of the host with the longest prefix that begins the path.
+    /// The route of the host with the longest prefix of the path.
     #[must_use]
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
@@ -178,20 +179,20 @@
 }
 
 impl Route {
-    /// Whether its requests may run more than once.
+    /// Whether requests may run more than once.
     #[must_use]
     pub const fn idempotent(&self) -> bool {
         matches!(self.kind, RouteKind::Idempotent | RouteKind::Download)
     }
 
-    /// Whether it names a service.
+    /// Whether the route names a service.
     #[must_use]
     pub fn has_target(&self) -> bool {
         self.service.is_some() || !self.targets.is_empty()
     }
 
-    /// The service for a request, by a random number from 0 to 1 (exclusive); `None` only for a
-    /// route that names no service.
+    /// Selects a service by a random number from 0 to 1 (exclusive); `None` only if the route names
+    /// no service.
     #[must_use]
     pub fn pick_service(&self, random: f64) -> Option<&Arc<str>> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one backend server.
+//! One attempt to send a request to a backend server.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 use super::framing::BodyDecoder;
 use super::grant::Grant;
 use super::health_check::check_health;
-use super::memory_room::MemoryBudget;
-use super::memory_room::MemoryReservation;
+use super::memory_budget::MemoryBudget;
+use super::memory_budget::MemoryReservation;
 use super::reply::NOT_RUN_STATUSES;
 use super::reply::ReplyBody;
 use super::server_conn::ExchangeError;
@@ -32,21 +32,22 @@
 use crate::route::is_hop_by_hop;
 use crate::task::TaskGuard;
 
-/// A server in the same region that takes longer to accept is not reachable; the caller has no
-/// more time to spare for it, as the next server is as good.
+/// A server in the same region that takes longer to accept counts as unreachable; the remaining
+/// time is better spent on another server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// What was last heard of a server's pace is believed for this long: of shifts every 150 ms, three
-/// in a hundred fall into it.
+/// Age, in microseconds, up to which a reported slowdown is used without a preflight check. With a
+/// change every 150 ms, three in a hundred fall within it.
 const LOAD_FRESH_US: u64 = 5_000;
-/// A server in the same region answers a health check within some milliseconds.
+/// Timeout of a preflight health check, which a server in the same region answers within
+/// milliseconds.
 const PREFLIGHT_TIMEOUT: Duration = Duration::from_millis(25);
-/// Answers up to this size are held whole, so that one cut short is known in time to ask again.
+/// Responses up to this size are buffered completely, so that a truncated one can still be retried.
 const BUFFER_MAX_BYTES: usize = 256 << 10;
-/// Chunks of a larger answer that are read ahead of the caller: one is written while the next one
-/// comes. A caller that reads slowly holds no more than these, however large its answer is.
+/// Chunks of a streamed response that are read ahead of the caller: one is written while the next
+/// arrives. A slow caller holds no more memory than these, however large the response is.
 const STREAM_CHUNKS_AHEAD: usize = 1;
 
-/// A backend server's answer.
+/// The response of a backend server.
 #[derive(Debug)]
 pub struct ServerResponse {
     pub status: StatusCode,
@@ -54,29 +55,30 @@
     pub body: ReplyBody,
 }
 
-/// How a send ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub enum SendResult {
-    /// The server's answer to this request.
+    /// The server's response to this request.
     Answered(ServerResponse),
-    /// The server said that it did not run the request.
+    /// The server stated that it did not run the request.
     Refused { status: StatusCode },
-    /// No connection: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     NotSent,
-    /// Asked before, the server turned out slow, or silent, or gone: nothing was sent.
+    /// The preflight check found the server slow, silent or gone; nothing was sent.
     Unfit { silent: bool },
-    /// The request may have run, and there is no answer to pass on.
+    /// The request may have run, but there is no complete response.
     Lost(ExchangeError),
-    /// As `Lost`: the deadline passed.
+    /// The deadline passed; the request may have run.
     TimedOut,
-    /// It may crash servers: nothing was sent.
+    /// The request may crash servers; nothing was sent.
     Denied(Denial),
-    /// As `Lost`: a status that promises that the request did not run, without the proof of it.
+    /// A status that normally guarantees that the request did not run, without the header that
+    /// proves it; the request may have run.
     UnprovedRefusal { status: StatusCode },
 }
 
 impl SendResult {
-    /// The name written in logs.
+    /// The name used in logs.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Whether the server began on the request, as far as can be told, and gave no answer.
+    /// Whether the server probably began the request and did not complete its response.
     #[must_use]
     pub const fn without_response(&self) -> bool {
         matches!(self, Self::Lost(_) | Self::TimedOut)
@@ -114,18 +116,18 @@
     }
 }
 
-/// What each send needs of its instance.
+/// The parts of the instance that each attempt uses.
 #[derive(Debug)]
 pub struct Sender<'a, D> {
     pub dialect: &'a D,
     pub dispatcher: &'a Dispatcher,
-    /// For answers that are held whole.
+    /// Memory for buffered responses.
     pub response_memory: &'a Arc<MemoryBudget>,
-    /// What the send shows of the request.
+    /// Records whether the request crashes servers.
     pub admitted_send: &'a Arc<AdmittedSend>,
 }
 
-/// The beginning of an answer: its head, and its body as far as it was held.
+/// A response that is read up to the size of the buffer.
 struct PartialResponse {
     head: ResponseHead,
     buffered: Bytes,
@@ -134,22 +136,23 @@
 }
 
 impl<D: Dialect> Sender<'_, D> {
-    /// Sends a request by a slot of a server. Dropped, it closes the connection, which ends the
-    /// work at the server.
+    /// Sends a request to the server of a granted slot. Dropping the future closes the connection,
+    /// which cancels the request at the server.
     ///
-    /// With a health path, a server whose pace was last heard of some time ago is asked first, on
-    /// the connection that the request will use: the pace when work begins holds for all of it, and
-    /// a request that must not run twice is not handed to a server or connection that is gone.
+    /// If `health_path` is set and the server's slowdown was not reported recently, a preflight
+    /// health check is sent first on the same connection. The slowdown at the start of the work
+    /// applies to all of it, and a request that must not run twice is not sent to a server or
+    /// connection that is gone.
     pub async fn send(
         &self,
         request: &ForwardRequest,
         grant: Grant,
         health_path: Option<&str>,
     ) -> SendResult {
-        let left = Duration::from_millis(request.remaining_ms());
-        let mut conn = match grant.server.conns.take(CONNECT_TIMEOUT.min(left)).await {
+        let remaining = Duration::from_millis(request.remaining_ms());
+        let mut conn = match grant.server.conns.take(CONNECT_TIMEOUT.min(remaining)).await {
             Ok(conn) => conn,
-            // Its connections are all in use, which says nothing against the server.
+            // All connections to the server are in use, which is no failure of the server.
             Err(err) if err.kind() == ErrorKind::QuotaExceeded => {
                 return finish_send(grant, SendResult::Unfit { silent: false });
             }
@@ -159,7 +162,7 @@
             }
         };
         if let Some(path) = health_path.filter(|_| self.pace_is_stale(&grant)) {
-            match self.preflight_check(&grant, &mut conn, path, left).await {
+            match self.preflight_check(&grant, &mut conn, path, remaining).await {
                 PreflightResult::Passed => {}
                 PreflightResult::Slower => {
                     grant.server.conns.put_back(conn);
@@ -173,12 +176,13 @@
                 }
             }
         }
-        let left = Duration::from_millis(request.remaining_ms());
-        let exchanged = tokio::time::timeout(left, self.exchange(request, &grant, &mut conn)).await;
+        let remaining = Duration::from_millis(request.remaining_ms());
+        let exchanged =
+            tokio::time::timeout(remaining, self.exchange(request, &grant, &mut conn)).await;
         match exchanged {
             Err(_) => finish_send(grant, SendResult::TimedOut),
             Ok(Err(error)) => finish_send(grant, SendResult::Lost(error)),
-            Ok(Ok(begun)) => self.evaluate_response(request, grant, conn, begun),
+            Ok(Ok(partial)) => self.evaluate_response(request, grant, conn, partial),
         }
     }
 
@@ -189,16 +193,16 @@
         }
     }
 
-    /// Asks a server how it is, just before a request is handed over.
+    /// Checks the health of a server just before a request is sent to it.
     async fn preflight_check(
         &self,
         grant: &Grant,
         conn: &mut ServerConn,
         path: &str,
-        left: Duration,
+        remaining: Duration,
     ) -> PreflightResult {
         let checked = check_health(self.dialect, self.dispatcher, &grant.server, conn, path);
-        match tokio::time::timeout(PREFLIGHT_TIMEOUT.min(left), checked).await {
+        match tokio::time::timeout(PREFLIGHT_TIMEOUT.min(remaining), checked).await {
             Ok(Ok(true)) if grant.server_is_worse() => PreflightResult::Slower,
             Ok(Ok(true)) => PreflightResult::Passed,
             Ok(_) => PreflightResult::Disconnected,
@@ -209,50 +213,50 @@
         }
     }
 
-    /// Sends, and reads the answer up to what is held whole.
+    /// Sends the request and reads the response up to the size of the buffer.
     async fn exchange(
         &self,
         request: &ForwardRequest,
         grant: &Grant,
         conn: &mut ServerConn,
     ) -> Result<PartialResponse, ExchangeError> {
-        let fields = self.dialect.header_names();
+        let names = self.dialect.header_names();
         let echo = ResponseMatcher {
-            id_header: &fields.request_id,
+            id_header: &names.request_id,
             id: request.id.as_ref(),
-            not_run_header: &fields.not_run,
+            not_run_header: &names.not_run,
         };
-        let sent = request.encode_head(fields, &grant.server.row.id);
+        let sent = request.encode_head(names, &grant.server.row.id);
         let head = conn.exchange(&sent, &request.body, echo).await?;
         if head.status != StatusCode::MISDIRECTED_REQUEST {
             grant.record_notice(ServerNotice::read(self.dialect, head.status, &head.headers));
         }
         let mut decoder = head.decoder();
-        let mut part = self.response_memory.reservation();
+        let mut reservation = self.response_memory.reservation();
         let mut whole = BytesMut::new();
         while whole.len() < BUFFER_MAX_BYTES {
             let Some(bytes) = conn.read_body(&mut decoder).await? else {
                 break;
             };
             whole.extend_from_slice(&bytes);
-            // Without room the answer is passed on as it comes; cut short, it cannot be asked for
-            // again then.
-            if !part.try_grow(bytes.len()) {
+            // Without memory the response is streamed, and can no longer be retried if it is
+            // truncated.
+            if !reservation.try_grow(bytes.len()) {
                 break;
             }
         }
-        Ok(PartialResponse { head, buffered: whole.freeze(), reservation: part, decoder })
+        Ok(PartialResponse { head, buffered: whole.freeze(), reservation, decoder })
     }
 
-    /// What an answer comes to whose beginning is there.
+    /// Evaluates a response that has been read up to the size of the buffer.
     fn evaluate_response(
         &self,
         request: &ForwardRequest,
         grant: Grant,
         conn: ServerConn,
-        begun: PartialResponse,
+        partial: PartialResponse,
     ) -> SendResult {
-        let PartialResponse { head, buffered: held, reservation: part, decoder } = begun;
+        let PartialResponse { head, buffered, reservation, decoder } = partial;
         if let Some(result) = refusal_result(self.dialect, &head) {
             return_connection(&grant, conn, &head, &decoder);
             return finish_send(grant, result);
@@ -263,8 +267,8 @@
             if !status.is_server_error() {
                 self.admitted_send.record_response();
             }
-            let bytes = Some(held).filter(|bytes| !bytes.is_empty());
-            let body = ReplyBody::Buffered { bytes, _held: part };
+            let bytes = Some(buffered).filter(|bytes| !bytes.is_empty());
+            let body = ReplyBody::Buffered { bytes, _reservation: reservation };
             return finish_send(
                 grant,
                 SendResult::Answered(ServerResponse { status, headers, body }),
@@ -274,19 +278,19 @@
             failed_send: request.failed_send(&grant.server),
             send: Arc::clone(self.admitted_send),
         };
-        let body = stream_body(grant, conn, head, held, decoder, watch);
+        let body = stream_body(grant, conn, head, buffered, decoder, watch);
         SendResult::Answered(ServerResponse { status, headers, body })
     }
 }
 
-/// What a server is found to be just before a request is handed over.
+/// Result of the health check just before a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PreflightResult {
     Passed,
-    /// It works much slower than when it was chosen, or others fill its slots: sent there, the
-    /// request would wait, and slow down what runs.
+    /// The server is now much slower than when it was chosen, or its slots are taken: the request
+    /// would wait there and slow down the others.
     Slower,
-    /// Its connection cannot carry the request.
+    /// The connection cannot carry the request.
     Disconnected,
     TimedOut,
 }
@@ -296,7 +300,7 @@
     result
 }
 
-/// Whether the answer says that the request did not run, or seems to.
+/// The result if the response states, with or without proof, that the request did not run.
 fn refusal_result<D: Dialect>(dialect: &D, head: &ResponseHead) -> Option<SendResult> {
     let status = head.status;
     let proved = head.headers.contains_key(&dialect.header_names().not_run)
@@ -304,11 +308,11 @@
     if proved {
         return Some(SendResult::Refused { status });
     }
-    // Passed on, this status would promise the caller what nobody proved.
+    // Forwarding this status would guarantee to the caller something that is not proved.
     NOT_RUN_STATUSES.contains(&status).then_some(SendResult::UnprovedRefusal { status })
 }
 
-/// Keeps the connection if its answer is whole and the server keeps it open.
+/// Returns the connection to the pool if the response is complete and the server keeps it open.
 fn return_connection(
     grant: &Grant,
     mut conn: ServerConn,
@@ -320,8 +324,7 @@
     }
 }
 
-/// The header fields of an answer that are meant for the caller. A length is told anew by the
-/// body that is passed on.
+/// The response headers to forward to the caller. The length is set again from the forwarded body.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
@@ -332,7 +335,7 @@
     passed
 }
 
-/// Passes a large answer on while it is read.
+/// Streams a large response to the caller while it is read.
 fn stream_body(
     grant: Grant,
     mut conn: ServerConn,
@@ -354,7 +357,7 @@
                 Err(error) => {
                     grant.end(SendOutcome::Broken);
                     drop(watch.record_truncated());
-                    // Without a caller nobody needs to hear of it.
+                    // The receiver is gone if the caller left.
                     let _ = sender.send(Err(error)).await;
                     return;
                 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,25 +1,25 @@
-//! A backend server as the request path uses it.
+//! A backend server with its connections.
 
 use std::sync::atomic::AtomicBool;
 
-use super::server_conns::ServerConnPool;
+use super::server_conn_pool::ServerConnPool;
 use crate::balance::server_key;
 use crate::model::ServerRow;
 
-/// One start of a backend server, with its connections.
+/// One start of a backend server. After a restart it is a new `Server`.
 #[derive(Debug)]
 pub struct Server {
-    /// As it was first listed; its state and warm-up are what was known then.
+    /// As first listed; its state and warm-up are not updated.
     pub row: ServerRow,
-    /// Hash by which instances name this start of the server to each other.
+    /// Hash that identifies this start of the server in messages between instances.
     pub key: u32,
     pub conns: ServerConnPool,
-    /// Whether it was ever asked for its health by this instance.
+    /// Whether this instance has ever checked the server's health.
     pub health_checked: AtomicBool,
 }
 
 impl Server {
-    /// A server without a connection.
+    /// Creates a server without connections.
     #[must_use]
     pub fn new(row: ServerRow) -> Self {
         let conns = ServerConnPool::new(row.address);
--- a/src/gateway/server_conn.rs
+++ b/src/gateway/server_conn.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server.
+//! A connection to a backend server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,30 +21,31 @@
 use crate::clock::now_us;
 
 const READ_BYTES: usize = 16 << 10;
-/// Largest head of an answer.
+/// Maximum size of a response head.
 const RESPONSE_HEAD_MAX_BYTES: usize = 64 << 10;
 const RESPONSE_HEADERS_MAX: usize = 64;
-/// Answers of others that are passed over before the connection is given up.
+/// Responses to other requests that are skipped before the connection is closed.
 const STALE_RESPONSES_MAX: u32 = 3;
-/// A server that does not tell closes idle connections after some seconds at the soonest.
+/// Idle timeout for servers that send none: they keep idle connections open for some seconds at
+/// least.
 const KEEP_ALIVE_DEFAULT: Duration = Duration::from_secs(4);
-/// Part of the time told by the server for which an idle connection is used again: the server
-/// counts from its last byte, and a request must not cross its close.
+/// Percentage of the server's idle timeout during which a connection is reused: the server counts
+/// from the last byte that it sent, and a request must not be sent while it closes the connection.
 const KEEP_ALIVE_USE_PERCENT: u32 = 75;
 
-/// Why an exchange brought no whole answer. The request may have run in each case.
+/// Why there is no complete response. The request may have run in each case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// The connection broke or was closed before an answer.
+    /// The connection failed or was closed before a response began.
     Closed,
-    /// An answer began and did not end as it said.
+    /// The response ended before its framing says.
     Truncated,
-    /// Bytes that are no answer, or answers to other requests only.
+    /// The bytes are no valid response, or only responses to other requests.
     Garbled,
 }
 
 impl ExchangeError {
-    /// The name written in logs.
+    /// The name used in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -55,23 +56,23 @@
     }
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     pub status: StatusCode,
     pub headers: HeaderMap,
     framing: Framing,
-    /// The server keeps the connection open after this answer.
+    /// Whether the server keeps the connection open after this response.
     keeps_open: bool,
 }
 
-/// Tells answers to our request from answers to others.
+/// Distinguishes the response to a request from responses to others.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseMatcher<'a> {
-    /// Field that servers copy from the request into the answer.
+    /// Header that servers copy from the request to the response.
     pub id_header: &'a HeaderName,
     pub id: Option<&'a HeaderValue>,
-    /// Field of an answer that refuses; such an answer may lack the echo.
+    /// Header of a response that refuses the request; such a response may lack the id.
     pub not_run_header: &'a HeaderName,
 }
 
@@ -83,8 +84,8 @@
                 head.headers.contains_key(self.not_run_header)
                     || head.status == StatusCode::MISDIRECTED_REQUEST
             }
-            // We sent no id: an answer that bears one is a late one to an earlier request, and
-            // tells the load and health of then.
+            // No id was sent: a response with one is a late response to an earlier request, and
+            // reports outdated load and health.
             (None, echoed) => echoed.is_none(),
         }
     }
@@ -100,12 +101,12 @@
     _open_guard: OpenConnGuard,
 }
 
-/// Counts a connection to a backend server while it is open.
+/// Counts an open connection to a backend server until dropped.
 #[derive(Debug)]
 pub struct OpenConnGuard(Arc<AtomicU32>);
 
 impl OpenConnGuard {
-    /// Counts one more, unless there are `most` already.
+    /// Counts one more connection; `None` if there are `most` already.
     #[must_use]
     pub fn try_new(open: &Arc<AtomicU32>, most: u32) -> Option<Self> {
         let add = |now: u32| (now < most).then_some(now + 1);
@@ -124,7 +125,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// When it cannot be opened within `within`; nothing was sent then.
+    /// If it cannot be opened within `within`; nothing has been sent then.
     pub async fn open(
         address: SocketAddr,
         within: Duration,
@@ -146,8 +147,8 @@
 
     /// Whether an idle connection can carry another request.
     ///
-    /// Bytes that came unasked belong to no request; with them, or after a close, the next answer
-    /// could be taken for the wrong request, or the request be lost.
+    /// Unexpected bytes belong to no request. On a connection that has received any, or was closed,
+    /// the next response could be matched to the wrong request, or the request could be lost.
     #[must_use]
     pub fn is_reusable(&self) -> bool {
         let idle_us = now_us().saturating_sub(self.idle_since_us);
@@ -161,11 +162,11 @@
         fresh && quiet && self.input.is_empty()
     }
 
-    /// Sends a request and reads the head of its answer. The body is sent while the answer is
-    /// awaited: a server may answer before it has read all of it.
+    /// Sends a request and reads the response head. The body is sent concurrently, since a server
+    /// may respond before it has read all of it.
     ///
     /// # Errors
-    /// Why there is no answer; the request may have run.
+    /// Why there is no response; the request may have run.
     pub async fn exchange(
         &mut self,
         head: &[u8],
@@ -183,21 +184,22 @@
         let mut answer = tokio::select! {
             biased;
             written = &mut write => {
-                // A server that refuses early may close its reading end; its answer still counts.
+                // A server that refuses early may close its receiving side; its response still
+                // counts.
                 let _ = written;
                 return read.await;
             }
             answer = &mut read => answer?,
         };
-        // The rest of the body was not sent: what the server would read next is not a request.
+        // The body was not sent completely, so the connection cannot carry another request.
         answer.keeps_open = false;
         Ok(answer)
     }
 
-    /// Reads more of the body; `None` when it is whole.
+    /// Reads more of the body; `None` when it is complete.
     ///
     /// # Errors
-    /// When the body ends too soon.
+    /// If the body ends early.
     pub async fn read_body(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Takes note that the exchange is over; tells whether the connection may be kept.
+    /// Ends the exchange and returns whether the connection can be kept.
     pub fn finish(&mut self, head: &ResponseHead) -> bool {
         self.idle_since_us = now_us();
         self.keep_alive = keep_alive(&head.headers).unwrap_or(KEEP_ALIVE_DEFAULT);
@@ -227,13 +229,13 @@
 }
 
 impl ResponseHead {
-    /// A decoder of this answer's body.
+    /// Creates a decoder for the body.
     #[must_use]
     pub const fn decoder(&self) -> BodyDecoder {
         BodyDecoder::new(self.framing)
     }
 
-    /// The length of the body, if the head tells it.
+    /// The length of the body, if the head states it.
     #[must_use]
     pub const fn body_bytes(&self) -> Option<u64> {
         match self.framing {
@@ -243,7 +245,7 @@
     }
 }
 
-/// The `timeout` of a `Keep-Alive` field.
+/// The `timeout` parameter of a `Keep-Alive` header.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let mut values = text.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
@@ -251,10 +253,10 @@
     Some(Duration::from_secs(seconds))
 }
 
-/// Reads heads until one answers our request; passes over the bodies of the others.
+/// Reads response heads until one matches the request, and skips the bodies of the others.
 ///
-/// A faulty server sends an answer twice, and the second one comes where the next answer is due.
-/// Its echoed id tells it from the right one, which follows.
+/// A faulty server may send a response twice; the duplicate then arrives where the next response is
+/// expected. The echoed id distinguishes it from the right one, which follows.
 async fn read_matching_head(
     reader: &mut tokio::net::tcp::ReadHalf<'_>,
     input: &mut BytesMut,
@@ -322,7 +324,7 @@
     }
 }
 
-/// Takes a whole head out of `input`; `None` when more bytes are needed.
+/// Consumes a complete response head from `input`; `None` if more bytes are needed.
 fn parse_head(input: &mut BytesMut) -> Result<Option<ResponseHead>, ExchangeError> {
     let mut fields = [httparse::EMPTY_HEADER; RESPONSE_HEADERS_MAX];
     let mut parsed = httparse::Response::new(&mut fields);
--- a/src/gateway/server_conns.rs
+++ b/src/gateway/server_conn_pool.rs
@@ -1,4 +1,4 @@
-//! The idle connections to one backend server.
+//! The connection pool of one backend server.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -12,46 +12,46 @@
 use super::server_conn::OpenConnGuard;
 use super::server_conn::ServerConn;
 
-/// Idle connections kept to one server; more than its slots are of no use.
+/// Maximum number of idle connections to one server; more than its slots are of no use.
 const IDLE_CONNS_MAX: usize = 8;
 
-/// Connections to one backend server, the last used first.
+/// Connections to one backend server. The most recently used one is reused first.
 #[derive(Debug)]
 pub struct ServerConnPool {
     address: SocketAddr,
     idle: Mutex<Vec<ServerConn>>,
-    /// Connections that are open, idle ones included.
+    /// Number of open connections, including idle ones.
     open: Arc<AtomicU32>,
-    /// This instance's part of the connections that the server accepts from everybody.
+    /// This instance's share of the connections that the server accepts from all clients.
     open_max: AtomicU32,
 }
 
 impl ServerConnPool {
-    /// No connection yet.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let idle = Mutex::new(Vec::new());
         Self { address, idle, open: Arc::default(), open_max: AtomicU32::new(u32::MAX) }
     }
 
-    /// Sets this instance's part of the connections that the server accepts.
+    /// Sets this instance's share of the connections that the server accepts.
     pub fn set_open_max(&self, open_max: u32) {
         self.open_max.store(open_max, Ordering::Release);
     }
 
-    /// Connections that are open now, idle ones included.
+    /// Number of open connections, including idle ones.
     #[must_use]
     pub fn open_count(&self) -> u32 {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Where the server listens.
+    /// The server's address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// An idle connection that may be used again.
+    /// Takes an idle connection that can be reused.
     #[must_use]
     pub fn take_idle(&self) -> Option<ServerConn> {
         let mut idle = self.idle.lock();
@@ -63,11 +63,11 @@
         None
     }
 
-    /// A connection: an idle one, or a new one.
+    /// Takes an idle connection or opens a new one.
     ///
     /// # Errors
-    /// When none can be opened within `within`, or [`ErrorKind::QuotaExceeded`] when this instance
-    /// has as many as it may.
+    /// If none can be opened within `within`, or [`ErrorKind::QuotaExceeded`] if this instance has
+    /// reached its share of the connections.
     pub async fn take(&self, within: Duration) -> std::io::Result<ServerConn> {
         if let Some(conn) = self.take_idle() {
             return Ok(conn);
@@ -79,7 +79,7 @@
         ServerConn::open(self.address, within, open).await
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns a connection to the pool for the next request.
     pub fn put_back(&self, conn: ServerConn) {
         let mut idle = self.idle.lock();
         if idle.len() < IDLE_CONNS_MAX {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Closes connections that may not be used again.
+    /// Closes idle connections that can no longer be reused.
     pub fn close_expired(&self) {
         self.idle.lock().retain(ServerConn::is_reusable);
     }
--- a/src/gateway/server_notice.rs
+++ b/src/gateway/server_notice.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of itself in an answer.
+//! What a backend server reports about itself in the headers of a response.
 
 use std::time::Duration;
 
@@ -11,45 +11,45 @@
 use crate::limit::RateLimit;
 use crate::model::LoadReport;
 
-/// The word of a server that leaves.
+/// Header value of a server that drains.
 const DRAINING_VALUE: &str = "1";
 
-/// The words of one answer.
+/// The reports in one response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerNotice {
     pub load: Option<LoadReport>,
-    /// `None` where the server names no limit.
+    /// `None` if the server sets no limit.
     pub rate_limit: Result<Option<RateLimit>, InvalidRateLimit>,
-    /// Whether it says that it leaves.
+    /// Whether the server says that it drains.
     pub draining: bool,
-    /// For how long the server, which turned the request away, wants none of this instance; `None` where
-    /// it does not ask for rest.
+    /// How long a server that refused the request wants no more from this instance; `None` if it
+    /// sent no such time.
     pub retry_after: Result<Option<Duration>, InvalidRetryAfter>,
 }
 
-/// A time of rest that is no number of seconds.
+/// A `Retry-After` value that is no number of seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRetryAfter;
 
 impl ServerNotice {
-    /// Reads the fields of an answer.
+    /// Reads the reports from the headers of a response.
     #[must_use]
     pub fn read<D: Dialect>(dialect: &D, status: StatusCode, headers: &HeaderMap) -> Self {
-        let fields = dialect.header_names();
-        let load = text(headers, &fields.load).and_then(|text| dialect.parse_load(text));
-        let limit = headers.get(&fields.rate_limit).map(|value| {
+        let names = dialect.header_names();
+        let load = text(headers, &names.load).and_then(|text| dialect.parse_load(text));
+        let limit = headers.get(&names.rate_limit).map(|value| {
             let header_text = value.to_str().map_err(|_| InvalidRateLimit)?;
             header_text.parse()
         });
         let turned_away = status == StatusCode::SERVICE_UNAVAILABLE;
         let retry_after = if turned_away { rest(headers) } else { Ok(None) };
         let draining =
-            text(headers, &fields.draining).is_some_and(|text| text.trim() == DRAINING_VALUE);
+            text(headers, &names.draining).is_some_and(|text| text.trim() == DRAINING_VALUE);
         Self { load, rate_limit: limit.transpose(), draining, retry_after }
     }
 }
 
-/// The time in seconds that an answer asks for, with fractions.
+/// The time of the `Retry-After` header, in seconds with fractions.
 fn rest(headers: &HeaderMap) -> Result<Option<Duration>, InvalidRetryAfter> {
     let Some(value) = headers.get(http::header::RETRY_AFTER) else {
         return Ok(None);
@@ -59,7 +59,7 @@
     rest.map(Some).ok_or(InvalidRetryAfter)
 }
 
-/// A field's text, if it is there and readable.
+/// The value of a header, if it is present and valid text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/src/gateway/server_starts.rs
+++ b/src/gateway/server_starts.rs
@@ -1,5 +1,5 @@
-//! Which start of a backend server an entry is of: reports that arrive late must not bring an
-//! earlier one back.
+//! Orders the starts of each backend server and their reports, so that a delayed report does not
+//! bring back an earlier start.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,35 +9,35 @@
 use crate::errors::Code;
 use crate::model::ServerRow;
 
-/// How long an outdated row waits for somebody to contradict it. A server that lives writes its
-/// entry some times in this (every second and a half, on the platforms of today), and an entry that
-/// nobody renews is removed after three such intervals: one that stands for longer is of the process
-/// that lives, whose clock was set back.
+/// How long an outdated row is held for a newer row to contradict it, in microseconds. A running
+/// server renews its entry several times within this (every 1.5 s on current platforms), and an
+/// entry that is not renewed is removed after three such intervals. A row that outlasts this time
+/// is therefore from the running process, whose clock was set back.
 const OUTDATED_ROW_HOLD_US: u64 = 5_000_000;
-/// How long the last start of a server that is gone is remembered, so that a report that was held up
-/// on its way cannot list it again.
+/// How long the last start of a removed server is remembered, in microseconds, so that a delayed
+/// report cannot list it again.
 const GONE_SERVER_RETENTION_US: u64 = 60_000_000;
 
-/// The latest report that is known of a server.
+/// The latest known report of a server.
 #[derive(Clone, Copy, Debug)]
 struct LatestReport {
     started_ms: u64,
     sequence: u64,
     heard_us: u64,
-    /// Whether this start said itself that it leaves.
+    /// Whether the server announced in a response that this start drains.
     announced_draining: bool,
-    /// When the server was forgotten otherwise; `None` while it is known.
+    /// When the server was removed; `None` while it is known.
     gone_us: Option<u64>,
 }
 
-/// A row that is older than what is known.
+/// A row that is older than the latest report.
 #[derive(Clone, Debug)]
 struct HeldRow {
     row: ServerRow,
     since_us: u64,
 }
 
-/// The order of starts and reports of each server.
+/// The latest start and report of each server.
 #[derive(Debug, Default)]
 pub(super) struct ServerStarts {
     latest: HashMap<Arc<str>, LatestReport>,
@@ -45,8 +45,8 @@
 }
 
 impl LatestReport {
-    /// Whether a row was written before the report that this is of. A row that says that its server
-    /// leaves is taken in any order: nothing of the same start takes it back.
+    /// Whether a row is older than this report. A row that announces draining is accepted in any
+    /// order, since a start never resumes after it.
     fn supersedes(&self, row: &ServerRow) -> bool {
         let earlier_report = row.sequence < self.sequence && !row.draining();
         row.started_ms < self.started_ms || row.started_ms == self.started_ms && earlier_report
@@ -54,7 +54,7 @@
 }
 
 impl ServerStarts {
-    /// The row, if it is to be put in force now; an outdated one is held.
+    /// Returns the row if it is to be applied now; an outdated one is held.
     pub(super) fn accept(&mut self, row: ServerRow, now_us: u64) -> Option<ServerRow> {
         let latest = self.latest.get(&row.id).copied();
         if let Some(latest) = latest.filter(|latest| latest.supersedes(&row)) {
@@ -63,7 +63,7 @@
                 server = &*row.id, started_ms = row.started_ms, sequence = row.sequence,
                 known_started_ms = latest.started_ms, known_sequence = latest.sequence,
                 known_age_ms = now_us.saturating_sub(latest.heard_us) / 1000;
-                "a report that came late is not used"
+                "an outdated report is not applied"
             );
             self.held.insert(Arc::clone(&row.id), HeldRow { row, since_us: now_us });
             return None;
@@ -86,7 +86,7 @@
         self.latest.insert(Arc::clone(&row.id), latest);
     }
 
-    /// The start that a row is of said itself that it leaves.
+    /// Records that the start of a row announced draining.
     pub(super) fn mark_draining(&mut self, row: &ServerRow) {
         let latest = self.latest.get_mut(&row.id);
         if let Some(latest) = latest.filter(|latest| latest.started_ms == row.started_ms) {
@@ -94,19 +94,19 @@
         }
     }
 
-    /// Whether the start that a row is of said itself that it leaves, as far as it is remembered.
+    /// Whether the start of a row announced draining, as far as remembered.
     pub(super) fn is_draining(&self, row: &ServerRow) -> bool {
         let latest = self.latest.get(&row.id);
         latest
             .is_some_and(|latest| latest.announced_draining && latest.started_ms == row.started_ms)
     }
 
-    /// The entry of a server was removed, and a held row with it.
+    /// Discards the held row of a server whose entry was removed.
     pub(super) fn drop_held(&mut self, id: &str) {
         self.held.remove(id);
     }
 
-    /// Held rows that nobody contradicted: they are of the process that lives.
+    /// Returns the held rows that nothing contradicted: they are from the running process.
     pub(super) fn take_due(&mut self, now_us: u64) -> Vec<ServerRow> {
         let is_due = |held: &&HeldRow| now_us.saturating_sub(held.since_us) >= OUTDATED_ROW_HOLD_US;
         let due: Vec<ServerRow> =
@@ -117,14 +117,14 @@
         due
     }
 
-    /// A server is no longer known otherwise.
+    /// Records that a server is no longer known.
     pub(super) fn mark_gone(&mut self, id: &str, now_us: u64) {
         if let Some(latest) = self.latest.get_mut(id) {
             latest.gone_us = Some(now_us);
         }
     }
 
-    /// Forgets servers that are gone for long.
+    /// Forgets servers that have been gone for a long time.
     pub(super) fn remove_expired(&mut self, now_us: u64) {
         let long_gone = |gone_us: u64| now_us.saturating_sub(gone_us) >= GONE_SERVER_RETENTION_US;
         self.latest.retain(|_, latest| !latest.gone_us.is_some_and(long_gone));
--- a/src/gateway/servers_in_use.rs
+++ b/src/gateway/servers_in_use.rs
@@ -1,4 +1,4 @@
-//! The backend servers to which this instance has connections.
+//! The backend servers that this instance has connections to.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,31 +8,31 @@
 #[derive(Debug)]
 struct UsedServer {
     server: Arc<Server>,
-    /// Without an open connection when last looked at. One may be being opened then, for which a
-    /// quarter of a second is allowed, half of the time between two looks.
+    /// Whether no connection was open at the last check. One may have been opening then, which is
+    /// given a quarter of a second, half of the interval between two checks.
     closed: bool,
 }
 
-/// Servers with connections, which are gone through to close those that are idle for too long: an
-/// instance that callers are not told of has none, among hundreds of servers that it knows.
+/// The servers with connections, which are visited to close those that idle for too long. An
+/// instance that is not advertised to callers has none, among hundreds of servers that it knows.
 #[derive(Debug, Default)]
 pub(super) struct ServersInUse {
     by_key: HashMap<u32, UsedServer>,
 }
 
 impl ServersInUse {
-    /// Takes note of a server to which a connection may be opened now.
+    /// Records a server to which a connection may be opened now.
     pub(super) fn record(&mut self, server: &Arc<Server>) {
         let new = || UsedServer { server: Arc::clone(server), closed: false };
         self.by_key.entry(server.key).or_insert_with(new).closed = false;
     }
 
-    /// These servers.
+    /// The servers in use.
     pub(super) fn servers(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.by_key.values().map(|in_use| &in_use.server)
     }
 
-    /// Closes connections that may not be used again.
+    /// Closes connections that can no longer be reused, and removes servers without any.
     pub(super) fn close_expired(&mut self) {
         self.by_key.retain(|_, in_use| {
             let conns = &in_use.server.conns;
--- a/tests/gateway_requests.rs
+++ b/tests/gateway_requests.rs
@@ -1,5 +1,6 @@
-//! Requests by routes over real sockets: whole answers to whoever asked, at most once, true
-//! refusals, and final answers at once.
+//! Forwards requests over real sockets and checks that responses are complete and reach the right
+//! caller, that requests run at most once unless idempotent, that refusals are true, and that final
+//! replies are immediate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +19,8 @@
 
 const WAIT: Duration = Duration::from_secs(10);
 
-/// One instance, and one server for each service.
-async fn one_of_each() -> (RoutedBed, RawServer, RawServer) {
+/// Starts one instance and one server for each service.
+async fn start_one_of_each() -> (RoutedBed, RawServer, RawServer) {
     let bed = RoutedBed::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
     let orders = RawServer::spawn("o1").await;
@@ -40,34 +41,34 @@
     }
 }
 
-/// Waits until a server that was just listed gets its part of the lookups.
+/// Waits until a newly listed server receives lookups.
 async fn until_used(bed: &RoutedBed, server: &RawServer) {
     let until = Instant::now() + WAIT;
     while server.ran().is_empty() {
-        assert!(Instant::now() < until, "the new server gets nothing");
+        assert!(Instant::now() < until, "the new server receives no requests");
         bed.call(0, "GET /look/a", "warm", &[]).await;
     }
 }
 
-fn runs(server: &RawServer, id: &str) -> usize {
+fn run_count(server: &RawServer, id: &str) -> usize {
     server.ran().iter().filter(|ran| *ran == id).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_is_passed_on_whole_with_its_signature() {
-    let (bed, _, orders) = one_of_each().await;
+async fn forwards_complete_response_with_signature() {
+    let (bed, _, orders) = start_one_of_each().await;
     let answer = bed.call(0, "POST /order/x?y=%20z", "r1", b"body of the order").await;
     assert_eq!((answer.status, answer.body.as_slice()), (200, b"r1".as_slice()));
     assert_eq!(answer.field("signature"), Some("s-r1"));
     assert_eq!(answer.field("request-id"), Some("r1"));
-    let head = orders.heads().pop().expect("the request came");
+    let head = orders.heads().pop().expect("the server received the request");
     assert!(head.starts_with("POST /order/x?y=%20z HTTP/1.1"), "{head}");
     assert!(head.contains("expected-server: o1") && head.contains("timeout-ms: 11"), "{head}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bodies_in_chunks_and_bodies_ended_by_their_connection_are_whole() {
-    let (bed, parts, _) = one_of_each().await;
+async fn forwards_chunked_and_close_delimited_bodies() {
+    let (bed, parts, _) = start_one_of_each().await;
     for behaviour in [Behaviour::AnswerInChunks, Behaviour::AnswerByClose] {
         parts.behave(behaviour);
         let answer = bed.call(0, "GET /look/a", "r2", &[]).await;
@@ -79,42 +80,42 @@
     }
 }
 
-/// A shop sees the answer to another shop's order.
-/// A faulty server answers an order twice; the second answer lies on the connection when the next
-/// order is sent there, and comes where its own answer is due.
+/// Guards against a caller receiving another caller's response. A faulty server sends a response
+/// twice, and the duplicate arrives where the next response on the connection is expected.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_comes_again_is_never_taken_for_the_next() {
-    let (bed, _, orders) = one_of_each().await;
+async fn duplicate_response_is_not_taken_for_the_next() {
+    let (bed, _, orders) = start_one_of_each().await;
     orders.behave(Behaviour::AnswerTwice);
     for number in 0..20 {
         let id = format!("twice-{number}");
         let answer = bed.call(0, "POST /order/a", &id, &[]).await;
         assert_eq!((answer.status, answer.body.as_slice()), (200, id.as_bytes()));
-        assert_eq!(runs(&orders, &id), 1);
+        assert_eq!(run_count(&orders, &id), 1);
     }
 }
 
-/// The rest of a long order is taken for the next request: the server answered before it had read
-/// all of it, and the connection was used again.
+/// Guards against the rest of a request body being read as the next request, after the server
+/// responded before reading the whole body and the connection was reused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_connection_with_an_unfinished_body_carries_no_other_request() {
-    let (bed, _, orders) = one_of_each().await;
+async fn connection_with_unsent_body_is_not_reused() {
+    let (bed, _, orders) = start_one_of_each().await;
     orders.behave(Behaviour::AnswerEarly);
     let long = vec![b'x'; 900_000];
     for number in 0..5 {
         let id = format!("early-{number}");
         let answer = bed.call(0, "POST /order/a", &id, &long).await;
         assert_eq!((answer.status, answer.body.as_slice()), (200, id.as_bytes()));
-        assert_eq!(runs(&orders, &id), 1);
+        assert_eq!(run_count(&orders, &id), 1);
     }
     let heads = orders.heads();
     assert!(heads.iter().all(|head| head.starts_with("POST /order/")), "{heads:?}");
 }
 
-/// A doubled order: the server runs it, its answer is lost, and the gateway asks again.
+/// Guards against running an order twice: the server runs it, the response is lost, and the gateway
+/// retries.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_answer_is_lost_runs_once_and_is_not_called_refused() {
-    let (bed, _, orders) = one_of_each().await;
+async fn at_most_once_request_with_lost_response_is_not_retried() {
+    let (bed, _, orders) = start_one_of_each().await;
     let second = RawServer::spawn("o2").await;
     bed.store.put("servers/o2", &second.entry("orders", "z", 4, "ready"));
     for behaviour in [Behaviour::Close, Behaviour::Truncate, Behaviour::Garble, Behaviour::Unproved]
@@ -125,14 +126,15 @@
         let answer = bed.call(0, "POST /order/a", &id, &[]).await;
         assert_eq!(answer.status, 502, "{behaviour:?}");
         assert_eq!(answer.field("signature"), None);
-        assert_eq!(runs(&orders, &id) + runs(&second, &id), 1, "{behaviour:?}");
+        assert_eq!(run_count(&orders, &id) + run_count(&second, &id), 1, "{behaviour:?}");
     }
 }
 
-/// Counter staff see an error although another server could have answered their lookup.
+/// Guards against returning an error for an idempotent request that another server could have
+/// answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_whose_answer_is_lost_is_answered_by_another_server() {
-    let (bed, parts, _) = one_of_each().await;
+async fn idempotent_request_with_lost_response_is_retried() {
+    let (bed, parts, _) = start_one_of_each().await;
     let sound = RawServer::spawn("p2").await;
     bed.store.put("servers/p2", &sound.entry("parts", "z", 4, "ready"));
     until_used(&bed, &sound).await;
@@ -146,10 +148,10 @@
     }
 }
 
-/// A server that says it did not run an order is believed: another one runs it, once.
+/// A refusal with proof that the order did not run allows another server to run it, once.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_that_was_refused_with_proof_runs_elsewhere_once() {
-    let (bed, _, orders) = one_of_each().await;
+async fn order_refused_with_proof_runs_once_elsewhere() {
+    let (bed, _, orders) = start_one_of_each().await;
     orders.behave(Behaviour::Shed);
     let refused = bed.call(0, "POST /order/a", "shed", &[]).await;
     assert_eq!(refused.status, 503);
@@ -160,13 +162,13 @@
     until_served(&bed, "POST /order/a").await;
     let answer = bed.call(0, "POST /order/a", "again", &[]).await;
     assert_eq!(answer.status, 200);
-    assert_eq!(runs(&second, "again"), 1);
+    assert_eq!(run_count(&second, "again"), 1);
 }
 
-/// A caller waits until its own deadline although the gateway knows that no answer comes in time.
+/// Guards against a caller waiting until its own deadline after the route's timeout has passed.
 #[tokio::test(flavor = "multi_thread")]
-async fn at_the_routes_timeout_the_final_answer_comes_at_once() {
-    let (bed, _, orders) = one_of_each().await;
+async fn replies_immediately_at_route_timeout() {
+    let (bed, _, orders) = start_one_of_each().await;
     orders.behave(Behaviour::Silent);
     let began = Instant::now();
     let answer = bed.call(0, "POST /order/a", "silent", &[]).await;
@@ -175,23 +177,24 @@
     assert!((1_150..1_700).contains(&took.as_millis()), "{took:?}");
 }
 
-/// A server goes on working for a caller that hung up long ago.
+/// Guards against a server continuing to work for a caller that has disconnected.
 #[tokio::test(flavor = "multi_thread")]
-async fn work_ends_when_its_caller_leaves() {
-    let (bed, parts, _) = one_of_each().await;
+async fn request_is_cancelled_when_caller_disconnects() {
+    let (bed, parts, _) = start_one_of_each().await;
     parts.work(Duration::from_secs(1));
     let call = bed.call(0, "GET /look/a", "left", &[]);
     assert!(tokio::time::timeout(Duration::from_millis(200), call).await.is_err());
     let until = Instant::now() + WAIT;
     while parts.cancelled() == 0 {
-        assert!(Instant::now() < until, "the server still works");
+        assert!(Instant::now() < until, "the server is still working");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A newcomer refuses what is allowed, because it knows no configuration yet.
+/// Guards against a starting instance rejecting valid requests permanently because it has no
+/// configuration yet.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_configuration_nothing_is_called_unknown() {
+async fn requests_are_retryable_without_configuration() {
     let bed = RoutedBed::start(&["z"]).await;
     assert_eq!(bed.readiness(0).await, 503);
     let answer = bed.call(0, "GET /look/a", "early", &[]).await;
@@ -203,8 +206,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_drains_or_is_gone_gets_nothing_more() {
-    let (bed, parts, _) = one_of_each().await;
+async fn draining_or_removed_server_receives_no_requests() {
+    let (bed, parts, _) = start_one_of_each().await;
     let other = RawServer::spawn("p2").await;
     bed.store.put("servers/p2", &other.entry("parts", "z", 4, "ready"));
     bed.store.put("servers/p1", &parts.entry("parts", "z", 4, "draining"));
@@ -220,10 +223,10 @@
     assert_eq!(bed.call(0, "GET /look/a", "none", &[]).await.status, 503);
 }
 
-/// An order is lost: it was on its way when the instance that had it was told to stop.
+/// Guards against losing a request that is in flight when its instance is told to stop.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_finishes_what_is_in_flight_and_serves_on_for_a_while() {
-    let (mut bed, _, orders) = one_of_each().await;
+async fn planned_stop_serves_in_flight_and_late_requests() {
+    let (mut bed, _, orders) = start_one_of_each().await;
     orders.work(Duration::from_millis(600));
     let to = bed.board(0).settings.listen.caller;
     let fields = [("host", "shop.example"), ("request-id", "stopping")];
@@ -236,16 +239,17 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let late = [("host", "shop.example"), ("request-id", "after")];
     let after = standins::routed::raw_call(to, "POST /order/a", &late, &[]).await;
-    assert_eq!(after.status, 200, "callers that keep an old answer are served");
+    assert_eq!(after.status, 200, "callers with a cached address list are served");
     assert_eq!(call.await.expect("no panic").status, 200);
     stopped.await.expect("no panic");
-    assert_eq!((runs(&orders, "stopping"), runs(&orders, "after")), (1, 1));
+    assert_eq!((run_count(&orders, "stopping"), run_count(&orders, "after")), (1, 1));
 }
 
-/// A service whose servers tell no load is refused whenever they are busy: health checks wait there
-/// like requests, and servers that did not answer them in time were taken for gone.
+/// Guards against refusing all requests to a service whose servers report no load while they are
+/// busy. Health checks wait there like requests, and a server that misses one must not be taken to
+/// be gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_busy_server_that_tells_no_load_is_not_taken_for_gone() {
+async fn busy_server_without_load_reports_stays_available() {
     let bed = RoutedBed::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
     parts.pace(0);
@@ -264,26 +268,27 @@
     };
     let (first, (status, took)) = tokio::join!(first, second);
     assert_eq!((first.status, status), (200, 200));
-    // Within the aim: a server that has been silent for so long is tried after a wait.
+    // Within the latency target: a server that has been silent for so long is tried after a wait.
     assert!(took < Duration::from_millis(600), "{took:?}");
 }
 
-/// Counter staff wait a second for a lookup that takes 200 ms: it began on a server that had turned
-/// slow after its last health check, while another one was idle and fast.
+/// Guards against a lookup of 200 ms taking a second, because it began on a server that had turned
+/// slow after its last health check while another one was idle and fast.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_is_not_begun_on_a_server_that_has_just_turned_slow() {
-    let (bed, parts, _) = one_of_each().await;
+async fn request_avoids_server_that_just_turned_slow() {
+    let (bed, parts, _) = start_one_of_each().await;
     let other = RawServer::spawn("p2").await;
     bed.store.put("servers/p2", &other.entry("parts", "z", 4, "ready"));
     until_used(&bed, &other).await;
     for number in 0..40 {
         let (slow, fast) = if number % 2 == 0 { (&parts, &other) } else { (&other, &parts) };
-        // Both are known to be fast: health checks come eight times a second.
+        // Both are known to be fast: health checks run eight times a second.
         slow.pace(100);
         fast.pace(100);
         tokio::time::sleep(Duration::from_millis(200)).await;
         slow.pace(500);
-        // The last answer told the pace of then; it is believed for some milliseconds.
+        // The last response reported the earlier slowdown, which is relied on for some
+        // milliseconds.
         tokio::time::sleep(Duration::from_millis(10)).await;
         let before = slow.ran().len();
         let answer = bed.call(0, "GET /look/a", &format!("pace-{number}"), &[]).await;
@@ -292,12 +297,12 @@
     }
 }
 
-/// A lookup is begun on a slow server although the server was asked just before: the answer to the
-/// request before it came a second time, where that to the health check was due, and told the pace
-/// of then.
+/// Guards against starting a request on a slow server despite a preflight check: a duplicate of an
+/// earlier response, which reports the earlier slowdown, must not be taken for the response to the
+/// check.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_comes_again_is_not_taken_for_that_to_a_health_check() {
-    let (bed, parts, _) = one_of_each().await;
+async fn duplicate_response_is_not_taken_for_a_health_check() {
+    let (bed, parts, _) = start_one_of_each().await;
     let other = RawServer::spawn("p2").await;
     bed.store.put("servers/p2", &other.entry("parts", "z", 4, "ready"));
     until_used(&bed, &other).await;
@@ -320,10 +325,11 @@
     }
 }
 
-/// More connections than a server accepts are reset, with the requests on them: each instance keeps
-/// to its part of what the operators declare, and lets requests wait instead.
+/// Guards against exceeding the connections that a server accepts, as it resets the excess ones
+/// with their requests. Each instance keeps to its share of the declared limit and queues requests
+/// instead.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_gets_no_more_connections_than_it_accepts() {
+async fn connections_stay_within_server_limit() {
     let bed = RoutedBed::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
     parts.work(Duration::from_millis(20));
@@ -332,7 +338,7 @@
     bed.store.put("servers/p1", &parts.entry("parts", "z", 16, "ready"));
     bed.settle().await;
     until_served(&bed, "GET /look/a").await;
-    // The part of each instance is worked out some times a second.
+    // The share of each instance is recalculated several times a second.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let to = bed.board(0).settings.listen.caller;
     let mut calls = tokio::task::JoinSet::new();
@@ -348,13 +354,12 @@
     assert!(parts.connections_most() <= 4, "{} connections at once", parts.connections_most());
 }
 
-/// An adviser waits for most of a second to hear that a lookup failed, though it was known at once:
-/// the only server that the service has cut its answer short, and the request then waited for
-/// another server that does not exist.
+/// Guards against a failed request waiting for another server that does not exist: the only server
+/// of the service truncates its response, and the caller must be told at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_that_failed_on_the_only_server_gets_its_final_answer_at_once() {
+async fn failure_of_the_only_server_is_reported_at_once() {
     for behaviour in [Behaviour::Close, Behaviour::Truncate, Behaviour::Garble] {
-        let (bed, parts, _) = one_of_each().await;
+        let (bed, parts, _) = start_one_of_each().await;
         parts.behave(behaviour);
         let since = Instant::now();
         let answer = bed.call(0, "GET /look/a", "only", &[]).await;
@@ -364,11 +369,11 @@
     }
 }
 
-/// A request through a forward proxy names its host in the target. Routed by the other field, it
-/// would be run by another market's service.
+/// A request through a forward proxy names its host in the target. Guards against routing it by the
+/// `host` header instead, to another service.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_absolute_target_is_routed_by_its_own_host() {
-    let (bed, parts, _) = one_of_each().await;
+async fn absolute_target_is_routed_by_its_host() {
+    let (bed, parts, _) = start_one_of_each().await;
     let to = bed.board(0).settings.listen.caller;
     let fields = [("host", "nobody.example"), ("request-id", "absolute")];
     let answer = raw_call(to, "GET http://shop.example/look/a", &fields, &[]).await;
@@ -376,10 +381,10 @@
     assert!(parts.heads().pop().is_some_and(|head| head.starts_with("GET /look/a HTTP/1.1")));
 }
 
-/// A server crashes while it has four lookups and starts again under its id, at another address.
-/// New lookups wait for slots that nobody holds any more, or go to the address that is gone.
+/// Guards against waiting for the slots of a crashed server, or sending to its old address, after
+/// it has restarted under the same id at another address.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_starts_again_under_its_id_is_used_at_once() {
+async fn restarted_server_is_used_at_once() {
     let bed = RoutedBed::start(&["z"]).await;
     let before = RawServer::spawn("p1").await;
     bed.store.put(CONFIG_KEY, &two_routes(1));
@@ -411,20 +416,20 @@
     tokio::join!(lost, served);
 }
 
-/// A caller reads a large answer slowly. The instance must not hold what the caller has not taken:
-/// some such callers would fill its memory.
+/// Guards against buffering more of a large response than its slow caller has read: a few such
+/// callers would fill the memory of the instance.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_answer_is_passed_on_no_faster_than_its_caller_reads() {
-    let (bed, parts, _) = one_of_each().await;
+async fn large_response_is_streamed_as_fast_as_the_caller_reads() {
+    let (bed, parts, _) = start_one_of_each().await;
     parts.behave(Behaviour::AnswerLarge);
     let to = bed.board(0).settings.listen.caller;
     let mut stream = tokio::net::TcpStream::connect(to).await.expect("connected");
     let call = b"GET /look/a HTTP/1.1\r\nhost: shop.example\r\nrequest-id: d1\r\n\r\n";
     stream.write_all(call).await.expect("sent");
     let mut bytes = vec![0; 64 << 10];
-    let mut taken = stream.read(&mut bytes).await.expect("the answer begins");
+    let mut taken = stream.read(&mut bytes).await.expect("the response begins");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    // Sockets on loopback hold some megabytes each.
+    // Loopback sockets buffer some megabytes each.
     assert!(parts.large_bytes() < LARGE_BYTES as u64 / 2, "{} bytes", parts.large_bytes());
     while taken < LARGE_BYTES {
         match stream.read(&mut bytes).await {
@@ -434,9 +439,9 @@
     }
 }
 
-/// The memory set aside for held answers is full: answers are passed on as they come, whole.
+/// A full memory budget for buffered responses admits no more bytes.
 #[tokio::test]
-async fn a_full_room_for_answers_holds_no_more() {
+async fn full_memory_budget_reserves_no_more() {
     let room = Arc::new(MemoryBudget::new(100));
     let mut first = room.reservation();
     let mut second = room.reservation();
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -1,4 +1,4 @@
-//! Promise: a backend server that is leaving receives no new work after a few seconds.
+//! A backend server that drains receives no new requests after a few seconds.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 use standins::platform::ListedMachine;
 use tokio::task::JoinHandle;
 
-/// A few seconds, as promised; on loopback each way takes far less.
+/// Upper bound for the last new request; on loopback each way takes far less.
 const FEW_SECONDS: Duration = Duration::from_secs(5);
 
-/// Lookups through all zones until it is dropped.
-struct Steady(JoinHandle<()>);
+/// Sends lookups through all zones until dropped.
+struct BackgroundLoad(JoinHandle<()>);
 
-impl Drop for Steady {
+impl Drop for BackgroundLoad {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-fn steady(bed: &Bed, service: &str) -> Steady {
+fn start_background_load(bed: &Bed, service: &str) -> BackgroundLoad {
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller(service, zone)).collect();
-    Steady(tokio::spawn(async move {
+    BackgroundLoad(tokio::spawn(async move {
         for number in 0_usize.. {
             let caller = callers[number % 3].clone();
             tokio::spawn(async move {
@@ -37,93 +37,107 @@
     }))
 }
 
-/// Fewest requests that the others get while the leaving one gets none.
-const OTHERS_MIN: usize = 150;
+/// Minimum number of requests that the other servers receive while the draining one receives none.
+const OTHERS_REQUESTS_MIN: usize = 150;
 
-/// Waits until the server got nothing while the others got so much that its own share would have
-/// been dozens, and tells how long after `since` its last work began.
-async fn last_work(bed: &Bed, leaving: &Backend, since: tokio::time::Instant) -> Duration {
+/// Waits until the draining server receives nothing while the others receive so many requests that
+/// its share would have been dozens. Returns the time from `since` to its last request.
+async fn time_to_last_request(
+    bed: &Bed,
+    leaving: &Backend,
+    since: tokio::time::Instant,
+) -> Duration {
     let runs = |backend: &Backend| backend.record.runs().len();
     let all = || bed.backends.iter().map(runs).sum::<usize>();
     let mut seen = (runs(leaving), all());
-    until("the leaving server gets nothing more", async || {
+    until("the draining server receives no more requests", async || {
         if runs(leaving) != seen.0 {
             seen = (runs(leaving), all());
         }
-        all() - seen.1 >= OTHERS_MIN
+        all() - seen.1 >= OTHERS_REQUESTS_MIN
     })
     .await;
     let last = leaving.record.runs().last().map_or(since, |run| run.at);
     last.saturating_duration_since(since)
 }
 
-/// Story: an operator drains a server by a call, at an instance that is not its keeper.
+/// An operator drains a server through an instance that is not its keeper.
 #[tokio::test(flavor = "multi_thread")]
-async fn drained_by_call() {
+async fn drained_by_operator() {
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("catalogue").await;
-    let load = steady(&bed, "catalogue");
-    until("it works", async || !bed.backends[0].record.runs().is_empty()).await;
+    let load = start_background_load(&bed, "catalogue");
+    until("the server receives requests", async || !bed.backends[0].record.runs().is_empty()).await;
     let since = tokio::time::Instant::now();
     bed.operator(2).set_drain("catalogue", "b0", true).await.expect("drained");
-    let took = last_work(&bed, &bed.backends[0], since).await;
+    let took = time_to_last_request(&bed, &bed.backends[0], since).await;
     assert!(took < FEW_SECONDS, "{took:?}");
     println!("drained by call: last new work after {took:?}");
     bed.operator(1).set_drain("catalogue", "b0", false).await.expect("undrained");
     let before = bed.backends[0].record.runs().len();
-    until("it gets work again", async || bed.backends[0].record.runs().len() > before).await;
+    until("the server receives requests again", async || {
+        bed.backends[0].record.runs().len() > before
+    })
+    .await;
     drop(load);
 }
 
-/// Story: a server says in its answers that it drains, with the store down and no probe allowed:
-/// its own word must be enough, and it must last.
+/// A server announces draining in its responses, with the store down and no probes allowed. The
+/// announcement alone must suffice, and must last.
 #[tokio::test(flavor = "multi_thread")]
-async fn told_by_its_own_answer_with_the_store_down() {
+async fn announced_draining_suffices_with_store_down() {
     let mut bed = Bed::start(BedPlan::default()).await;
     bed.create("catalogue").await;
     bed.stop_platform();
-    let load = steady(&bed, "catalogue");
-    until("it works", async || !bed.backends[1].record.runs().is_empty()).await;
+    let load = start_background_load(&bed, "catalogue");
+    until("the server receives requests", async || !bed.backends[1].record.runs().is_empty()).await;
     let since = tokio::time::Instant::now();
     bed.backends[1].behaviour.draining.store(true, Ordering::Release);
-    let took = last_work(&bed, &bed.backends[1], since).await;
+    let took = time_to_last_request(&bed, &bed.backends[1], since).await;
     assert!(took < FEW_SECONDS, "{took:?}");
     println!("told by its own answer: last new work after {took:?}");
     drop(load);
 }
 
-/// Story: a server that left by its own word comes back. Probes within the budget find that out;
-/// while it still says that it drains, they do not.
+/// A server that announced draining becomes available again. Probes within the budget discover
+/// that, but not while the server still announces draining.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_that_comes_back_is_found_by_probes_within_the_budget() {
+async fn probes_find_a_server_that_is_available_again() {
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.service("catalogue");
     service.measuring_budget_per_s = 32;
     let revision = bed.put(0, &service, 0).await.expect("accepted");
     bed.until_in_force("catalogue", revision).await;
-    let load = steady(&bed, "catalogue");
+    let load = start_background_load(&bed, "catalogue");
     let backend = &bed.backends[2];
-    until("it works", async || !backend.record.runs().is_empty()).await;
+    until("the server receives requests", async || !backend.record.runs().is_empty()).await;
     backend.behaviour.draining.store(true, Ordering::Release);
-    last_work(&bed, backend, tokio::time::Instant::now()).await;
+    time_to_last_request(&bed, backend, tokio::time::Instant::now()).await;
     let probed = backend.record.measuring().len();
     let before = backend.record.runs().len();
-    until("it is probed while it leaves", async || backend.record.measuring().len() > probed + 1)
-        .await;
-    assert_eq!(backend.record.runs().len(), before, "a probe that says draining brings no work");
+    until("the server is probed while it drains", async || {
+        backend.record.measuring().len() > probed + 1
+    })
+    .await;
+    assert_eq!(
+        backend.record.runs().len(),
+        before,
+        "a probe that reports draining makes no requests go there"
+    );
     backend.behaviour.draining.store(false, Ordering::Release);
-    until("it gets work again", async || backend.record.runs().len() > before).await;
+    until("the server receives requests again", async || backend.record.runs().len() > before)
+        .await;
     drop(load);
 }
 
-/// Story: the platform's list says that a server leaves. The list lags, but is enough.
+/// The platform's list marks a server as leaving. The list lags, but suffices.
 #[tokio::test(flavor = "multi_thread")]
 async fn listed_as_leaving() {
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("catalogue").await;
-    let load = steady(&bed, "catalogue");
+    let load = start_background_load(&bed, "catalogue");
     let backend = &bed.backends[3];
-    until("it works", async || !backend.record.runs().is_empty()).await;
+    until("the server receives requests", async || !backend.record.runs().is_empty()).await;
     let since = tokio::time::Instant::now();
     let listed = |leaving| ListedMachine {
         id: "b3".into(),
@@ -133,11 +147,12 @@
         leaving,
     };
     bed.state.set_list("backend-servers", vec![listed(true)]);
-    let took = last_work(&bed, backend, since).await;
+    let took = time_to_last_request(&bed, backend, since).await;
     assert!(took < FEW_SECONDS, "{took:?}");
     println!("listed as leaving: last new work after {took:?}");
     let before = backend.record.runs().len();
     bed.state.set_list("backend-servers", vec![listed(false)]);
-    until("it gets work again", async || backend.record.runs().len() > before).await;
+    until("the server receives requests again", async || backend.record.runs().len() > before)
+        .await;
     drop(load);
 }
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of backend servers: what names a server to use, and which start of it.
+//! Entries of backend servers: which of them name a usable server, and which start of it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 
 mod common;
 
-/// An instance's servers, and the copy of the store that lists them.
+/// The servers of an instance, and its copy of the store that lists them.
 struct Bed {
     dispatcher: Dispatcher,
     mirror: Mirror<ServerSink<PlainDialect>>,
@@ -46,8 +46,8 @@
         self.mirror.apply(&[event], self.revision, Duration::ZERO);
     }
 
-    /// A slot, if one is free now.
-    fn slot(&self) -> Option<Grant> {
+    /// A slot, if one is free.
+    fn try_acquire(&self) -> Option<Grant> {
         let ask = RequestSpec {
             route: "look".into(),
             workspace: None,
@@ -61,13 +61,14 @@
         self.dispatcher.try_acquire_spare("s", &ask)
     }
 
-    /// All slots that are free now.
-    fn free(&self) -> usize {
-        std::iter::from_fn(|| self.slot()).collect::<Vec<_>>().len()
+    /// Number of free slots.
+    fn free_slots(&self) -> usize {
+        std::iter::from_fn(|| self.try_acquire()).collect::<Vec<_>>().len()
     }
 }
 
-/// Entry of a start with four slots, of which three are used until the last is known to pay.
+/// The entry of a start with four slots, of which three are used until the last one is known to
+/// improve throughput.
 fn entry(started_ms: u64, sequence: u64, port: u16, state: &str) -> Vec<u8> {
     serde_json::json!({
         "service": "s", "address": format!("127.0.0.1:{port}"), "zone": "z", "slots": 4,
@@ -77,103 +78,105 @@
     .into_bytes()
 }
 
-/// A server crashes with all of its slots in use and starts again under its id. Requests are
-/// refused for want of a slot, although the new process has nothing to do.
+/// Guards against refusing requests for lack of slots after a server crashed with all slots in use
+/// and restarted under the same id.
 #[tokio::test]
-async fn a_server_that_starts_again_has_all_its_slots() {
+async fn restarted_server_has_all_slots() {
     let mut bed = Bed::new();
     bed.write("a", &entry(1_000, 1, 81, "ready"));
-    let held: Vec<Grant> = std::iter::from_fn(|| bed.slot()).collect();
-    assert!(held.len() >= 3 && bed.slot().is_none());
+    let held: Vec<Grant> = std::iter::from_fn(|| bed.try_acquire()).collect();
+    assert!(held.len() >= 3 && bed.try_acquire().is_none());
     bed.write("a", &entry(2_000, 1, 81, "ready"));
-    assert_eq!(bed.free(), held.len());
-    // The end of what ran at the start before changes nothing of the new one.
+    assert_eq!(bed.free_slots(), held.len());
+    // The end of the earlier start's requests does not affect the new one.
     drop(held);
-    assert!(bed.free() >= 3);
+    assert!(bed.free_slots() >= 3);
 }
 
-/// The same at another address: requests must not go to the old one.
+/// Guards against sending requests to the old address of a server that restarted elsewhere.
 #[tokio::test]
-async fn a_server_that_starts_again_elsewhere_is_used_there() {
+async fn restarted_server_is_used_at_its_new_address() {
     let mut bed = Bed::new();
     bed.write("a", &entry(1_000, 9, 81, "ready"));
-    let before = Arc::clone(&bed.slot().expect("a slot").server);
+    let before = Arc::clone(&bed.try_acquire().expect("a free slot").server);
     bed.write("a", &entry(2_000, 1, 82, "ready"));
-    let server = Arc::clone(&bed.slot().expect("a slot").server);
+    let server = Arc::clone(&bed.try_acquire().expect("a free slot").server);
     assert_eq!(server.conns.address().port(), 82);
-    // An answer that tells that another server has the old address says nothing of the new one.
+    // A response showing that another server has the old address does not concern the new one.
     bed.dispatcher.unlist_displaced(&before);
-    assert!(bed.slot().is_some());
+    assert!(bed.try_acquire().is_some());
 }
 
-/// The last word of the process before, held up on its way, says that the server leaves. The new
-/// process gets no work for it.
+/// Guards against a delayed draining report of the earlier process stopping requests to the new
+/// one.
 #[tokio::test(start_paused = true)]
-async fn a_late_word_of_the_start_before_changes_nothing() {
+async fn delayed_report_of_earlier_start_is_ignored() {
     let mut bed = Bed::new();
     bed.write("a", &entry(2_000, 1, 82, "ready"));
     for state in ["draining", "ready"] {
         bed.write("a", &entry(1_000, 50, 81, state));
-        let server = Arc::clone(&bed.slot().expect("still used").server);
+        let server = Arc::clone(&bed.try_acquire().expect("the server is still used").server);
         assert_eq!(server.conns.address().port(), 82);
     }
 }
 
-/// A report of before the drain comes after it: the server that leaves would get work again.
+/// Guards against sending requests to a draining server after a delayed report from before the
+/// drain.
 #[tokio::test]
-async fn a_late_report_does_not_take_a_drain_back() {
+async fn delayed_report_does_not_undo_draining() {
     let mut bed = Bed::new();
     bed.write("a", &entry(1_000, 5, 81, "ready"));
     bed.write("a", &entry(1_000, 7, 81, "draining"));
-    assert!(bed.slot().is_none());
+    assert!(bed.try_acquire().is_none());
     bed.write("a", &entry(1_000, 6, 81, "ready"));
-    assert!(bed.slot().is_none());
+    assert!(bed.try_acquire().is_none());
 }
 
-/// A late report lists a server again that was removed.
+/// Guards against a delayed report listing a removed server again.
 #[tokio::test]
-async fn a_late_report_does_not_list_a_server_that_is_gone() {
+async fn delayed_report_does_not_list_removed_server() {
     let mut bed = Bed::new();
     bed.write("a", &entry(2_000, 5, 81, "ready"));
     bed.remove("a");
     bed.write("a", &entry(1_000, 9, 81, "ready"));
-    assert!(bed.slot().is_none());
+    assert!(bed.try_acquire().is_none());
 }
 
-/// The machine's clock was set back before the server started again: its reports look older than
-/// those of the process before, and nobody contradicts them.
+/// The machine's clock was set back before the server restarted, so that its reports look older
+/// than those of the earlier process. They must be used once nothing has contradicted them for some
+/// seconds.
 #[tokio::test]
-async fn a_server_whose_clock_was_set_back_is_used_after_some_seconds() {
+async fn server_with_clock_set_back_is_used_after_hold_time() {
     let mut bed = Bed::new();
     bed.write("a", &entry(9_000, 1, 81, "ready"));
     bed.write("a", &entry(3_000, 1, 82, "ready"));
     tokio::spawn(bed.dispatcher.clone().run());
     let until = std::time::Instant::now() + Duration::from_secs(9);
-    while bed.slot().is_some_and(|slot| slot.server.conns.address().port() != 82) {
-        assert!(std::time::Instant::now() < until, "never used");
+    while bed.try_acquire().is_some_and(|slot| slot.server.conns.address().port() != 82) {
+        assert!(std::time::Instant::now() < until, "the server was never used");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Homes tell each other what they have at each server. What they told of the start before must
-/// not fill the slots of the new one.
+/// Guards against the in-flight requests that peers reported for an earlier start filling the slots
+/// of the new one.
 #[tokio::test]
-async fn what_peers_have_at_the_start_before_does_not_count() {
+async fn peer_load_of_earlier_start_is_ignored() {
     let mut bed = Bed::new();
     bed.write("a", &entry(1_000, 1, 81, "ready"));
-    let before = bed.slot().expect("a slot").server.key;
+    let before = bed.try_acquire().expect("a free slot").server.key;
     let row = ServerLoadRow { server: before, in_flight: 4, pace_percent: 100 };
     let loads = ServerLoads { from: 7, rows: vec![row] };
     bed.dispatcher.record_peer_loads(&loads);
-    assert_eq!(bed.free(), 0);
+    assert_eq!(bed.free_slots(), 0);
     bed.write("a", &entry(2_000, 1, 81, "ready"));
     bed.dispatcher.record_peer_loads(&loads);
-    assert!(bed.free() >= 3);
+    assert!(bed.free_slots() >= 3);
 }
 
-/// Somebody else writes below the servers' keys: nothing of that is used, and the servers hold.
+/// Guards against using or panicking on values that another program writes below the servers' keys.
 #[tokio::test]
-async fn entries_of_another_writer_name_no_server() {
+async fn foreign_entries_name_no_server() {
     let foreign: [&[u8]; 10] = [
         b"",
         b"\xff\xfe\x00",
@@ -188,22 +191,22 @@
     ];
     let mut bed = Bed::new();
     bed.write("a", &entry(1_000, 1, 81, "ready"));
-    let whole = bed.free();
+    let whole = bed.free_slots();
     for (number, value) in foreign.iter().enumerate() {
         bed.write(&format!("x{number}"), value);
     }
-    assert_eq!((bed.dispatcher.servers().len(), bed.free()), (1, whole));
-    // Over the entry of a server, they name none until the server writes again.
+    assert_eq!((bed.dispatcher.servers().len(), bed.free_slots()), (1, whole));
+    // Written over a server's entry, such a value removes the server until it writes its entry
+    // again.
     bed.write("a", foreign[0]);
-    assert_eq!(bed.free(), 0);
+    assert_eq!(bed.free_slots(), 0);
     bed.write("a", &entry(1_000, 2, 81, "ready"));
-    assert_eq!(bed.free(), whole);
+    assert_eq!(bed.free_slots(), whole);
 }
 
-/// A day of entries of which any may be spoiled: never a panic, and never a server that no whole
-/// entry names.
+/// Corrupted entries must neither cause a panic nor name a server that no valid entry names.
 #[test]
-fn spoiled_entries_never_name_a_server_that_nobody_wrote() {
+fn corrupted_entries_name_no_unwritten_server() {
     common::property(1_500, |u| {
         let mut bed = Bed::new();
         for _ in 0..u.int_in_range(1..=20)? {
@@ -229,28 +232,30 @@
     });
 }
 
-/// Servers that crashed and are back are listed twice, and half of the requests go to names that are gone.
+/// Guards against sending half of the requests to ids that no longer exist, when restarted servers
+/// are listed twice at one address.
 #[tokio::test]
-async fn of_two_servers_listed_at_one_address_the_later_one_is_used() {
+async fn later_server_at_an_address_is_used() {
     let mut bed = Bed::new();
     bed.write("before", &entry(0, 1, 1, "ready"));
     bed.write("elsewhere", &entry(0, 1, 2, "draining"));
     bed.write("after", &entry(0, 1, 1, "ready"));
-    let grants: Vec<Grant> = std::iter::from_fn(|| bed.slot()).collect();
+    let grants: Vec<Grant> = std::iter::from_fn(|| bed.try_acquire()).collect();
     assert!(!grants.is_empty() && grants.iter().all(|grant| &*grant.server.row.id == "after"));
     drop(grants);
-    // Its entry was of a stranger: the address answers under the first name.
-    let server = bed.slot().map(|grant| Arc::clone(&grant.server)).expect("a slot");
+    // The later entry was wrong: the server at the address responds under the first id.
+    let server = bed.try_acquire().map(|grant| Arc::clone(&grant.server)).expect("a free slot");
     bed.dispatcher.unlist_displaced(&server);
-    assert_eq!(&*bed.slot().expect("a slot").server.row.id, "before");
+    assert_eq!(&*bed.try_acquire().expect("a free slot").server.row.id, "before");
     bed.write("again", &entry(0, 1, 1, "ready"));
     bed.remove("again");
-    assert_eq!(&*bed.slot().expect("a slot").server.row.id, "before");
+    assert_eq!(&*bed.try_acquire().expect("a free slot").server.row.id, "before");
 }
 
-/// A server stays passed over for good after the later one at its address lapsed.
+/// Guards against excluding a server permanently after the later one listed at its address has
+/// expired.
 #[tokio::test]
-async fn a_server_is_used_again_once_the_later_one_at_its_address_is_forgotten() {
+async fn earlier_server_is_used_again_after_later_one_expires() {
     let mut bed = Bed::new();
     let running = tokio::spawn(bed.dispatcher.clone().run());
     bed.write("before", &entry(0, 1, 1, "ready"));
@@ -259,13 +264,13 @@
     let event = ItemEvent::Removed { key: "servers/after".into(), revision: bed.revision };
     bed.mirror.apply(&[event], bed.revision, Duration::from_millis(50));
     tokio::time::sleep(Duration::from_millis(1_200)).await;
-    assert_eq!(&*bed.slot().expect("a slot").server.row.id, "before");
+    assert_eq!(&*bed.try_acquire().expect("a free slot").server.row.id, "before");
     running.abort();
 }
 
-/// Which of two servers at one address is used hangs on the order of a copy.
+/// Guards against choosing between two servers at one address by their order in a copy.
 #[tokio::test]
-async fn a_copy_in_any_order_names_the_later_server() {
+async fn order_of_copied_entries_does_not_matter() {
     for number in 0..20 {
         let bed = Bed::new();
         let ids = [format!("a{number}"), format!("b{number}")];
@@ -275,6 +280,6 @@
             revision,
         };
         bed.mirror.replace(&[item(&ids[1], 2), item(&ids[0], 1)], 2, Duration::ZERO);
-        assert_eq!(*bed.slot().expect("a slot").server.row.id, *ids[1]);
+        assert_eq!(*bed.try_acquire().expect("a free slot").server.row.id, *ids[1]);
     }
 }
--- a/tests/server_leaves.rs
+++ b/tests/server_leaves.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say in their answers that they leave.
+//! Backend servers that announce draining in their responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,12 +10,11 @@
 use standins::routed::two_routes;
 use tokio::time::Instant;
 
-/// Requests that callers send later than this after an instance passed on the word do not reach a
-/// server that leaves.
+/// Time after which no request may reach a server whose announcement an instance has forwarded.
 const DRAIN: Duration = Duration::from_secs(2);
 
-/// Callers at one instance, until dropped.
-fn callers(bed: &Arc<RoutedBed>) -> Vec<TaskGuard> {
+/// Callers of one instance, until dropped.
+fn spawn_callers(bed: &Arc<RoutedBed>) -> Vec<TaskGuard> {
     let caller = |_| {
         let bed = Arc::clone(bed);
         TaskGuard::spawn(async move {
@@ -28,10 +27,10 @@
     (0..4).map(caller).collect()
 }
 
-/// One instance and two servers in use, of which one is to leave.
+/// One instance and two servers in use, one of which will drain.
 struct Scene {
     bed: Arc<RoutedBed>,
-    leaving: RawServer,
+    draining: RawServer,
     _stays: RawServer,
     callers: Vec<TaskGuard>,
 }
@@ -39,14 +38,17 @@
 impl Scene {
     async fn start() -> Self {
         let bed = Arc::new(RoutedBed::start(&["a"]).await);
-        let (leaving, stays) = (RawServer::spawn("s1").await, RawServer::spawn("s2").await);
+        let (draining, stays) = (RawServer::spawn("s1").await, RawServer::spawn("s2").await);
         bed.store.put(CONFIG_KEY, &two_routes(1));
-        bed.store.put("servers/s1", &leaving.entry("parts", "a", 4, "ready"));
+        bed.store.put("servers/s1", &draining.entry("parts", "a", 4, "ready"));
         bed.store.put("servers/s2", &stays.entry("parts", "a", 4, "ready"));
         bed.settle().await;
-        let callers = callers(&bed);
-        until("both are used", || !leaving.ran().is_empty() && !stays.ran().is_empty()).await;
-        Self { bed, leaving, _stays: stays, callers }
+        let callers = spawn_callers(&bed);
+        until("both servers receive requests", || {
+            !draining.ran().is_empty() && !stays.ran().is_empty()
+        })
+        .await;
+        Self { bed, draining, _stays: stays, callers }
     }
 }
 
@@ -58,42 +60,43 @@
     }
 }
 
-/// The platform's list does not tell in time that a server leaves, and what it gets then is lost.
+/// Guards against sending requests to a server that announced draining while the platform's list
+/// still says that it is ready: such requests are lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_says_that_it_leaves_gets_nothing_more_whatever_is_listed() {
-    let Scene { bed, leaving, _stays, callers } = Scene::start().await;
-    leaving.leave();
+async fn announced_draining_overrides_listed_state() {
+    let Scene { bed, draining, _stays, callers } = Scene::start().await;
+    draining.leave();
     let left_at = Instant::now();
-    // A report that was on its way says that it is ready.
+    // A delayed report says that the server is ready.
     tokio::time::sleep(DRAIN / 2).await;
-    bed.store.put("servers/s1", &leaving.entry("parts", "a", 4, "ready"));
+    bed.store.put("servers/s1", &draining.entry("parts", "a", 4, "ready"));
     tokio::time::sleep(DRAIN).await;
-    let late = leaving.arrived_at().iter().filter(|at| **at > left_at + DRAIN / 2).count();
-    assert_eq!(late, 0, "it got requests after it had said that it leaves");
-    // Another process at its address, under the same id, does not leave.
+    let late = draining.arrived_at().iter().filter(|at| **at > left_at + DRAIN / 2).count();
+    assert_eq!(late, 0, "the server received requests after it announced draining");
+    // Another process at its address, under the same id, does not drain.
     let next = RawServer::spawn("s1").await;
     bed.store.put("servers/s1", &next.entry_of_start("parts", "a", 4, "ready", 1));
-    until("its next start is used", || !next.ran().is_empty()).await;
+    until("the next start of the server receives requests", || !next.ran().is_empty()).await;
     drop(callers);
 }
 
-/// The entry of a server that leaves lapses and comes back, as after an outage of the platform's store, and
-/// the server is taken for one that stays.
+/// Guards against using a draining server again when its entry expires and reappears, as after an
+/// outage of the platform's store.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_leaves_is_not_forgotten_to_leave_when_its_entry_comes_back() {
-    let Scene { bed, leaving, _stays, callers } = Scene::start().await;
-    leaving.leave();
+async fn draining_is_remembered_when_entry_reappears() {
+    let Scene { bed, draining, _stays, callers } = Scene::start().await;
+    draining.leave();
     tokio::time::sleep(DRAIN / 2).await;
-    let known = leaving.arrived_at().len();
+    let known = draining.arrived_at().len();
     bed.store.remove("servers/s1");
-    // By then it is forgotten.
+    // The server has been removed by then.
     tokio::time::sleep(DRAIN).await;
-    bed.store.put("servers/s1", &leaving.entry("parts", "a", 4, "ready"));
+    bed.store.put("servers/s1", &draining.entry("parts", "a", 4, "ready"));
     tokio::time::sleep(DRAIN / 2).await;
     assert_eq!(
-        leaving.arrived_at().len(),
+        draining.arrived_at().len(),
         known,
-        "it got requests after it had said that it leaves"
+        "the server received requests after it announced draining"
     );
     drop(callers);
 }
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -1,4 +1,4 @@
-//! Promise: every caller gets the whole answer to its own request, and no one else's.
+//! Every caller receives the complete response to its own request and no other.
 
 use std::sync::atomic::Ordering;
 
@@ -15,11 +15,10 @@
 
 const LARGE_BYTES: usize = 300_000;
 
-/// Story: shops at three counters look parts up at once. Servers answer late and out of order,
-/// some connections break halfway, and one server is slow. Each shop must read its own part's
-/// data, whole, or be told that it got none.
+/// Guards against mixed-up or truncated responses while servers respond late and out of order, some
+/// connections break midway and one server is slow.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_whole_and_the_callers_own_while_servers_cut_them() {
+async fn responses_are_complete_and_reach_their_callers() {
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("catalogue").await;
     bed.backends[0].behaviour.cut_bodies.store(30, Ordering::Release);
@@ -33,23 +32,22 @@
         timeout_ms: 20_000,
         ..LoadPlan::default()
     };
-    // A busy machine does not carry this rate and refuses some, but mixes up none.
+    // A busy machine may not sustain this rate and may refuse requests, but must mix up none.
     let summary = run_load(&crowd, &callers).await;
     assert_eq!(summary.calls(), crowd.requests);
-    assert_eq!(summary.wrong, 0, "somebody got another's or a partial answer");
-    // At a rate that any machine carries, nearly all are answered.
+    assert_eq!(summary.wrong, 0, "a response was truncated or reached the wrong caller");
+    // At a rate that any machine sustains, nearly all requests succeed.
     let calm = LoadPlan { requests: 600, rate_per_s: 60.0, ..crowd };
     let summary = run_load(&calm, &callers).await;
     assert_eq!(summary.calls(), calm.requests);
-    assert_eq!(summary.wrong, 0, "somebody got another's or a partial answer");
+    assert_eq!(summary.wrong, 0, "a response was truncated or reached the wrong caller");
     assert!(summary.right >= calm.requests * 9 / 10, "right: {}", summary.right);
 }
 
-/// Story: an adviser downloads a large comparables list; the server dies in the middle of it.
-/// The list must not look complete. Cause: a proxy that ends its own chunked answer normally
-/// when the answer it passes on breaks.
+/// Guards against a truncated large response looking complete to the caller, as happens if a proxy
+/// ends its own chunked response normally when the response that it forwards breaks.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_answer_cut_short_never_looks_whole() {
+async fn truncated_large_response_never_looks_complete() {
     let bed = Bed::start(BedPlan { backends: 1, ..BedPlan::default() }).await;
     bed.create("portal").await;
     let target = format!("/list?bytes={LARGE_BYTES}&work_us=100");
@@ -64,11 +62,10 @@
     }
 }
 
-/// Story: a caller hangs up on a slow answer and the next caller uses the same instance. It must
-/// not read the rest of the first one's answer. Cause: a backend connection that goes back to
-/// the pool with an answer still on it.
+/// Guards against a caller reading the rest of another caller's response, as happens if a backend
+/// connection returns to the pool with unread data after the caller has disconnected.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_midway_leaves_nothing_behind() {
+async fn disconnected_callers_response_reaches_no_other_caller() {
     let bed = Bed::start(BedPlan { backends: 1, ..BedPlan::default() }).await;
     bed.create("portal").await;
     let caller = bed.caller("portal", 0);
@@ -84,10 +81,10 @@
     }
 }
 
-/// Story: a lookup's first server is slow, a second is asked as well, and both answer. The
-/// caller must get one whole answer, and the late one must not reach the next caller.
+/// Guards against a hedged request delivering two responses, or its late response reaching the next
+/// caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_second_answer_reaches_nobody() {
+async fn late_hedged_response_reaches_no_caller() {
     let backend = BackendSettings { work_us: 2_000, ..BackendSettings::default() };
     let bed = Bed::start(BedPlan { backend, ..BedPlan::default() }).await;
     bed.create("catalogue").await;
@@ -101,13 +98,13 @@
     assert_eq!((summary.right, summary.wrong), (plan.requests, 0));
     let hedges: u64 =
         bed.boards().iter().map(|b| b.counters.get(sorrelwick::board::Counter::Hedges)).sum();
-    assert!(hedges > 0, "the scene must hedge, or it shows nothing");
+    assert!(hedges > 0, "no request was hedged, so the test shows nothing");
 }
 
-/// Story: a backend server ends its answer by closing the connection and sends no length. Half
-/// an answer then looks like a whole one to everybody. It is told to be unknown instead.
+/// A response without a length ends when its connection closes, so a truncated one cannot be told
+/// from a complete one. Guards against forwarding it: the outcome must be reported as unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_whose_end_cannot_be_told_is_not_passed_on() {
+async fn response_without_length_is_not_forwarded() {
     use tokio::io::AsyncReadExt;
     use tokio::io::AsyncWriteExt;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -129,10 +126,10 @@
     assert_eq!((told.outcome(), told.code()), ("unknown", 2202));
 }
 
-/// Story: a server sends the first half of a large list and then nothing, for ever. The caller
-/// must not wait for ever, nor take the half for the whole, and the slot must come back.
+/// A server sends half of a large response and then nothing. Guards against the caller waiting
+/// forever or taking the half for the whole, and against the slot staying in use.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_answer_that_stops_in_the_middle_ends_with_its_deadline() {
+async fn stalled_large_response_ends_at_deadline() {
     use tokio::io::AsyncReadExt;
     use tokio::io::AsyncWriteExt;
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -155,7 +152,7 @@
     let told = bed.caller("odd", 0).call(&Call::post("/", "s").within_ms(300)).await;
     assert_eq!(told, Told::Broken);
     let state = bed.boards()[0].services().get("odd").cloned().expect("in force");
-    standins::bed::until("the slot is back", async || {
+    standins::bed::until("the slot is released", async || {
         state.runtime.slot_queue.free_slots_and_waiting().0 == 4
     })
     .await;
