--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Checks whether the active configuration is fresh enough to admit a request or to reject it
+//! Checks whether the current configuration is fresh enough to admit a request or to reject it
 //! permanently.
 
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use crate::conf::GatewaySettings;
 use crate::errors::Code;
 
-/// Fraction of the key revocation time up to which the configuration's last confirmation may be old
-/// for keys to be accepted. The rest allows for clocks that run at different rates.
+/// Keys are accepted while the configuration was last proved current within this fraction of the
+/// key revocation time. The rest allows for differences between clocks.
 const PROOF_AGE_REJECT_RATIO: f64 = 0.9;
-/// Fraction of the key revocation time after which the instance reports itself as not ready, so
-/// that callers move to other instances before keys are refused.
+/// Fraction of the key revocation time without such a proof after which the instance reports itself
+/// as not ready, so that callers move to other instances before keys are refused.
 const PROOF_AGE_UNREADY_RATIO: f64 = 0.6;
 /// Retry delay, in milliseconds, for a request refused because the configuration may be stale. By
 /// then this instance has asked the store again, or the caller reaches another instance.
@@ -26,6 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub table: CurrentRouteTable,
+    /// Age of the configuration's copy.
     age: Arc<MirrorAge>,
     /// Time within which a new configuration version is active on every instance.
     config_apply: Duration,
@@ -49,29 +50,27 @@
         }
     }
 
-    fn confirmed_within(&self, part: f64) -> bool {
+    /// Whether the configuration was proved current within this fraction of the key revocation time.
+    fn proved_within(&self, ratio: f64) -> bool {
         self.key_revocation
-            .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(part)))
+            .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(ratio)))
     }
 
     /// Whether callers should be sent to this instance: no keys are required, or they can be
     /// accepted for some time yet.
     #[must_use]
     pub fn accepts_callers(&self) -> bool {
-        let any_keys = self.table.load().as_ref().is_some_and(|table| table.workspaces.is_some());
-        !any_keys || self.confirmed_within(PROOF_AGE_UNREADY_RATIO)
+        let keys_required =
+            self.table.load().as_ref().is_some_and(|table| table.workspaces.is_some());
+        !keys_required || self.proved_within(PROOF_AGE_UNREADY_RATIO)
     }
 
-    /// Checks that the active configuration is confirmed recently enough to accept any key.
+    /// Checks that the configuration was proved current recently enough to accept any key.
     ///
     /// # Errors
     /// A retryable reply if it is not.
     pub fn check_freshness(&self) -> Result<(), LocalReply> {
-        if self.confirmed_within(PROOF_AGE_REJECT_RATIO) {
-            Ok(())
-        } else {
-            Err(stale_config_reply())
-        }
+        if self.proved_within(PROOF_AGE_REJECT_RATIO) { Ok(()) } else { Err(stale_config_reply()) }
     }
 
     /// Checks that a caller admitted earlier may still be served.
--- a/src/gateway/caller_handler.rs
+++ b/src/gateway/caller_handler.rs
@@ -123,7 +123,7 @@
         Ok(ForwardRequest {
             id: parts.headers.get(&names.request_id).cloned(),
             fingerprints: fingerprints(&parts, &body),
-            path_and_query: target(&parts).to_owned(),
+            path_and_query: path_and_query(&parts).to_owned(),
             method: parts.method,
             headers: parts.headers,
             body,
@@ -172,8 +172,8 @@
 
     fn health_path(&self, service: &str) -> Option<String> {
         let table = self.current_table();
-        let rule = table.as_ref()?.services.get(service)?;
-        Some(rule.health_path.clone())
+        let config = table.as_ref()?.services.get(service)?;
+        Some(config.health_path.clone())
     }
 
     fn config_version(&self) -> u64 {
@@ -196,18 +196,24 @@
 }
 
 fn request_host(parts: &http::request::Parts) -> &str {
-    let named = parts.headers.get(http::header::HOST).and_then(|host| host.to_str().ok());
-    parts.uri.host().or(named).unwrap_or("")
+    let header = parts.headers.get(http::header::HOST).and_then(|host| host.to_str().ok());
+    parts.uri.host().or(header).unwrap_or("")
 }
 
 /// The path and query of a request.
-fn target(parts: &http::request::Parts) -> &str {
-    parts.uri.path_and_query().map_or("/", |target| target.as_str())
+fn path_and_query(parts: &http::request::Parts) -> &str {
+    parts.uri.path_and_query().map_or("/", |value| value.as_str())
 }
 
 fn fingerprints(parts: &http::request::Parts, body: &[u8]) -> Fingerprints {
     let caller = CallerAddress::of(parts);
-    Fingerprints::of(caller, request_host(parts), parts.method.as_str(), target(parts), body)
+    Fingerprints::of(
+        caller,
+        request_host(parts),
+        parts.method.as_str(),
+        path_and_query(parts),
+        body,
+    )
 }
 
 /// Reads a request body within the size and memory limits.
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -65,8 +65,8 @@
 impl DispatcherState {
     /// Services with queued requests.
     pub(super) fn services_with_queue(&self) -> Vec<Arc<str>> {
-        let waited_for = self.pools.iter().filter(|(_, pool)| pool.queue_len() > 0);
-        waited_for.map(|(service, _)| Arc::clone(service)).collect()
+        let queued = self.pools.iter().filter(|(_, pool)| pool.queue_len() > 0);
+        queued.map(|(service, _)| Arc::clone(service)).collect()
     }
 }
 
@@ -135,7 +135,7 @@
         state: &mut DispatcherState,
         choice: ServerChoice,
         ticket: u64,
-        ask: RequestSpec,
+        spec: RequestSpec,
     ) -> Option<Grant> {
         let server = Arc::clone(state.servers.get(&choice.server)?);
         state.in_use.record(&server);
@@ -143,7 +143,7 @@
         if self.granted_slots.fetch_add(1, Ordering::AcqRel) == 0 {
             self.became_busy.notify_waiters();
         }
-        Some(Grant { server, choice, ticket, spec: ask, end: SendOutcome::Cancelled, dispatcher })
+        Some(Grant { server, choice, ticket, spec, outcome: SendOutcome::Cancelled, dispatcher })
     }
 
     /// All known servers.
@@ -165,29 +165,29 @@
 
     /// The typical duration of such a request, in milliseconds.
     #[must_use]
-    pub fn typical_ms(&self, service: &str, ask: &RequestSpec) -> f64 {
+    pub fn typical_ms(&self, service: &str, spec: &RequestSpec) -> f64 {
         let state = self.state.lock();
-        state.pools.get(service).map_or(ask.target_ms, |pool| pool.typical_ms(ask))
+        state.pools.get(service).map_or(spec.target_ms, |pool| pool.typical_ms(spec))
     }
 
     /// Takes a slot for a hedged request, if one is free and nothing is queued for it.
     #[must_use]
-    pub fn try_acquire_spare(&self, service: &str, ask: &RequestSpec) -> Option<Grant> {
+    pub fn try_acquire_spare(&self, service: &str, spec: &RequestSpec) -> Option<Grant> {
         let mut state = self.state.lock();
         let pool = state.pools.get_mut(service)?;
         if pool.queue_len() > 0 {
             return None;
         }
         let ticket = self.ticket();
-        let choice = pool.acquire_slot(ticket, ask, &self.zone, now_us(), &mut random_unit)?;
-        self.grant_slot(&mut state, choice, ticket, ask.clone())
+        let choice = pool.acquire_slot(ticket, spec, &self.zone, now_us(), &mut random_unit)?;
+        self.grant_slot(&mut state, choice, ticket, spec.clone())
     }
 
     /// Takes a slot for a request, which waits in the queue if none is free.
     ///
     /// # Errors
     /// If no slot is expected to become free in time.
-    pub async fn acquire(&self, service: &Arc<str>, ask: RequestSpec) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, service: &Arc<str>, spec: RequestSpec) -> Result<Grant, Refusal> {
         let ticket = self.ticket();
         let mut undelivered = Vec::new();
         let receiver = {
@@ -196,13 +196,13 @@
             let pool = state.pools.entry(Arc::clone(service)).or_default();
             if pool.queue_len() == 0
                 && let Some(choice) =
-                    pool.acquire_slot(ticket, &ask, &self.zone, now_us(), &mut random_unit)
-                && let Some(grant) = self.grant_slot(&mut state, choice, ticket, ask.clone())
+                    pool.acquire_slot(ticket, &spec, &self.zone, now_us(), &mut random_unit)
+                && let Some(grant) = self.grant_slot(&mut state, choice, ticket, spec.clone())
             {
                 return Ok(grant);
             }
             let pool = state.pools.entry(Arc::clone(service)).or_default();
-            pool.enqueue(ticket, ask, now_us())?;
+            pool.enqueue(ticket, spec, now_us())?;
             let (sender, receiver) = oneshot::channel();
             state.waiters.insert(ticket, sender);
             self.enqueued.notify_one();
@@ -220,19 +220,25 @@
     #[must_use]
     pub fn refusal(&self, service: &str, retry_after_ms: u64) -> Refusal {
         let state = self.state.lock();
-        let nothing = Refusal { retry_after_ms, ..Refusal::default() };
+        let default = Refusal { retry_after_ms, ..Refusal::default() };
         let pool = state.pools.get(service);
-        pool.map_or(nothing, |pool| Refusal { retry_after_ms, ..pool.refusal(now_us()) })
+        pool.map_or(default, |pool| Refusal { retry_after_ms, ..pool.refusal(now_us()) })
     }
 
-    pub(super) fn finish(&self, server: &Server, ticket: u64, ask: &RequestSpec, end: SendOutcome) {
+    pub(super) fn finish(
+        &self,
+        server: &Server,
+        ticket: u64,
+        spec: &RequestSpec,
+        outcome: SendOutcome,
+    ) {
         self.granted_slots.fetch_sub(1, Ordering::AcqRel);
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
         let ServerRow { id, service, slots, .. } = &server.row;
         if let Some(pool) = state.pools.get_mut(service) {
             let before = pool.concurrency_limit().last_slot_pays(*slots);
-            pool.finish_request(id, ticket, ask, end, now_us());
+            pool.finish_request(id, ticket, spec, outcome, now_us());
             let after = pool.concurrency_limit().last_slot_pays(*slots);
             if before != after {
                 let (full, below) = pool.concurrency_limit().mean_ratios();
@@ -258,9 +264,9 @@
     /// Records the result of a health check, and how long the server says that it continues to warm
     /// up.
     pub fn record_health_check(&self, server: &Server, healthy: bool, warmup_left_ms: Option<u64>) {
-        self.with_tracked_server(server, |track| {
-            track.record_health_check(healthy, now_us());
-            track.record_warmup_left(warmup_left_ms, now_us());
+        self.with_tracked_server(server, |tracked| {
+            tracked.record_health_check(healthy, now_us());
+            tracked.record_warmup_left(warmup_left_ms, now_us());
         });
     }
 
@@ -268,14 +274,14 @@
     #[must_use]
     pub fn service_reports_load(&self, service: &str) -> bool {
         let state = self.state.lock();
-        let has_report = |track: &TrackedServer| track.slowdown_age_us(now_us()).is_some();
+        let has_report = |tracked: &TrackedServer| tracked.slowdown_age_us(now_us()).is_some();
         state.pools.get(service).is_some_and(|pool| pool.servers.iter().any(has_report))
     }
 
     /// Whether a server has ever reported its load.
     #[must_use]
     pub fn reports_load(&self, server: &Server) -> bool {
-        self.with_tracked_server(server, |track| track.slowdown_age_us(now_us()).is_some())
+        self.with_tracked_server(server, |tracked| tracked.slowdown_age_us(now_us()).is_some())
             .unwrap_or(false)
     }
 
@@ -283,13 +289,13 @@
     #[must_use]
     pub fn reported_load_since(&self, server: &Server, since_us: u64) -> bool {
         let age_us =
-            self.with_tracked_server(server, |track| track.slowdown_age_us(now_us())).flatten();
+            self.with_tracked_server(server, |tracked| tracked.slowdown_age_us(now_us())).flatten();
         age_us.is_some_and(|age_us| now_us().saturating_sub(age_us) > since_us)
     }
 
     /// Records that a server did not respond to a health check.
     pub fn record_check_timeout(&self, server: &Server) {
-        self.with_tracked_server(server, |track| track.record_check_timeout(now_us()));
+        self.with_tracked_server(server, |tracked| tracked.record_check_timeout(now_us()));
     }
 
     /// Whether no request of this instance is running at any server.
@@ -309,13 +315,13 @@
     }
 
     /// Whether a request that was given a slot of a server, and expects a response after
-    /// `expected_ms`, should no longer be sent there; see [`ServicePool::worse`].
+    /// `expected_ms`, should no longer be sent there; see [`ServicePool::is_worse`].
     #[must_use]
-    pub fn is_worse(&self, server: &Server, ask: &RequestSpec, expected_ms: f64) -> bool {
+    pub fn is_worse(&self, server: &Server, spec: &RequestSpec, expected_ms: f64) -> bool {
         let state = self.state.lock();
         let pool = state.pools.get(&server.row.service);
         pool.is_some_and(|pool| {
-            pool.is_worse(&server.row.id, server.key, ask, expected_ms, now_us())
+            pool.is_worse(&server.row.id, server.key, spec, expected_ms, now_us())
         })
     }
 
--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -17,25 +17,25 @@
 
 impl Dispatcher {
     /// Records what a server reported about itself.
-    pub fn record_notice(&self, server: &Server, heard: Heard, notice: ServerNotice) {
+    pub fn record_notice(&self, server: &Server, source: Heard, notice: ServerNotice) {
         let mut state = self.state.lock();
-        let Some(track) = state.tracked_server(server) else {
+        let Some(tracked) = state.tracked_server(server) else {
             return;
         };
         if let Some(load) = notice.load {
-            track.record_load(load, now_us());
+            tracked.record_load(load, now_us());
         }
         match notice.rate_limit {
-            Ok(limit) => record_rate_limit(track, heard, limit),
-            Err(_) => record_invalid_rate_limit(track, heard),
+            Ok(limit) => record_rate_limit(tracked, source, limit),
+            Err(_) => record_invalid_rate_limit(tracked, source),
         }
         match notice.retry_after {
-            Ok(Some(rest)) => record_cooldown(track, heard, rest),
+            Ok(Some(duration)) => record_cooldown(tracked, source, duration),
             Ok(None) => {}
-            Err(_) => warn_invalid_retry_after(track, heard),
+            Err(_) => warn_invalid_retry_after(tracked, source),
         }
         if notice.draining {
-            record_draining(track, heard);
+            record_draining(tracked, source);
             state.starts.mark_draining(&server.row);
         }
     }
@@ -44,60 +44,62 @@
     #[must_use]
     pub fn in_cooldown(&self, server: &Server) -> bool {
         let mut state = self.state.lock();
-        state.tracked_server(server).is_some_and(|track| track.start_limits.in_cooldown(now_us()))
+        state
+            .tracked_server(server)
+            .is_some_and(|tracked| tracked.start_limits.in_cooldown(now_us()))
     }
 }
 
-fn record_rate_limit(track: &mut TrackedServer, heard: Heard, limit: Option<RateLimit>) {
-    let before = track.start_limits.rate_limit.current();
-    if !track.start_limits.rate_limit.record(heard, limit, now_us()) {
+fn record_rate_limit(tracked: &mut TrackedServer, source: Heard, limit: Option<RateLimit>) {
+    let before = tracked.start_limits.rate_limit.current();
+    if !tracked.start_limits.rate_limit.record(source, limit, now_us()) {
         return;
     }
     info!(
-        event = "server-rate-limit", server = &*track.row.id, service = &*track.row.service,
+        event = "server-rate-limit", server = &*tracked.row.id, service = &*tracked.row.service,
         limit_per_s = limit.map(RateLimit::per_s), before_per_s = before.map(RateLimit::per_s),
-        heard = heard.name(), running = track.own_in_flight();
+        heard = source.name(), running = tracked.own_in_flight();
         ""
     );
 }
 
-fn record_draining(track: &mut TrackedServer, heard: Heard) {
-    if !track.mark_draining() {
+fn record_draining(tracked: &mut TrackedServer, source: Heard) {
+    if !tracked.mark_draining() {
         return;
     }
     info!(
-        event = "server-leaving", server = &*track.row.id, service = &*track.row.service,
-        listed_as_draining = track.row.state == ServerState::Draining, heard = heard.name(),
-        running = track.own_in_flight();
+        event = "server-leaving", server = &*tracked.row.id, service = &*tracked.row.service,
+        listed_as_draining = tracked.row.state == ServerState::Draining, heard = source.name(),
+        running = tracked.own_in_flight();
         ""
     );
 }
 
-fn record_cooldown(track: &mut TrackedServer, heard: Heard, rest: Duration) {
-    track.start_limits.start_cooldown(rest, now_us());
+fn record_cooldown(tracked: &mut TrackedServer, source: Heard, duration: Duration) {
+    tracked.start_limits.start_cooldown(duration, now_us());
     info!(
-        event = "server-rests", server = &*track.row.id, service = &*track.row.service,
-        rest_ms = rest.as_millis(), heard = heard.name(), running = track.own_in_flight();
+        event = "server-rests", server = &*tracked.row.id, service = &*tracked.row.service,
+        rest_ms = duration.as_millis(), heard = source.name(), running = tracked.own_in_flight();
         "the server refused a request and asked for a pause"
     );
 }
 
-fn warn_invalid_retry_after(track: &TrackedServer, heard: Heard) {
+fn warn_invalid_retry_after(tracked: &TrackedServer, source: Heard) {
     warn!(
         event = "server-rest-unreadable", code = Code::ServerRestUnreadable.number(),
-        server = &*track.row.id, service = &*track.row.service, heard = heard.name();
+        server = &*tracked.row.id, service = &*tracked.row.service, heard = source.name();
         "{}", Code::ServerRestUnreadable
     );
 }
 
 /// Logs a rate limit that cannot be read. The server's previous limit remains in effect.
-fn record_invalid_rate_limit(track: &mut TrackedServer, heard: Heard) {
-    if !track.start_limits.rate_limit.record_unreadable() {
+fn record_invalid_rate_limit(tracked: &mut TrackedServer, source: Heard) {
+    if !tracked.start_limits.rate_limit.record_unreadable() {
         return;
     }
     warn!(
         event = "server-rate-limit-unreadable", code = Code::ServerLimitUnreadable.number(),
-        server = &*track.row.id, service = &*track.row.service, heard = heard.name();
+        server = &*tracked.row.id, service = &*tracked.row.service, heard = source.name();
         "{}", Code::ServerLimitUnreadable
     );
 }
--- a/src/gateway/dispatcher_peers.rs
+++ b/src/gateway/dispatcher_peers.rs
@@ -45,8 +45,8 @@
     /// Discards the in-flight requests of peers that timed out.
     pub(super) fn forget_silent_peers(&mut self, now_us: u64) {
         for peer in self.peers.take_silent(now_us) {
-            for track in self.pools.values_mut().flat_map(|pool| &mut pool.servers) {
-                track.remove_peer(peer, now_us);
+            for tracked in self.pools.values_mut().flat_map(|pool| &mut pool.servers) {
+                tracked.remove_peer(peer, now_us);
             }
         }
     }
@@ -56,8 +56,8 @@
         let Some(server) = self.by_key.get(&row.server).cloned() else {
             return;
         };
-        if let Some(track) = self.tracked_server(&server) {
-            track.record_peer_load(from, row, now_us);
+        if let Some(tracked) = self.tracked_server(&server) {
+            tracked.record_peer_load(from, row, now_us);
         }
     }
 }
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -20,8 +20,8 @@
 impl DispatcherState {
     /// The state of one start of a server; `None` once a later start is known.
     pub(super) fn tracked_server(&mut self, server: &Server) -> Option<&mut TrackedServer> {
-        let track = self.pools.get_mut(&server.row.service)?.server_mut(&server.row.id)?;
-        (track.key == server.key).then_some(track)
+        let tracked = self.pools.get_mut(&server.row.service)?.server_mut(&server.row.id)?;
+        (tracked.key == server.key).then_some(tracked)
     }
 
     /// Marks the latest server listed at an address as used, and the earlier one as superseded.
@@ -45,9 +45,9 @@
 
     fn set_superseded(&mut self, id: &str, superseded: bool) {
         if let Some(server) = self.servers.get(id).cloned()
-            && let Some(track) = self.tracked_server(&server)
+            && let Some(tracked) = self.tracked_server(&server)
         {
-            track.set_superseded(superseded);
+            tracked.set_superseded(superseded);
         }
     }
 
@@ -57,8 +57,8 @@
         if grace.is_zero() {
             self.release_address(&server.row);
         }
-        if let Some(track) = self.tracked_server(server) {
-            track.unlist(until_us);
+        if let Some(tracked) = self.tracked_server(server) {
+            tracked.unlist(until_us);
         }
     }
 
@@ -148,12 +148,12 @@
             state.update_start_limits(&service);
         }
         let pool = state.pools.entry(Arc::clone(&service)).or_default();
-        let track = pool.upsert_server(row.clone(), now_us());
+        let tracked = pool.upsert_server(row.clone(), now_us());
         if evacuated {
-            track.evacuate();
+            tracked.evacuate();
         }
         if leaving {
-            track.mark_draining();
+            tracked.mark_draining();
         }
         state.claim_address(row);
         self.serve_waiting(state, &service, undelivered);
@@ -176,10 +176,10 @@
     pub fn near_servers(&self, subset: &ServerSubset) -> Vec<Arc<Server>> {
         let state = self.state.lock();
         let pools = state.pools.values();
-        let near = pools.flat_map(|pool| {
-            subset.select(&pool.servers).into_iter().map(|place| &pool.servers[place].row.id)
+        let ids = pools.flat_map(|pool| {
+            subset.select(&pool.servers).into_iter().map(|index| &pool.servers[index].row.id)
         });
-        near.filter_map(|id| state.servers.get(id).cloned()).collect()
+        ids.filter_map(|id| state.servers.get(id).cloned()).collect()
     }
 
     /// Whether any server is known.
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -117,8 +117,8 @@
         let state = self.state.lock();
         let declared = state.pools.iter().filter(|(service, _)| services.contains_key(*service));
         let tracks = declared.flat_map(|(_, pool)| &pool.servers);
-        let tracks = tracks.filter(|track| track.owns_address());
-        tracks.map(|track| track.row.slots).sum()
+        let tracks = tracks.filter(|tracked| tracked.owns_address());
+        tracks.map(|tracked| tracked.row.slots).sum()
     }
 
     /// Takes one retry from the budget of a service; `false` if none is left.
--- a/src/gateway/dispatcher_zones.rs
+++ b/src/gateway/dispatcher_zones.rs
@@ -26,10 +26,10 @@
         }
         let mut change = ZoneChange::default();
         let tracks = state.pools.values_mut().flat_map(|pool| &mut pool.servers);
-        for track in tracks.filter(|track| *track.row.zone == *zone) {
-            track.evacuate();
+        for tracked in tracks.filter(|tracked| *tracked.row.zone == *zone) {
+            tracked.evacuate();
             change.servers += 1;
-            change.running += track.own_in_flight();
+            change.running += tracked.own_in_flight();
         }
         Some(change)
     }
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -31,10 +31,11 @@
 const UNREACHABLE_SERVERS_MAX: u32 = 4;
 /// Preflight health checks per request after which it is sent without one. Each takes about 2 ms.
 const PREFLIGHT_CHECKS_MAX: u32 = 4;
-/// Fraction of the typical duration that must remain before the deadline for a retry.
+/// A retry is worthwhile if at least this fraction of the typical duration remains before the
+/// deadline.
 const RETRY_MIN_TIME_RATIO: f64 = 0.6;
-/// Factor on the typical duration that a hedged request reserves before the latency target, so that
-/// it can still meet it.
+/// Time reserved for a hedged request to meet the latency target, as a factor on the typical
+/// duration.
 const HEDGE_LEAD_RATIO: f64 = 1.3;
 /// Minimum delay of a hedged request, as a factor on the typical duration. Most responses have
 /// arrived by then.
@@ -59,12 +60,15 @@
 /// What has been tried for one request so far.
 #[derive(Debug, Default)]
 struct Attempts {
+    /// Servers that are not to be chosen again.
     servers: SmallVec<[Arc<str>; 4]>,
     /// Servers that the request was sent to.
     sends: u32,
+    /// Servers that no connection could be opened to.
     unreachable: u32,
     /// Servers that were not used after a preflight check.
     unfit: u32,
+    /// Whether an earlier attempt may have run, so that a refusal would be untrue.
     may_have_run: bool,
 }
 
@@ -166,13 +170,13 @@
     ) -> Option<Reply> {
         let idempotent = request.route.idempotent();
         match result {
-            SendResult::Answered(answer) => {
-                let failed = answer.status.is_server_error();
+            SendResult::Answered(response) => {
+                let failed = response.status.is_server_error();
                 if failed && idempotent && self.may_retry(request, attempts) {
                     attempts.may_have_run = true;
                     return None;
                 }
-                Some(server_reply(answer))
+                Some(server_reply(response))
             }
             SendResult::Refused { status } => {
                 if status != StatusCode::BAD_REQUEST && self.may_retry(request, attempts) {
@@ -227,8 +231,8 @@
             result = &mut first => return result,
             () = tokio::time::sleep(hedge_after) => {}
         }
-        let ask = request.spec(&attempts.servers);
-        let Some(spare) = self.dispatcher.try_acquire_spare(&request.service, &ask) else {
+        let spec = request.spec(&attempts.servers);
+        let Some(spare) = self.dispatcher.try_acquire_spare(&request.service, &spec) else {
             return first.await;
         };
         if !self.may_retry(request, attempts) {
@@ -343,14 +347,14 @@
 /// Whether a result is final, so that the other attempt can be cancelled.
 fn is_conclusive(result: &SendResult) -> bool {
     match result {
-        SendResult::Answered(answer) => !answer.status.is_server_error(),
+        SendResult::Answered(response) => !response.status.is_server_error(),
         SendResult::TimedOut => true,
         _ => false,
     }
 }
 
-fn server_reply(answer: ServerResponse) -> Reply {
-    let ServerResponse { status, headers, body } = answer;
+fn server_reply(response: ServerResponse) -> Reply {
+    let ServerResponse { status, headers, body } = response;
     Reply { status, headers, body, code: Code::Ok }
 }
 
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -18,15 +18,15 @@
     pub choice: ServerChoice,
     pub(super) ticket: u64,
     pub(super) spec: RequestSpec,
-    pub(super) end: SendOutcome,
+    pub(super) outcome: SendOutcome,
     pub(super) dispatcher: Dispatcher,
 }
 
 impl Grant {
     /// Releases the slot with the result of the attempt. A grant dropped otherwise counts as
     /// cancelled.
-    pub fn end(mut self, end: SendOutcome) {
-        self.end = end;
+    pub fn finish(mut self, outcome: SendOutcome) {
+        self.outcome = outcome;
     }
 
     /// Whether the server is now much slower than when it was chosen, or has become full.
@@ -44,6 +44,6 @@
 impl Drop for Grant {
     fn drop(&mut self) {
         let dispatcher = self.dispatcher.clone();
-        dispatcher.finish(&self.server, self.ticket, &self.spec, self.end);
+        dispatcher.finish(&self.server, self.ticket, &self.spec, self.outcome);
     }
 }
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -7,7 +7,7 @@
 use super::server_conn::ResponseMatcher;
 use super::server_conn::ServerConn;
 use super::server_notice::ServerNotice;
-use super::server_notice::text;
+use super::server_notice::header_text;
 use crate::model::Heard;
 
 /// Sends a health check and records the load and slowdown that the server reports. Returns whether
@@ -24,22 +24,22 @@
 ) -> Result<bool, ExchangeError> {
     let names = dialect.header_names();
     let head = format!("GET {path} HTTP/1.1\r\nhost: {}\r\n\r\n", server.conns.address());
-    let echo =
+    let matcher =
         ResponseMatcher { id_header: &names.request_id, id: None, not_run_header: &names.not_run };
-    let answer = conn.exchange(head.as_bytes(), &[], echo).await?;
-    let mut decoder = answer.decoder();
+    let response = conn.exchange(head.as_bytes(), &[], matcher).await?;
+    let mut decoder = response.decoder();
     while conn.read_body(&mut decoder).await?.is_some() {}
-    let text = |name| text(&answer.headers, name);
-    if text(&names.server_id).is_some_and(|id| *id != *server.row.id) {
+    let header = |name| header_text(&response.headers, name);
+    if header(&names.server_id).is_some_and(|id| *id != *server.row.id) {
         dispatcher.unlist_displaced(server);
         return Err(ExchangeError::Garbled);
     }
     dispatcher.record_notice(
         server,
         Heard::Check,
-        ServerNotice::read(dialect, answer.status, &answer.headers),
+        ServerNotice::read(dialect, response.status, &response.headers),
     );
-    let cold_left_ms = text(&names.warmup_left_ms).and_then(|text| text.trim().parse().ok());
-    dispatcher.record_health_check(server, answer.status.is_success(), cold_left_ms);
-    Ok(conn.finish(&answer))
+    let warmup_left_ms = header(&names.warmup_left_ms).and_then(|text| text.trim().parse().ok());
+    dispatcher.record_health_check(server, response.status.is_success(), warmup_left_ms);
+    Ok(conn.finish(&response))
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,8 +1,8 @@
-//! Requests by routes, on a platform that lists routes and backend servers in its store.
+//! The gateway: routes requests on a platform that keeps its routes and backend servers in a store.
 //!
-//! A caller's request is read by [`CallerHandler`], routed by the [`RouteTable`] in force, given a
-//! slot by the [`Dispatcher`] and forwarded by the [`Forwarder`]. What the platform calls things
-//! is known only to its [`Dialect`].
+//! [`CallerHandler`] reads a caller's request, the current [`RouteTable`] selects its service, the
+//! [`Dispatcher`] assigns it a slot of a backend server, and the [`Forwarder`] forwards it. Only the
+//! [`Dialect`] knows the names and formats of the platform.
 
 mod address_claims;
 mod admission;
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -68,7 +68,7 @@
     Unfit { silent: bool },
     /// The request may have run, but there is no complete response.
     Lost(ExchangeError),
-    /// The deadline passed; the request may have run.
+    /// The deadline forwarded; the request may have run.
     TimedOut,
     /// The request may crash servers; nothing was sent.
     Denied(Denial),
@@ -100,10 +100,10 @@
         matches!(self, Self::Lost(_) | Self::TimedOut)
     }
 
-    const fn send_end(&self) -> SendOutcome {
+    const fn outcome(&self) -> SendOutcome {
         match self {
-            Self::Answered(answer) => {
-                let failed = answer.status.as_u16() >= 500;
+            Self::Answered(response) => {
+                let failed = response.status.as_u16() >= 500;
                 if failed { SendOutcome::Failed } else { SendOutcome::Answered }
             }
             Self::Unfit { .. } | Self::Denied(_) => SendOutcome::Unsent,
@@ -157,11 +157,11 @@
                 return finish_send(grant, SendResult::Unfit { silent: false });
             }
             Err(_) => {
-                grant.end(SendOutcome::Unreachable);
+                grant.finish(SendOutcome::Unreachable);
                 return SendResult::NotSent;
             }
         };
-        if let Some(path) = health_path.filter(|_| self.pace_is_stale(&grant)) {
+        if let Some(path) = health_path.filter(|_| self.needs_preflight_check(&grant)) {
             match self.preflight_check(&grant, &mut conn, path, remaining).await {
                 PreflightResult::Passed => {}
                 PreflightResult::Slower => {
@@ -186,7 +186,7 @@
         }
     }
 
-    fn pace_is_stale(&self, grant: &Grant) -> bool {
+    fn needs_preflight_check(&self, grant: &Grant) -> bool {
         match grant.choice.slowdown_age_us {
             Some(age_us) => age_us > LOAD_FRESH_US,
             None => self.dispatcher.service_reports_load(&grant.server.row.service),
@@ -221,31 +221,31 @@
         conn: &mut ServerConn,
     ) -> Result<PartialResponse, ExchangeError> {
         let names = self.dialect.header_names();
-        let echo = ResponseMatcher {
+        let matcher = ResponseMatcher {
             id_header: &names.request_id,
             id: request.id.as_ref(),
             not_run_header: &names.not_run,
         };
         let sent = request.encode_head(names, &grant.server.row.id);
-        let head = conn.exchange(&sent, &request.body, echo).await?;
+        let head = conn.exchange(&sent, &request.body, matcher).await?;
         if head.status != StatusCode::MISDIRECTED_REQUEST {
             grant.record_notice(ServerNotice::read(self.dialect, head.status, &head.headers));
         }
         let mut decoder = head.decoder();
         let mut reservation = self.response_memory.reservation();
-        let mut whole = BytesMut::new();
-        while whole.len() < BUFFER_MAX_BYTES {
+        let mut buffered = BytesMut::new();
+        while buffered.len() < BUFFER_MAX_BYTES {
             let Some(bytes) = conn.read_body(&mut decoder).await? else {
                 break;
             };
-            whole.extend_from_slice(&bytes);
+            buffered.extend_from_slice(&bytes);
             // Without memory the response is streamed, and can no longer be retried if it is
             // truncated.
             if !reservation.try_grow(bytes.len()) {
                 break;
             }
         }
-        Ok(PartialResponse { head, buffered: whole.freeze(), reservation, decoder })
+        Ok(PartialResponse { head, buffered: buffered.freeze(), reservation, decoder })
     }
 
     /// Evaluates a response that has been read up to the size of the buffer.
@@ -274,11 +274,11 @@
                 SendResult::Answered(ServerResponse { status, headers, body }),
             );
         }
-        let watch = PendingSend {
+        let pending_send = PendingSend {
             failed_send: request.failed_send(&grant.server),
             send: Arc::clone(self.admitted_send),
         };
-        let body = stream_body(grant, conn, head, buffered, decoder, watch);
+        let body = stream_body(grant, conn, head, buffered, decoder, pending_send);
         SendResult::Answered(ServerResponse { status, headers, body })
     }
 }
@@ -296,7 +296,7 @@
 }
 
 fn finish_send(grant: Grant, result: SendResult) -> SendResult {
-    grant.end(result.send_end());
+    grant.finish(result.outcome());
     result
 }
 
@@ -326,13 +326,13 @@
 
 /// The response headers to forward to the caller. The length is set again from the forwarded body.
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
         if !is_hop_by_hop(name) && *name != http::header::CONTENT_LENGTH {
-            passed.append(name, value.clone());
+            forwarded.append(name, value.clone());
         }
     }
-    passed
+    forwarded
 }
 
 /// Streams a large response to the caller while it is read.
@@ -342,7 +342,7 @@
     head: ResponseHead,
     first: Bytes,
     mut decoder: BodyDecoder,
-    watch: PendingSend,
+    pending_send: PendingSend,
 ) -> ReplyBody {
     let (sender, chunks) = mpsc::channel(STREAM_CHUNKS_AHEAD);
     let bytes = head.body_bytes();
@@ -355,8 +355,8 @@
             chunk = match conn.read_body(&mut decoder).await {
                 Ok(chunk) => chunk,
                 Err(error) => {
-                    grant.end(SendOutcome::Broken);
-                    drop(watch.record_truncated());
+                    grant.finish(SendOutcome::Broken);
+                    drop(pending_send.record_truncated());
                     // The receiver is gone if the caller left.
                     let _ = sender.send(Err(error)).await;
                     return;
@@ -365,9 +365,9 @@
         }
         return_connection(&grant, conn, &head, &decoder);
         if !head.status.is_server_error() {
-            watch.record_response();
+            pending_send.record_response();
         }
-        grant.end(SendOutcome::Answered);
+        grant.finish(SendOutcome::Answered);
     });
     ReplyBody::Streamed { chunks, bytes, reader }
 }
--- a/src/gateway/server_conn.rs
+++ b/src/gateway/server_conn.rs
@@ -106,10 +106,10 @@
 pub struct OpenConnGuard(Arc<AtomicU32>);
 
 impl OpenConnGuard {
-    /// Counts one more connection; `None` if there are `most` already.
+    /// Counts one more connection; `None` if there are `open_max` already.
     #[must_use]
-    pub fn try_new(open: &Arc<AtomicU32>, most: u32) -> Option<Self> {
-        let add = |now: u32| (now < most).then_some(now + 1);
+    pub fn try_new(open: &Arc<AtomicU32>, open_max: u32) -> Option<Self> {
+        let add = |now: u32| (now < open_max).then_some(now + 1);
         open.try_update(Ordering::AcqRel, Ordering::Acquire, add).ok()?;
         Some(Self(Arc::clone(open)))
     }
@@ -171,7 +171,7 @@
         &mut self,
         head: &[u8],
         body: &[u8],
-        echo: ResponseMatcher<'_>,
+        matcher: ResponseMatcher<'_>,
     ) -> Result<ResponseHead, ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let input = &mut self.input;
@@ -179,9 +179,9 @@
             writer.write_all(head).await?;
             writer.write_all(body).await
         };
-        let read = read_matching_head(&mut reader, input, echo);
+        let read = read_matching_head(&mut reader, input, matcher);
         tokio::pin!(write, read);
-        let mut answer = tokio::select! {
+        let mut response = tokio::select! {
             biased;
             written = &mut write => {
                 // A server that refuses early may close its receiving side; its response still
@@ -189,11 +189,11 @@
                 let _ = written;
                 return read.await;
             }
-            answer = &mut read => answer?,
+            response = &mut read => response?,
         };
         // The body was not sent completely, so the connection cannot carry another request.
-        answer.keeps_open = false;
-        Ok(answer)
+        response.keeps_open = false;
+        Ok(response)
     }
 
     /// Reads more of the body; `None` when it is complete.
@@ -260,14 +260,14 @@
 async fn read_matching_head(
     reader: &mut tokio::net::tcp::ReadHalf<'_>,
     input: &mut BytesMut,
-    echo: ResponseMatcher<'_>,
+    matcher: ResponseMatcher<'_>,
 ) -> Result<ResponseHead, ExchangeError> {
     for _ in 0..=STALE_RESPONSES_MAX {
         let head = read_head(reader, input).await?;
         if head.status.is_informational() {
             continue;
         }
-        if echo.matches(&head) {
+        if matcher.matches(&head) {
             return Ok(head);
         }
         skip_body(reader, input, &head).await?;
--- a/src/gateway/server_notice.rs
+++ b/src/gateway/server_notice.rs
@@ -36,30 +36,30 @@
     #[must_use]
     pub fn read<D: Dialect>(dialect: &D, status: StatusCode, headers: &HeaderMap) -> Self {
         let names = dialect.header_names();
-        let load = text(headers, &names.load).and_then(|text| dialect.parse_load(text));
-        let limit = headers.get(&names.rate_limit).map(|value| {
-            let header_text = value.to_str().map_err(|_| InvalidRateLimit)?;
-            header_text.parse()
+        let load = header_text(headers, &names.load).and_then(|text| dialect.parse_load(text));
+        let rate_limit = headers.get(&names.rate_limit).map(|value| {
+            let text = value.to_str().map_err(|_| InvalidRateLimit)?;
+            text.parse()
         });
-        let turned_away = status == StatusCode::SERVICE_UNAVAILABLE;
-        let retry_after = if turned_away { rest(headers) } else { Ok(None) };
+        let refused = status == StatusCode::SERVICE_UNAVAILABLE;
+        let retry_after = if refused { retry_after(headers) } else { Ok(None) };
         let draining =
-            text(headers, &names.draining).is_some_and(|text| text.trim() == DRAINING_VALUE);
-        Self { load, rate_limit: limit.transpose(), draining, retry_after }
+            header_text(headers, &names.draining).is_some_and(|text| text.trim() == DRAINING_VALUE);
+        Self { load, rate_limit: rate_limit.transpose(), draining, retry_after }
     }
 }
 
 /// The time of the `Retry-After` header, in seconds with fractions.
-fn rest(headers: &HeaderMap) -> Result<Option<Duration>, InvalidRetryAfter> {
+fn retry_after(headers: &HeaderMap) -> Result<Option<Duration>, InvalidRetryAfter> {
     let Some(value) = headers.get(http::header::RETRY_AFTER) else {
         return Ok(None);
     };
     let seconds = value.to_str().ok().and_then(|text| text.trim().parse().ok());
-    let rest = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    rest.map(Some).ok_or(InvalidRetryAfter)
+    let duration = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    duration.map(Some).ok_or(InvalidRetryAfter)
 }
 
 /// The value of a header, if it is present and valid text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/tests/gateway_requests.rs
+++ b/tests/gateway_requests.rs
@@ -57,10 +57,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn forwards_complete_response_with_signature() {
     let (bed, _, orders) = start_one_of_each().await;
-    let answer = bed.call(0, "POST /order/x?y=%20z", "r1", b"body of the order").await;
-    assert_eq!((answer.status, answer.body.as_slice()), (200, b"r1".as_slice()));
-    assert_eq!(answer.field("signature"), Some("s-r1"));
-    assert_eq!(answer.field("request-id"), Some("r1"));
+    let response = bed.call(0, "POST /order/x?y=%20z", "r1", b"body of the order").await;
+    assert_eq!((response.status, response.body.as_slice()), (200, b"r1".as_slice()));
+    assert_eq!(response.field("signature"), Some("s-r1"));
+    assert_eq!(response.field("request-id"), Some("r1"));
     let head = orders.heads().pop().expect("the server received the request");
     assert!(head.starts_with("POST /order/x?y=%20z HTTP/1.1"), "{head}");
     assert!(head.contains("expected-server: o1") && head.contains("timeout-ms: 11"), "{head}");
@@ -71,9 +71,9 @@
     let (bed, parts, _) = start_one_of_each().await;
     for behaviour in [Behaviour::AnswerInChunks, Behaviour::AnswerByClose] {
         parts.behave(behaviour);
-        let answer = bed.call(0, "GET /look/a", "r2", &[]).await;
+        let response = bed.call(0, "GET /look/a", "r2", &[]).await;
         assert_eq!(
-            (answer.status, answer.body.as_slice()),
+            (response.status, response.body.as_slice()),
             (200, b"r2".as_slice()),
             "{behaviour:?}"
         );
@@ -88,8 +88,8 @@
     orders.behave(Behaviour::AnswerTwice);
     for number in 0..20 {
         let id = format!("twice-{number}");
-        let answer = bed.call(0, "POST /order/a", &id, &[]).await;
-        assert_eq!((answer.status, answer.body.as_slice()), (200, id.as_bytes()));
+        let response = bed.call(0, "POST /order/a", &id, &[]).await;
+        assert_eq!((response.status, response.body.as_slice()), (200, id.as_bytes()));
         assert_eq!(run_count(&orders, &id), 1);
     }
 }
@@ -103,8 +103,8 @@
     let long = vec![b'x'; 900_000];
     for number in 0..5 {
         let id = format!("early-{number}");
-        let answer = bed.call(0, "POST /order/a", &id, &long).await;
-        assert_eq!((answer.status, answer.body.as_slice()), (200, id.as_bytes()));
+        let response = bed.call(0, "POST /order/a", &id, &long).await;
+        assert_eq!((response.status, response.body.as_slice()), (200, id.as_bytes()));
         assert_eq!(run_count(&orders, &id), 1);
     }
     let heads = orders.heads();
@@ -123,9 +123,9 @@
         orders.behave(behaviour);
         second.behave(behaviour);
         let id = format!("{behaviour:?}");
-        let answer = bed.call(0, "POST /order/a", &id, &[]).await;
-        assert_eq!(answer.status, 502, "{behaviour:?}");
-        assert_eq!(answer.field("signature"), None);
+        let response = bed.call(0, "POST /order/a", &id, &[]).await;
+        assert_eq!(response.status, 502, "{behaviour:?}");
+        assert_eq!(response.field("signature"), None);
         assert_eq!(run_count(&orders, &id) + run_count(&second, &id), 1, "{behaviour:?}");
     }
 }
@@ -142,8 +142,8 @@
         parts.behave(behaviour);
         for number in 0..4 {
             let id = format!("{behaviour:?}-{number}");
-            let answer = bed.call(0, "GET /look/a", &id, &[]).await;
-            assert_eq!((answer.status, answer.body.as_slice()), (200, id.as_bytes()), "{id}");
+            let response = bed.call(0, "GET /look/a", &id, &[]).await;
+            assert_eq!((response.status, response.body.as_slice()), (200, id.as_bytes()), "{id}");
         }
     }
 }
@@ -160,8 +160,8 @@
     let second = RawServer::spawn("o2").await;
     bed.store.put("servers/o2", &second.entry("orders", "z", 4, "ready"));
     until_served(&bed, "POST /order/a").await;
-    let answer = bed.call(0, "POST /order/a", "again", &[]).await;
-    assert_eq!(answer.status, 200);
+    let response = bed.call(0, "POST /order/a", "again", &[]).await;
+    assert_eq!(response.status, 200);
     assert_eq!(run_count(&second, "again"), 1);
 }
 
@@ -171,8 +171,8 @@
     let (bed, _, orders) = start_one_of_each().await;
     orders.behave(Behaviour::Silent);
     let began = Instant::now();
-    let answer = bed.call(0, "POST /order/a", "silent", &[]).await;
-    assert_eq!(answer.status, 504);
+    let response = bed.call(0, "POST /order/a", "silent", &[]).await;
+    assert_eq!(response.status, 504);
     let took = began.elapsed();
     assert!((1_150..1_700).contains(&took.as_millis()), "{took:?}");
 }
@@ -197,9 +197,9 @@
 async fn requests_are_retryable_without_configuration() {
     let bed = RoutedBed::start(&["z"]).await;
     assert_eq!(bed.readiness(0).await, 503);
-    let answer = bed.call(0, "GET /look/a", "early", &[]).await;
-    assert_eq!(answer.status, 503);
-    assert!(answer.field("retry-after").is_some());
+    let response = bed.call(0, "GET /look/a", "early", &[]).await;
+    assert_eq!(response.status, 503);
+    assert!(response.field("retry-after").is_some());
     bed.store.put(CONFIG_KEY, &two_routes(1));
     bed.settle().await;
     assert_eq!(bed.call(0, "GET /other/", "late", &[]).await.status, 404);
@@ -214,8 +214,8 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = parts.ran().len();
     for number in 0..20 {
-        let answer = bed.call(0, "GET /look/a", &format!("drain-{number}"), &[]).await;
-        assert_eq!(answer.status, 200);
+        let response = bed.call(0, "GET /look/a", &format!("drain-{number}"), &[]).await;
+        assert_eq!(response.status, 200);
     }
     assert_eq!(parts.ran().len(), before);
     bed.store.remove("servers/p2");
@@ -263,8 +263,8 @@
         tokio::time::sleep(Duration::from_millis(900)).await;
         parts.work(Duration::from_millis(20));
         let began = Instant::now();
-        let answer = bed.call(0, "GET /look/a", "short", &[]).await;
-        (answer.status, began.elapsed())
+        let response = bed.call(0, "GET /look/a", "short", &[]).await;
+        (response.status, began.elapsed())
     };
     let (first, (status, took)) = tokio::join!(first, second);
     assert_eq!((first.status, status), (200, 200));
@@ -291,8 +291,8 @@
         // milliseconds.
         tokio::time::sleep(Duration::from_millis(10)).await;
         let before = slow.ran().len();
-        let answer = bed.call(0, "GET /look/a", &format!("pace-{number}"), &[]).await;
-        assert_eq!(answer.status, 200);
+        let response = bed.call(0, "GET /look/a", &format!("pace-{number}"), &[]).await;
+        assert_eq!(response.status, 200);
         assert_eq!(slow.ran().len(), before, "request {number} began on the slow server");
     }
 }
@@ -319,8 +319,8 @@
         parts.pace(500);
         tokio::time::sleep(Duration::from_millis(10)).await;
         let before = parts.ran().len();
-        let answer = bed.call(0, "GET /look/a", &format!("again-{number}"), &[]).await;
-        assert_eq!(answer.status, 200);
+        let response = bed.call(0, "GET /look/a", &format!("again-{number}"), &[]).await;
+        assert_eq!(response.status, 200);
         assert_eq!(parts.ran().len(), before, "request {number} began on the slow server");
     }
 }
@@ -362,9 +362,9 @@
         let (bed, parts, _) = start_one_of_each().await;
         parts.behave(behaviour);
         let since = Instant::now();
-        let answer = bed.call(0, "GET /look/a", "only", &[]).await;
+        let response = bed.call(0, "GET /look/a", "only", &[]).await;
         let took = since.elapsed();
-        assert_eq!(answer.status, 502, "{behaviour:?}");
+        assert_eq!(response.status, 502, "{behaviour:?}");
         assert!(took < Duration::from_millis(100), "{behaviour:?}: {took:?}");
     }
 }
@@ -376,8 +376,8 @@
     let (bed, parts, _) = start_one_of_each().await;
     let to = bed.board(0).settings.listen.caller;
     let fields = [("host", "nobody.example"), ("request-id", "absolute")];
-    let answer = raw_call(to, "GET http://shop.example/look/a", &fields, &[]).await;
-    assert_eq!(answer.status, 200);
+    let response = raw_call(to, "GET http://shop.example/look/a", &fields, &[]).await;
+    assert_eq!(response.status, 200);
     assert!(parts.heads().pop().is_some_and(|head| head.starts_with("GET /look/a HTTP/1.1")));
 }
 
@@ -408,8 +408,8 @@
         until_used(&bed, &after).await;
         let since = Instant::now();
         for number in 0..20 {
-            let answer = bed.call(0, "GET /look/c", &format!("n{number}"), &[]).await;
-            assert_eq!(answer.status, 200);
+            let response = bed.call(0, "GET /look/c", &format!("n{number}"), &[]).await;
+            assert_eq!(response.status, 200);
         }
         assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
     };
