--- a/src/balance/available_server.rs
+++ b/src/balance/available_server.rs
@@ -1,30 +1,30 @@
-//! Which servers of a service have room for one more request.
+//! The servers of a service that can take another request.
 
 use super::ServicePool;
 
-/// Time between two looks at all servers while no near one can be used.
+/// Minimum time between scans of all servers while no server of the subset can be used.
 const FULL_SCAN_INTERVAL_US: u64 = 5_000;
 
-/// A server that may take one more request.
+/// A server that can take another request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AvailableServer {
-    /// Its place in the list of servers.
+    /// Index in the list of servers.
     pub(super) index: usize,
-    /// Requests that run or wait there.
+    /// Requests running or queued on the server.
     pub(super) occupancy: u32,
 }
 
 impl ServicePool {
-    /// The near servers that have room now.
+    /// The preferred servers that can take another request.
     pub(super) fn available_in_subset(&self, now_us: u64) -> Vec<AvailableServer> {
-        let Some(near) = &self.subset_indexes else {
+        let Some(preferred) = &self.subset_indexes else {
             return self.available_servers(now_us);
         };
-        near.iter().filter_map(|index| self.available_server(*index, now_us)).collect()
+        preferred.iter().filter_map(|index| self.available_server(*index, now_us)).collect()
     }
 
-    /// Whether the far servers are to be looked at, as no near one can be used: of thousands that are full,
-    /// not for each request.
+    /// Whether all servers may be scanned because no preferred server can be used. Limited in rate,
+    /// as a scan over thousands of full servers is too expensive for each request.
     pub(super) fn may_scan_all(&mut self, now_us: u64) -> bool {
         let due = self.subset_indexes.is_some() && now_us >= self.next_full_scan_us;
         if due {
@@ -33,12 +33,12 @@
         due
     }
 
-    /// All servers that have room now.
+    /// All servers that can take another request.
     pub(super) fn available_servers(&self, now_us: u64) -> Vec<AvailableServer> {
         (0..self.servers.len()).filter_map(|index| self.available_server(index, now_us)).collect()
     }
 
-    /// Whether any server has room.
+    /// Whether any server can take another request.
     pub(super) fn any_available(&self, now_us: u64) -> bool {
         (0..self.servers.len()).any(|index| self.available_server(index, now_us).is_some())
     }
--- a/src/balance/concurrency_limit.rs
+++ b/src/balance/concurrency_limit.rs
@@ -1,26 +1,32 @@
-//! How many requests a backend server of a service is given at the same time, learned from how
-//! long they take.
+//! The number of requests that a backend server of a service runs concurrently, learned from
+//! service times.
 
-/// Weight of one sample once [`SAMPLES_MIN`] are there.
+/// Weight of a sample in the moving mean once it has [`SAMPLES_MIN`] samples.
 const SAMPLE_WEIGHT: f64 = 0.03;
-/// Samples with all slots in use before they are believed. With work that varies as much as its
-/// mean, the mean of 36 is within a sixth; fewer are also biased, as short work ends first.
+/// Samples needed in each state before their mean is used. If service times vary as much as their
+/// mean, the mean of 36 samples is within a sixth. Fewer samples are also biased, as short requests
+/// finish first.
 const SAMPLES_MIN: u32 = 36;
-/// The last slot is believed to pay once the slowdown is less than this part of what it gains.
+/// The last slot is disabled if its slowdown exceeds the capacity that it adds, and enabled if the
+/// slowdown is below this fraction of it. The gap is hysteresis.
 const HYSTERESIS_FACTOR: f64 = 0.6;
-/// Share of the servers that may fill their last slot, for a while each, as long as it is not known
-/// whether it pays; and once it is believed not to, so that the belief can change. Each such server
-/// may work slower for that while.
+/// Fraction of the servers that may fill their last slot to collect samples, as long as there are
+/// too few. These servers may run slower meanwhile.
 const INITIAL_EXPLORATION_SHARE: f64 = 0.1;
+/// The same fraction once the last slot is disabled, so that the decision can change.
 const EXPLORATION_SHARE: f64 = 0.03;
-/// How long a server is on trial: a few times the usual work, so that whole requests fall into it.
+/// How long a server is selected for exploration. A few usual service times, so that whole requests
+/// fall into one period.
 const EXPLORATION_PERIOD_US: u64 = 1_000_000;
-/// A request counts as run on a full server when that was so for this part of its time at least,
-/// and as run below when for this part at most. What lies between tells nothing clear.
+/// A sample counts as saturated if all slots were in use for at least this fraction of the
+/// request's time.
 const SATURATED_SHARE_MIN: f64 = 0.7;
+/// A sample counts as unsaturated if all slots were in use for at most this fraction of the
+/// request's time. Samples in between are ambiguous and discarded.
 const UNSATURATED_SHARE_MAX: f64 = 0.1;
 
-/// Mean of a ratio, quick at first, then moving.
+/// Mean of a ratio: the plain mean of the first samples, then an exponentially weighted moving
+/// mean.
 #[derive(Clone, Copy, Debug, Default)]
 struct MovingMean {
     value: f64,
@@ -35,48 +41,53 @@
     }
 }
 
-/// Whether the last slot of a backend server pays.
+/// Learns whether filling the last slot of a backend server increases its throughput.
 ///
-/// Some servers slow down all of their work when they are nearly full. Filling the last of `n`
-/// slots then serves less than leaving it empty: it pays only while work with `n` running takes
-/// less than `n / (n - 1)` times as long as with `n - 1` running.
+/// Some servers slow down all their requests when they are nearly full. Filling the last of `n`
+/// slots increases throughput only if requests take less than `n / (n - 1)` times as long with `n`
+/// running as with `n - 1`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConcurrencyLimit {
+    /// Relative service time of requests on saturated servers.
     saturated: MovingMean,
+    /// Relative service time of requests on servers with one slot free.
     one_slot_free: MovingMean,
-    /// Not believed before it was seen.
+    /// Whether the last slot is in use. Off until the samples show that it increases throughput.
     last_slot_pays: bool,
 }
 
 impl ConcurrencyLimit {
-    /// Whether a request had a slot left beside it for nearly all of its time.
+    /// Whether a slot was free for nearly all of a request's time.
     #[must_use]
-    pub fn is_unsaturated(full_part: f64) -> bool {
-        full_part <= UNSATURATED_SHARE_MAX
+    pub fn is_unsaturated(saturated_share: f64) -> bool {
+        saturated_share <= UNSATURATED_SHARE_MAX
     }
 
-    /// Takes a sample: the part of its time for which all slots of its server were in use, whether
-    /// all but one were when it began, and how much longer than usual it took.
+    /// Records a sample.
     ///
-    /// Counting only how many ran when it began would not do: the next request fills the last slot
-    /// and slows those that are there, which then look slow without it.
-    pub fn record(&mut self, slots: u32, full_part: f64, nearly_full: bool, took_ratio: f64) {
-        if full_part >= SATURATED_SHARE_MIN {
+    /// `saturated_share` is the fraction of the request's time for which all slots of its server
+    /// were in use, `nearly_full` whether at most one slot was free when it started, and
+    /// `took_ratio` its service time relative to the usual one.
+    ///
+    /// The occupancy at the start alone would mislead: the next request takes the last slot and
+    /// slows down the running ones, which would then count as slow without it.
+    pub fn record(&mut self, slots: u32, saturated_share: f64, nearly_full: bool, took_ratio: f64) {
+        if saturated_share >= SATURATED_SHARE_MIN {
             self.saturated.record(took_ratio);
-        } else if Self::is_unsaturated(full_part) && nearly_full {
+        } else if Self::is_unsaturated(saturated_share) && nearly_full {
             self.one_slot_free.record(took_ratio);
         }
         self.update_decision(slots);
     }
 
-    /// Whether the last slot is believed to pay.
+    /// Whether the last slot increases throughput, as far as known.
     #[must_use]
     pub const fn last_slot_pays(&self, slots: u32) -> bool {
         self.last_slot_pays || slots < 2
     }
 
-    /// Changes the belief where the means say so clearly. Between the two bounds it stays: near
-    /// them, chance would turn it with each request.
+    /// Updates the decision if the means are clear. Between the two thresholds it stays, as noise
+    /// would flip it with every request.
     fn update_decision(&mut self, slots: u32) {
         if slots < 2 || !self.has_enough_samples() {
             return;
@@ -94,20 +105,21 @@
         self.saturated.samples >= SAMPLES_MIN && self.one_slot_free.samples >= SAMPLES_MIN
     }
 
-    /// Mean time, against the usual, of requests on full servers and on those with one slot left.
+    /// Mean relative service time of requests on saturated servers and on servers with one slot
+    /// free.
     #[must_use]
     pub const fn mean_ratios(&self) -> (f64, f64) {
         (self.saturated.value, self.one_slot_free.value)
     }
 
-    /// Requests that a server of `slots` may have. `key` tells servers apart, so that at each time
-    /// some are on trial.
+    /// Concurrent requests allowed now on a server with `slots` slots. `key` identifies the server,
+    /// so that only some servers explore at any time.
     #[must_use]
     pub fn current_limit(&self, slots: u32, key: u32, now_us: u64) -> u32 {
         if self.last_slot_pays(slots) || self.is_exploring(key, now_us) { slots } else { slots - 1 }
     }
 
-    /// Requests that servers of `slots` have in the long run.
+    /// Concurrent requests on a server with `slots` slots, without exploration.
     #[must_use]
     pub fn steady_limit(&self, slots: u32) -> u32 {
         if self.last_slot_pays(slots) { slots } else { slots - 1 }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server a request goes to, who waits and who is refused; no I/O.
+//! Selection of backend servers, queuing and refusal of requests; no I/O.
 
 mod available_server;
 mod concurrency_limit;
--- a/src/balance/request_spec.rs
+++ b/src/balance/request_spec.rs
@@ -1,4 +1,4 @@
-//! What a request asks of a service, and what it is told.
+//! What a request requires of a server, the server selected for it, and its refusal.
 
 use std::sync::Arc;
 
@@ -6,27 +6,31 @@
 
 use crate::limit::RateLimit;
 
-/// What a request needs of a server.
+/// What a request requires of a server, and its time limits.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
+    /// The route, whose service time is tracked separately.
     pub route: Arc<str>,
-    /// Whose it is; of requests of no workspace the first is served first.
+    /// Workspace that the request belongs to. Requests without a workspace are served in order of
+    /// arrival.
     pub workspace: Option<Arc<str>>,
-    /// 0 is served first.
+    /// Lower values are served first.
     pub priority: u32,
+    /// Latency target for the whole request, from the caller's first attempt.
     pub target_ms: f64,
-    /// When it arrived here.
+    /// When the request arrived at this instance.
     pub arrived_us: u64,
-    /// Time that its caller spent on it before, at this instance or another.
+    /// Time since the caller's first attempt until it arrived here, spent at this instance or
+    /// another.
     pub spent_before_us: u64,
-    /// Nobody waits for the answer after this.
+    /// The caller does not wait for the answer beyond this time.
     pub deadline_us: u64,
-    /// Servers that it was sent to already.
+    /// Servers that the request was already sent to.
     pub tried_servers: SmallVec<[Arc<str>; 4]>,
 }
 
 impl RequestSpec {
-    /// Milliseconds until its aim is missed; below zero once it is.
+    /// Milliseconds left until the latency target is missed; negative afterwards.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "times of one request")]
     pub fn target_left_ms(&self, now_us: u64) -> f64 {
@@ -34,7 +38,7 @@
         self.target_ms - used_us as f64 / 1000.0
     }
 
-    /// Milliseconds until nobody waits for the answer any more.
+    /// Milliseconds left until the deadline; 0 afterwards.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "times of one request")]
     pub fn deadline_left_ms(&self, now_us: u64) -> f64 {
@@ -42,34 +46,38 @@
     }
 }
 
-/// The server chosen for a request, and what was believed of it.
+/// The server selected for a request, and what this instance assumed about it at that time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerChoice {
+    /// ID of the server.
     pub server: Arc<str>,
-    /// Requests there, this one included.
+    /// Requests running or queued on the server, including this one.
     pub running: u32,
+    /// Expected time until the server answers.
     pub expected_ms: f64,
-    /// Age of the last word on its pace; `None` for a server that never told it.
+    /// Age of the last slowdown report, in microseconds; `None` if the server never sent one.
     pub slowdown_age_us: Option<u64>,
-    /// Whether it was believed cold.
+    /// Whether the server was assumed to be cold.
     pub cold: bool,
-    /// The limit that it named; `None` without one.
+    /// The rate limit that the server advertises, if any.
     pub rate_limit: Option<RateLimit>,
-    /// Age of the server's last word on that.
+    /// Age of the last report on the rate limit, in microseconds.
     pub rate_limit_age_us: Option<u64>,
 }
 
-/// A request is not served; when to come back.
+/// A refused request: why, and when the caller should retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Refusal {
-    /// No server of the service may be used, as against none has room.
+    /// The service has no usable server. Otherwise, none has a free slot in time.
     pub no_server: bool,
+    /// When the caller should retry.
     pub retry_after_ms: u64,
-    /// Requests that waited here when it was refused.
+    /// Requests queued on this instance at the time of the refusal.
     pub waiting: usize,
-    /// Slots that could be used then, by all instances together.
+    /// Usable slots at the time of the refusal, shared by all instances.
     pub slots: u32,
-    /// Servers that name limits, and servers that asked this instance for rest.
+    /// Servers that advertise a rate limit.
     pub rate_limited: usize,
+    /// Servers that asked this instance to send nothing for a time.
     pub in_cooldown: usize,
 }
--- a/src/balance/retry_budget.rs
+++ b/src/balance/retry_budget.rs
@@ -1,36 +1,37 @@
-//! The budget of repeats: sends to a backend server beyond the first of each request.
+//! The retry budget: limits the sends to backend servers beyond the first of each request, which
+//! are retries and hedges.
 
 use std::collections::VecDeque;
 
-/// What the operators allow over all instances together.
+/// The retry budget that the operators configure for all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Any span of this length counts.
+    /// Length of the sliding window, in microseconds.
     pub window_us: u64,
-    /// Repeats beyond the ratio.
+    /// Retries allowed in addition to the ratio.
     pub slack: f64,
 }
 
-/// Who repeats a request if this instance does not.
+/// Whether the caller can retry a request if this instance does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryNeed {
-    /// Its caller can still come back with it, at no cost to the budget.
+    /// The caller can still retry, which takes nothing from the budget.
     CallerCanRetry,
-    /// Nobody: its caller came back with it already, or may not.
+    /// The caller has retried already or may not retry.
     LastChance,
 }
 
-/// Part of the budget that requests may use whose callers can still come back. While 4 of 10 sends
-/// are refused, one in 12 requests fails for good if those may use up all of it, and one in 100 if
-/// half or a fifth (modelled, 40,000 requests).
+/// Fraction of the budget available to requests whose callers can still retry. In a model of 40,000
+/// requests with 4 of 10 sends refused, one request in 12 failed for good if such requests could
+/// use the whole budget, and one in 100 if they could use a half or a fifth.
 const CALLER_CAN_RETRY_SHARE: f64 = 0.25;
 
-/// Requests and repeats of one service on this instance over the last window.
+/// Times of the requests and retries of one service on this instance within the window.
 ///
-/// Every instance keeps the ratio for its own requests and its own part of the slack, so that the
-/// sum over all instances holds without a word between them.
+/// Each instance applies the ratio to its own requests and has its own part of the slack, so that
+/// the budget holds over all instances without coordination.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     requests_us: VecDeque<u64>,
@@ -44,13 +45,13 @@
 }
 
 impl RetryBudget {
-    /// Counts a request of a caller.
+    /// Records a caller's request.
     pub fn record_request(&mut self, allowance: &RetryAllowance, now_us: u64) {
         remove_before(&mut self.requests_us, now_us.saturating_sub(allowance.window_us));
         self.requests_us.push_back(now_us);
     }
 
-    /// Takes one repeat if the budget allows it.
+    /// Takes one retry from the budget; returns whether the budget allows it.
     #[expect(clippy::cast_precision_loss, reason = "counts of one window")]
     pub fn try_spend(&mut self, allowance: &RetryAllowance, need: RetryNeed, now_us: u64) -> bool {
         let from_us = now_us.saturating_sub(allowance.window_us);
--- a/src/balance/send_outcome.rs
+++ b/src/balance/send_outcome.rs
@@ -1,22 +1,22 @@
-//! Ends of sends.
+//! Outcomes of sends to backend servers.
 
-/// How a send ended, as far as the server is concerned.
+/// How a send ended, as far as it concerns the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// A whole answer that is no failure.
+    /// A complete response that is not a failure.
     Answered,
-    /// A whole answer that tells of a failure.
+    /// A complete response with a failure status.
     Failed,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     Refused,
-    /// The connection was refused or could not be opened in time.
+    /// The connection was refused or timed out while it was opened.
     Unreachable,
-    /// The connection broke, or brought bytes that are no answer.
+    /// The connection broke, or the response was malformed.
     Broken,
-    /// No answer in the time that the request had.
+    /// No response before the request's deadline.
     TimedOut,
-    /// The caller left or another send was faster.
+    /// The caller disconnected, or another send finished first.
     Cancelled,
-    /// The server turned out to be no place for the request before it was sent.
+    /// The server proved unsuitable before the request was sent.
     Unsent,
 }
--- a/src/balance/server_exclusion.rs
+++ b/src/balance/server_exclusion.rs
@@ -1,18 +1,18 @@
-//! Listed servers that are given nothing.
+//! Listed servers that get no requests.
 
-/// Why a listed server is given nothing.
+/// Reasons why a listed server gets no requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServerExclusion {
     /// Its availability zone is evacuated.
     pub evacuated: bool,
-    /// Another server was listed at its address after it.
+    /// Another server was listed later at the same address.
     pub superseded: bool,
-    /// It said itself that it leaves.
+    /// The server announced that it drains.
     pub announced_draining: bool,
 }
 
 impl ServerExclusion {
-    /// Whether there is a reason.
+    /// Whether any reason applies.
     #[must_use]
     pub const fn any(self) -> bool {
         self.evacuated || self.superseded || self.announced_draining
--- a/src/balance/server_health.rs
+++ b/src/balance/server_health.rs
@@ -1,42 +1,46 @@
-//! Whether one backend server is there and does its work.
+//! Reachability and failure rate of one backend server.
 
 use super::SendOutcome;
 
-/// Weight of one end in the share of failures.
+/// Weight of one outcome in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// The share of failures halves in this time without an end, so that a server is tried again.
+/// Half-life of the failure rate without new outcomes, so that a failing server is tried again.
 const FAILURE_HALF_LIFE_US: f64 = 1_000_000.0;
-/// What a refusal counts as against a failure: nothing ran, and the request goes elsewhere at once.
-/// Counted in full, servers that all shed some of their requests look three times slower than the
-/// aims allow, and requests wait though there are slots.
+/// Weight of a refusal relative to a failure. Nothing ran, and the request is sent elsewhere at
+/// once. With full weight, if all servers shed some requests, their expected times exceed the
+/// latency targets threefold and requests wait although slots are free.
 const REFUSAL_SAMPLE: f64 = 0.25;
-/// First pause after a connection could not be opened or broke; doubles with each in a row.
+/// Ejection time after a failed connection; doubles with each consecutive failure.
 const EJECTION_BASE_US: u64 = 150_000;
+/// Maximum number of doublings of the ejection time.
 const EJECTION_DOUBLINGS_MAX: u32 = 4;
-/// Health checks without answer in a row before a server counts as gone, and for how long; one
-/// alone is lost by a busy network.
+/// Consecutive unanswered health checks before the server is ejected. A single one may be lost on a
+/// busy network.
 const CHECK_TIMEOUTS_MAX: u32 = 2;
+/// Ejection time after unanswered health checks.
 const CHECK_TIMEOUTS_EJECTION_US: u64 = 300_000;
-/// Broken connections in a row before the pause: a single reset says little of the server.
+/// Broken connections in a row before the server is ejected: a single reset says little about the
+/// server.
 const BROKEN_CONNECTIONS_MAX: u32 = 3;
 
-/// What sends and health checks told of a server's health.
+/// Health of one server, from sends and health checks.
 #[derive(Clone, Debug)]
 pub struct ServerHealth {
-    /// Share of ends that were failures, as of `failures_at_us`.
+    /// Failure rate as of `failure_rate_at_us`, from 0 to 1.
     failure_rate: f64,
     failure_rate_at_us: u64,
+    /// Consecutive connections that failed to open or broke.
     connection_failures: u32,
     ejected_until_us: u64,
     last_contact_us: u64,
-    /// Health checks without answer in a row.
+    /// Consecutive health checks without a response.
     check_timeouts: u32,
-    /// Its health check says that it is not well.
+    /// Whether the last health check reported the server as unhealthy.
     unhealthy: bool,
 }
 
 impl ServerHealth {
-    /// Of a server of which nothing bad is known.
+    /// A server without known failures.
     #[must_use]
     pub const fn new(now_us: u64) -> Self {
         Self {
@@ -50,9 +54,10 @@
         }
     }
 
-    /// Takes note of the end of a send that says something of the server.
-    pub fn record_outcome(&mut self, end: SendOutcome, now_us: u64) {
-        match end {
+    /// Records the outcome of a send. `Cancelled` and `Unsent` are ignored, as they say nothing
+    /// about the server.
+    pub fn record_outcome(&mut self, outcome: SendOutcome, now_us: u64) {
+        match outcome {
             SendOutcome::Cancelled | SendOutcome::Unsent => return,
             SendOutcome::Answered => {
                 self.connection_failures = 0;
@@ -69,7 +74,7 @@
             SendOutcome::TimedOut => {}
         }
         let failures = self.failure_rate(now_us);
-        let sample = match end {
+        let sample = match outcome {
             SendOutcome::Answered => 0.0,
             SendOutcome::Refused => REFUSAL_SAMPLE,
             _ => 1.0,
@@ -84,14 +89,14 @@
         self.ejected_until_us = now_us + (EJECTION_BASE_US << doublings);
     }
 
-    /// Whether it is left alone for a moment, as it seems not to be there.
+    /// Whether the server is ejected for a while because it seems unreachable.
     #[must_use]
     pub const fn is_ejected(&self, now_us: u64) -> bool {
         now_us < self.ejected_until_us
     }
 
-    /// Share of failures, fading while nothing ends there: a server that fails at once must not
-    /// look idle and so attract everything.
+    /// Failure rate from 0 to 1, decaying while there are no new outcomes. It keeps a server that
+    /// fails instantly from looking idle and attracting all requests.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "an age in microseconds")]
     pub fn failure_rate(&self, now_us: u64) -> f64 {
@@ -99,25 +104,25 @@
         self.failure_rate * (-age_us / FAILURE_HALF_LIFE_US).exp2()
     }
 
-    /// Takes note of any word of it.
+    /// Records that the server sent something.
     pub const fn record_contact(&mut self, now_us: u64) {
         self.last_contact_us = now_us;
     }
 
-    /// When it was heard last.
+    /// When the server last sent something.
     #[must_use]
     pub const fn last_contact_us(&self) -> u64 {
         self.last_contact_us
     }
 
-    /// Takes in the answer to a health check.
-    pub const fn record_health_check(&mut self, well: bool, now_us: u64) {
-        self.unhealthy = !well;
+    /// Records the response to a health check.
+    pub const fn record_health_check(&mut self, healthy: bool, now_us: u64) {
+        self.unhealthy = !healthy;
         self.check_timeouts = 0;
         self.last_contact_us = now_us;
     }
 
-    /// Takes note that a health check got no answer.
+    /// Records a health check without a response.
     pub fn record_check_timeout(&mut self, now_us: u64) {
         self.check_timeouts += 1;
         if self.check_timeouts >= CHECK_TIMEOUTS_MAX {
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Whether its health check says that it is not well.
+    /// Whether the last health check reported the server as unhealthy.
     #[must_use]
     pub const fn is_unhealthy(&self) -> bool {
         self.unhealthy
--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers of one service, and the requests that wait for them.
+//! The backend servers of one service, and the requests queued for them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,71 +19,74 @@
 use crate::peer::zone_hash;
 use crate::starts::HomeShare;
 
-/// What an answer from another zone costs beyond its own time. Its bytes cost money there, and
-/// its way is longer; 90 ms is some third of the usual work.
+/// Added cost of a server in another zone: traffic between zones costs money, and the route is
+/// longer. 90 ms is about a third of the usual service time.
 const CROSS_ZONE_COST_MS: f64 = 90.0;
-/// What a new connection costs beyond its handshake: servers bound their number, and each takes a
-/// slot for a moment. A third of what an answer from another zone costs.
+/// Added cost of a new connection beyond its handshake: servers limit their connections, and
+/// opening one occupies a slot for a moment. A third of the cost of another zone.
 const NEW_CONNECTION_COST_MS: f64 = 30.0;
-/// How much longer work is expected on a server whose slots are all in use, against an idle one:
-/// evens the load out between servers that look alike.
+/// Added cost of a server with all slots in use, as a fraction of the usual service time;
+/// proportionally less for fewer slots in use. Spreads requests over servers that are otherwise
+/// alike.
 const OCCUPANCY_COST_FACTOR: f64 = 0.3;
-/// Expected times closer than this share of the usual one are told apart by chance, so that
-/// instances that know the same do not all choose the same server.
+/// Random cost as a fraction of the usual service time, so that instances with the same information
+/// do not all select the same server.
 const JITTER_FACTOR: f64 = 0.05;
-/// What a request more than it takes costs at a server in need, in parts of the usual time: others go
-/// first, also in other zones.
+/// Added cost of exceeding a server's rate limit, as a fraction of the usual service time: servers
+/// without a limit are preferred, even in other zones.
 const OVER_LIMIT_COST_FACTOR: f64 = 1.0;
-/// A server that is expected to take longer by this part of the usual time than when it was chosen
-/// is chosen anew.
+/// Another server is selected if the expected time has grown by more than this fraction of the
+/// usual service time since the selection.
 const RESELECT_SLOWDOWN_SHARE: f64 = 0.7;
 
-/// Where a server is looked for.
+/// Criteria for selecting a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SelectionCriteria<'a> {
     /// The zone of this instance.
     pub(super) zone: &'a str,
-    /// Only servers that are expected to answer within this.
+    /// Only servers that are expected to answer within this time are considered.
     pub(super) expected_max_ms: f64,
-    /// For a late request, failures and health do not count: it is begun on a bad server rather
-    /// than not at all.
+    /// The request will miss its latency target. Failures and health are then ignored, as starting
+    /// on a bad server is better than not starting at all.
     pub(super) late: bool,
 }
 
-/// Servers, queue and measures of one service.
+/// Servers, queue and statistics of one service.
 #[derive(Debug)]
 pub struct ServicePool {
+    /// Servers that are listed or still in use.
     pub servers: Vec<TrackedServer>,
-    /// Place of each server in `servers`, by id.
+    /// Index in `servers` by server ID.
     index_by_id: HashMap<Arc<str>, usize>,
     pub retry_budget: RetryBudget,
-    /// Requests of this instance that each server may have, by the connections it accepts; 0 where
-    /// that is not known.
+    /// Maximum requests of this instance on each server, given by the connections that it accepts;
+    /// 0 if unknown.
     pub own_in_flight_max: usize,
-    /// Part of the slots that this instance gets in the long run: one of so many homes.
+    /// This instance's long-term fraction of the slots: 1 divided by the number of homes.
     pub fair_share: f64,
-    /// The most urgent first.
+    /// Most urgent first.
     pub(super) queue: Vec<QueuedRequest>,
-    /// The turn of the last request that was served after waiting.
+    /// Start tag of the last request dispatched from the queue.
     pub(super) virtual_time_ms: f64,
     pub(super) concurrency_limit: ConcurrencyLimit,
     service_times: ServiceTimes,
-    /// Of requests on servers that had a slot left for nearly all of their time. The usual times
-    /// rise with the load, and what slows all requests would not show against them.
+    /// Service times of requests that had a free slot beside them for nearly all of their time. The
+    /// usual times rise with load, so a slowdown of all requests would not show against them.
     unsaturated_times: ServiceTimes,
-    /// Mean time of all requests; 0 before the first.
+    /// Moving mean of the service time of all requests, in milliseconds; 0 before the first sample.
     pub(super) mean_ms: f64,
     cold_rule: ColdRule,
     home_share: Arc<HomeShare>,
+    /// The partition that this instance prefers; `None` if it prefers none.
     subset: Option<ServerSubset>,
-    /// Places in `servers` of those that are looked at first; `None` where all are.
+    /// Indexes in `servers` of the preferred servers; `None` if all servers are considered.
     pub(super) subset_indexes: Option<Vec<usize>>,
-    /// The others are not looked at again before this.
+    /// No full scan of the servers before this time.
     pub(super) next_full_scan_us: u64,
 }
 
 impl Default for ServicePool {
-    /// A pool without servers, of an instance that is alone.
+    /// An empty pool of an instance without peers.
     fn default() -> Self {
         Self {
             servers: Vec::new(),
@@ -107,25 +110,25 @@
 }
 
 impl ServicePool {
-    /// The server of this id.
+    /// The server with this ID.
     #[must_use]
     pub fn server_mut(&mut self, id: &str) -> Option<&mut TrackedServer> {
         self.servers.get_mut(*self.index_by_id.get(id)?)
     }
 
-    /// Lists a server, and returns what is believed of it. Nothing that is believed of an earlier
-    /// start holds for a later one.
+    /// Adds or updates a server, and returns its state. The state of an earlier start is not
+    /// carried over to a new one.
     pub fn upsert_server(&mut self, row: ServerRow, now_us: u64) -> &mut TrackedServer {
-        let place = self.index_by_id.get(&row.id).copied().unwrap_or(self.servers.len());
-        match self.servers.get_mut(place) {
+        let index = self.index_by_id.get(&row.id).copied().unwrap_or(self.servers.len());
+        match self.servers.get_mut(index) {
             Some(server) if server.row.same_start(&row) => server.relist(row, now_us),
-            Some(_) => self.servers[place] = self.new_tracked_server(row, now_us),
+            Some(_) => self.servers[index] = self.new_tracked_server(row, now_us),
             None => {
-                self.index_by_id.insert(Arc::clone(&row.id), place);
+                self.index_by_id.insert(Arc::clone(&row.id), index);
                 self.servers.push(self.new_tracked_server(row, now_us));
             }
         }
-        &mut self.servers[place]
+        &mut self.servers[index]
     }
 
     fn new_tracked_server(&self, row: ServerRow, now_us: u64) -> TrackedServer {
@@ -136,7 +139,7 @@
         server
     }
 
-    /// Takes over what cold servers of the service may get, and who shares what servers in need get.
+    /// Sets the limits for cold servers, and the homes that share limited servers.
     pub fn set_start_limits(&mut self, rule: ColdRule, share: &Arc<HomeShare>) {
         self.cold_rule = rule;
         self.home_share = Arc::clone(share);
@@ -145,19 +148,20 @@
         }
     }
 
-    /// Uses the servers of an availability zone again; returns how many there are.
+    /// Ends the evacuation of a zone; returns the number of its servers.
     pub fn readmit_zone(&mut self, zone: &str, now_us: u64) -> usize {
         let of_zone = self.servers.iter_mut().filter(|server| *server.row.zone == *zone);
         let readmitted = of_zone.map(|server| server.readmit(self.cold_rule.warmup_us, now_us));
         readmitted.count()
     }
 
-    /// Forgets servers that are neither listed nor in use.
+    /// Removes servers that are neither listed nor in use.
     pub fn remove_unlisted(&mut self, now_us: u64) {
         self.retain_servers(|server| server.listed(now_us) || !server.idle());
     }
 
-    /// Up to `most` servers that may be used, of this zone if it has any; the same while others come and go.
+    /// Up to `most` usable servers, from this zone if it has any. The selection is stable while
+    /// other servers come and go.
     #[must_use]
     pub fn sample(&self, zone: u64, most: usize, now_us: u64) -> Vec<Arc<str>> {
         let usable = |server: &&TrackedServer| {
@@ -177,13 +181,13 @@
         sample.iter().map(|server| Arc::clone(&server.row.id)).collect()
     }
 
-    /// Looks first at the servers of this part, as they are listed now.
-    pub fn set_subset(&mut self, part: Option<&ServerSubset>) {
-        self.subset = part.cloned();
-        self.subset_indexes = part.and_then(|part| part.select_if_larger(&self.servers));
+    /// Sets the preferred partition, and selects from the servers listed now.
+    pub fn set_subset(&mut self, subset: Option<&ServerSubset>) {
+        self.subset = subset.cloned();
+        self.subset_indexes = subset.and_then(|subset| subset.select_if_larger(&self.servers));
     }
 
-    /// Forgets a server that belongs to another service now.
+    /// Removes a server that moved to another service.
     pub fn remove_server(&mut self, id: &str) {
         self.retain_servers(|server| *server.row.id != *id);
     }
@@ -195,137 +199,142 @@
             return;
         }
         let ids = self.servers.iter().map(|server| Arc::clone(&server.row.id));
-        self.index_by_id = ids.enumerate().map(|(place, id)| (id, place)).collect();
+        self.index_by_id = ids.enumerate().map(|(index, id)| (id, index)).collect();
         self.subset_indexes =
-            self.subset.as_ref().and_then(|part| part.select_if_larger(&self.servers));
+            self.subset.as_ref().and_then(|subset| subset.select_if_larger(&self.servers));
     }
 
-    /// The usual time of a request of this kind.
+    /// The usual service time of such a request, in milliseconds.
     #[must_use]
-    pub fn typical_ms(&self, ask: &RequestSpec) -> f64 {
-        self.service_times.typical_ms(&ask.route, ask.target_ms)
+    pub fn typical_ms(&self, spec: &RequestSpec) -> f64 {
+        self.service_times.typical_ms(&spec.route, spec.target_ms)
     }
 
-    /// Requests that a server is given at a time.
+    /// Concurrent requests allowed on a server now.
     pub(super) fn slots_allowed(&self, server: &TrackedServer, now_us: u64) -> u32 {
         self.concurrency_limit.current_limit(server.row.slots, server.key, now_us)
     }
 
-    /// Whether a server is no place any more for a request that was given a slot of it, the request
-    /// counted in: it works much slower than when it was chosen, at `expected_ms`, or others sent it
-    /// more than it is given at a time, of which nobody told, or it turned out cold and this instance
-    /// has started all there that it may. `key` names the start that it is of; of another one nothing
-    /// is said.
+    /// Whether a server is no longer suitable for a request that holds one of its slots. That is so
+    /// if it is expected to take much longer than `expected_ms`, the expectation at selection; if
+    /// it has more requests than allowed, since other instances sent some unannounced; or if this
+    /// instance has exceeded its start limits there, since the server turned out cold, advertised a
+    /// rate limit or asked for a cooldown. `key` names the start of the server; for another start
+    /// the answer is `false`.
     #[must_use]
     pub fn is_worse(
         &self,
         id: &str,
         key: u32,
-        ask: &RequestSpec,
+        spec: &RequestSpec,
         expected_ms: f64,
         now_us: u64,
     ) -> bool {
-        let server = self.index_by_id.get(id).map(|place| &self.servers[*place]);
+        let server = self.index_by_id.get(id).map(|index| &self.servers[*index]);
         let Some(server) = server.filter(|server| server.key == key) else {
             return false;
         };
-        let usual_ms = self.typical_ms(ask);
-        server.expected_ms(usual_ms, now_us) > expected_ms + RESELECT_SLOWDOWN_SHARE * usual_ms
+        let typical_ms = self.typical_ms(spec);
+        server.expected_ms(typical_ms, now_us) > expected_ms + RESELECT_SLOWDOWN_SHARE * typical_ms
             || server.occupancy(now_us) > self.slots_allowed(server, now_us)
             || server.start_limits.limit_exceeded(now_us)
     }
 
-    /// Of the servers with room the one that is expected to answer first, if that is soon enough.
+    /// The available server with the lowest cost among those expected to answer within the allowed
+    /// time.
     ///
-    /// The pace of a server when work begins holds for all of it, and shifts some times a second:
-    /// waiting for another server is better than beginning on a slow one.
+    /// A request runs at the slowdown that its server has at the start, and slowdowns change
+    /// several times per second. So waiting for another server is better than starting on a slow
+    /// one.
     pub(super) fn select_server(
         &self,
-        ask: &RequestSpec,
-        rooms: &[AvailableServer],
-        place: SelectionCriteria<'_>,
+        spec: &RequestSpec,
+        available: &[AvailableServer],
+        criteria: SelectionCriteria<'_>,
         now_us: u64,
         random: &mut impl FnMut() -> f64,
     ) -> Option<usize> {
-        let typical_ms = self.typical_ms(ask);
+        let typical_ms = self.typical_ms(spec);
         let mut best: Option<(f64, usize)> = None;
-        for room in rooms {
-            let server = &self.servers[room.index];
-            if ask.tried_servers.contains(&server.row.id) {
+        for candidate in available {
+            let server = &self.servers[candidate.index];
+            if spec.tried_servers.contains(&server.row.id) {
                 continue;
             }
             let expected_ms = server.expected_ms(typical_ms, now_us);
-            let counted_ms = if place.late {
+            let counted_ms = if criteria.late {
                 server.expected_service_ms(typical_ms, now_us)
             } else {
                 expected_ms
             };
-            if counted_ms > place.expected_max_ms {
+            if counted_ms > criteria.expected_max_ms {
                 continue;
             }
-            let crowded = f64::from(room.occupancy) / f64::from(server.row.slots);
+            let occupied_share = f64::from(candidate.occupancy) / f64::from(server.row.slots);
             let mut cost_ms = expected_ms;
-            cost_ms += typical_ms * (OCCUPANCY_COST_FACTOR * crowded + JITTER_FACTOR * random());
+            cost_ms +=
+                typical_ms * (OCCUPANCY_COST_FACTOR * occupied_share + JITTER_FACTOR * random());
             if server.start_limits.own_limit_spent(now_us) {
                 cost_ms += OVER_LIMIT_COST_FACTOR * typical_ms;
             }
-            if *server.row.zone != *place.zone {
+            if *server.row.zone != *criteria.zone {
                 cost_ms += CROSS_ZONE_COST_MS;
             }
             if !server.likely_connected(now_us) {
                 cost_ms += NEW_CONNECTION_COST_MS;
             }
             if best.is_none_or(|(least, _)| cost_ms < least) {
-                best = Some((cost_ms, room.index));
+                best = Some((cost_ms, candidate.index));
             }
         }
         best.map(|(_, index)| index)
     }
 
-    /// The least time in which any of the servers with room is expected to answer.
+    /// The shortest expected time over the available servers, in milliseconds.
     pub(super) fn least_expected_ms(
         &self,
-        ask: &RequestSpec,
-        rooms: &[AvailableServer],
+        spec: &RequestSpec,
+        available: &[AvailableServer],
         now_us: u64,
     ) -> f64 {
-        let typical_ms = self.typical_ms(ask);
-        let expected = rooms.iter().map(|room| &self.servers[room.index]);
+        let typical_ms = self.typical_ms(spec);
+        let expected = available.iter().map(|candidate| &self.servers[candidate.index]);
         let expected_ms = expected.map(|server| server.expected_ms(typical_ms, now_us));
         expected_ms.fold(f64::INFINITY, f64::min)
     }
 
-    /// Takes a slot of the best server with room.
+    /// Acquires a slot of the best available server.
     pub fn acquire_slot(
         &mut self,
         ticket: u64,
-        ask: &RequestSpec,
+        spec: &RequestSpec,
         zone: &str,
         now_us: u64,
         random: &mut impl FnMut() -> f64,
     ) -> Option<ServerChoice> {
-        let late = !self.can_meet_target(ask, now_us);
-        let place = SelectionCriteria {
+        let late = !self.can_meet_target(spec, now_us);
+        let criteria = SelectionCriteria {
             zone,
-            expected_max_ms: self.expected_max_ms(ask, late, now_us),
+            expected_max_ms: self.expected_max_ms(spec, late, now_us),
             late,
         };
-        let near = self.available_in_subset(now_us);
-        let mut index = self.select_server(ask, &near, place, now_us, random);
+        let preferred = self.available_in_subset(now_us);
+        let mut index = self.select_server(spec, &preferred, criteria, now_us, random);
         if index.is_none() && self.may_scan_all(now_us) {
-            index = self.select_server(ask, &self.available_servers(now_us), place, now_us, random);
+            index =
+                self.select_server(spec, &self.available_servers(now_us), criteria, now_us, random);
         }
-        Some(self.start_request(index?, ticket, ask, now_us))
+        Some(self.start_request(index?, ticket, spec, now_us))
     }
 
     pub(super) fn start_request(
         &mut self,
         index: usize,
         ticket: u64,
-        ask: &RequestSpec,
+        spec: &RequestSpec,
         now_us: u64,
     ) -> ServerChoice {
-        let typical_ms = self.typical_ms(ask);
+        let typical_ms = self.typical_ms(spec);
         let server = &mut self.servers[index];
         let expected_ms = server.expected_ms(typical_ms, now_us);
         server.record_start(ticket, now_us);
@@ -340,70 +349,77 @@
         }
     }
 
-    /// Takes note of the end of a send.
+    /// Records the end of a send.
     pub fn finish_request(
         &mut self,
         id: &str,
         ticket: u64,
-        ask: &RequestSpec,
-        end: SendOutcome,
+        spec: &RequestSpec,
+        outcome: SendOutcome,
         now_us: u64,
     ) {
         let Some(server) = self.server_mut(id) else {
             return;
         };
         let slots = server.row.slots;
-        let Some(sent) = server.finish(ticket, end, now_us) else {
+        let Some(sent) = server.finish(ticket, outcome, now_us) else {
             return;
         };
-        let full_part = server.saturated_share(&sent, now_us);
-        // One that is still slow from its start says nothing of its slots.
+        let saturated_share = server.saturated_share(&sent, now_us);
+        // A server that is still warming up says nothing about its slots.
         let warm = server.is_warm(now_us);
         #[expect(clippy::cast_precision_loss, reason = "a time of some milliseconds")]
         let took_ms = now_us.saturating_sub(sent.sent_at_us) as f64 / 1000.0;
-        if matches!(end, SendOutcome::Answered | SendOutcome::TimedOut) {
+        if matches!(outcome, SendOutcome::Answered | SendOutcome::TimedOut) {
             let nearly_full = sent.running + 1 >= slots;
             if warm {
-                self.record_for_concurrency_limit(ask, slots, full_part, nearly_full, took_ms);
+                self.record_for_concurrency_limit(
+                    spec,
+                    slots,
+                    saturated_share,
+                    nearly_full,
+                    took_ms,
+                );
             }
         }
-        if end != SendOutcome::Answered {
+        if outcome != SendOutcome::Answered {
             return;
         }
-        // At the pace of that server and moment it took so long; what is usual does not know of it.
+        // Normalized by the slowdown at the start, as the usual time does not include it.
         self.service_times.record(
-            &ask.route,
-            ask.target_ms,
+            &spec.route,
+            spec.target_ms,
             took_ms / sent.slowdown.max(f64::MIN_POSITIVE),
         );
         let mean_ms = if self.mean_ms == 0.0 { took_ms } else { self.mean_ms };
         self.mean_ms = mean_ms + 0.05 * (took_ms - mean_ms);
     }
 
-    /// What was learned of the last slot of each server.
+    /// What was learned about the last slot of the servers.
     #[must_use]
     pub const fn concurrency_limit(&self) -> &ConcurrencyLimit {
         &self.concurrency_limit
     }
 
-    /// A request that timed out took at least so long; left out, the slowest would not count.
+    /// Adds a sample to the concurrency limit. Timeouts count with the time they lasted: without
+    /// them the slowest requests would be missing.
     fn record_for_concurrency_limit(
         &mut self,
-        ask: &RequestSpec,
+        spec: &RequestSpec,
         slots: u32,
-        full_part: f64,
+        saturated_share: f64,
         nearly_full: bool,
         took_ms: f64,
     ) {
-        let unhindered_ms = self.unsaturated_times.typical_ms(&ask.route, ask.target_ms);
+        let unsaturated_ms = self.unsaturated_times.typical_ms(&spec.route, spec.target_ms);
         self.concurrency_limit.record(
             slots,
-            full_part,
+            saturated_share,
             nearly_full,
-            took_ms / unhindered_ms.max(1.0),
+            took_ms / unsaturated_ms.max(1.0),
         );
-        if ConcurrencyLimit::is_unsaturated(full_part) {
-            self.unsaturated_times.record(&ask.route, ask.target_ms, took_ms);
+        if ConcurrencyLimit::is_unsaturated(saturated_share) {
+            self.unsaturated_times.record(&spec.route, spec.target_ms, took_ms);
         }
     }
 }
--- a/src/balance/service_queue.rs
+++ b/src/balance/service_queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for the servers of one service: who waits, who is refused, who is next.
+//! The queue of requests for the servers of one service: admission, refusal and order of dispatch.
 
 use std::sync::Arc;
 
@@ -12,105 +12,111 @@
 use super::available_server::AvailableServer;
 use super::service_pool::SelectionCriteria;
 
-/// Time that an answer needs, against the usual: started with just the usual time left, half of
-/// the requests would be late, and their slots lost for others.
+/// Time reserved for the service of a request, relative to the usual time. If requests started with
+/// just the usual time left, half of them would miss their target and their slots would be wasted.
 const SERVICE_TIME_MARGIN: f64 = 1.25;
-/// A request that will be late waits for spare slots for at most this part of its aim.
+/// A request that will miss its target waits for a spare slot for at most this fraction of the
+/// target.
 const LATE_WAIT_SHARE: f64 = 0.12;
-/// Times the usual that a late request may take on its server while others can be in time.
+/// Maximum expected time of a late request on its server, relative to the usual time, while queued
+/// requests can still meet their targets.
 const LATE_SERVICE_FACTOR: f64 = 2.0;
-/// When to come back while a service has no server at all.
+/// Retry-after time while the service has no server.
 const NO_SERVER_RETRY_AFTER_MS: u64 = 500;
-/// Bounds of the time told to refused callers.
+/// Minimum retry-after time sent to callers.
 const RETRY_AFTER_MIN_MS: u64 = 50;
+/// Maximum retry-after time sent to callers.
 const RETRY_AFTER_MAX_MS: u64 = 2_000;
 
-/// A request that waits for a server.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
+    /// Identifies the request on this instance.
     pub ticket: u64,
     pub spec: RequestSpec,
-    /// Started later, it is not expected to be answered in time.
+    /// If started later than this, the request is not expected to be answered in time.
     pub start_by_us: u64,
-    /// It will miss its aim anyway: it gets only what no other request needs.
+    /// The request will miss its target anyway and gets only slots that no other request needs.
     pub late: bool,
-    /// Its place among the workspaces that wait; of several the least is served first.
+    /// Order among workspaces: lower tags are dispatched first.
     tag: FairQueueTag,
 }
 
-/// Milliseconds of reckoned work by which a workspace is served, from the one that is served now: each of
-/// those that wait gets as much of the slots as the others, whichever sends more.
+/// Tag for start-time fair queuing between workspaces, in milliseconds of estimated service time.
+/// Each workspace with queued requests gets an equal part of the slots, however many requests it
+/// sends.
 #[derive(Clone, Copy, Debug, Default)]
 struct FairQueueTag {
     start_ms: f64,
     finish_ms: f64,
 }
 
-/// What an instance may use of the slots of a service.
+/// The slots that this instance may use.
 #[derive(Clone, Copy, Debug)]
 struct OwnSlots {
-    /// In the mean; above zero unless all servers are in need.
+    /// Mean number of slots; above zero unless all servers are rate-limited.
     slots: f64,
-    /// Whether all usable servers name limits, and there is any.
+    /// Whether all usable servers advertise a rate limit, and there is at least one.
     all_rate_limited: bool,
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "part of an aim, never below zero"
+    reason = "fraction of a latency target, never negative"
 )]
-fn late_wait_us(ask: &RequestSpec) -> u64 {
-    (ask.target_ms * 1000.0 * LATE_WAIT_SHARE) as u64
+fn late_wait_us(spec: &RequestSpec) -> u64 {
+    (spec.target_ms * 1000.0 * LATE_WAIT_SHARE) as u64
 }
 
 impl ServicePool {
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Lets a request wait, or tells that it would wait in vain.
+    /// Queues a request, or refuses it if it would wait in vain.
     ///
     /// # Errors
-    /// When the queue before it needs longer than its aim leaves, or no server may be used that it
-    /// was not sent to already.
-    pub fn enqueue(&mut self, ticket: u64, ask: RequestSpec, now_us: u64) -> Result<(), Refusal> {
+    /// If the queue ahead takes longer than the request's target allows, or no usable server is
+    /// left that the request was not already sent to.
+    pub fn enqueue(&mut self, ticket: u64, spec: RequestSpec, now_us: u64) -> Result<(), Refusal> {
         let may_serve = |server: &TrackedServer| {
-            server.in_service(now_us) && !ask.tried_servers.contains(&server.row.id)
+            server.in_service(now_us) && !spec.tried_servers.contains(&server.row.id)
         };
         if !self.servers.iter().any(may_serve) {
             return Err(self.no_server_refusal());
         }
-        let for_aim_us = self.start_by_us(&ask);
-        let late = for_aim_us < now_us;
-        let start_by_us = if late { now_us + late_wait_us(&ask) } else { for_aim_us };
-        let urgency = if late { u32::MAX } else { ask.priority };
-        let turn = self.next_tag(&ask);
-        let wait_us = self.expected_wait_us(urgency, turn.start_ms, now_us);
-        let first_us = self.earliest_start_us(&ask.tried_servers, now_us);
-        if first_us.is_none_or(|first_us| first_us.saturating_add(wait_us) > start_by_us) {
+        let for_target_us = self.start_by_us(&spec);
+        let late = for_target_us < now_us;
+        let start_by_us = if late { now_us + late_wait_us(&spec) } else { for_target_us };
+        let urgency = if late { u32::MAX } else { spec.priority };
+        let tag = self.next_tag(&spec);
+        let wait_us = self.expected_wait_us(urgency, tag.start_ms, now_us);
+        let earliest_us = self.earliest_start_us(&spec.tried_servers, now_us);
+        if earliest_us.is_none_or(|earliest_us| earliest_us.saturating_add(wait_us) > start_by_us) {
             return Err(self.refusal(now_us));
         }
-        self.queue.push(QueuedRequest { ticket, spec: ask, start_by_us, late, tag: turn });
+        self.queue.push(QueuedRequest { ticket, spec, start_by_us, late, tag });
         self.sort_queue();
         Ok(())
     }
 
-    /// The turn of a newcomer: after those of its workspace that wait, if any.
-    fn next_tag(&self, ask: &RequestSpec) -> FairQueueTag {
-        if ask.workspace.is_none() {
+    /// The tag of a new request: after the queued requests of its workspace, if any.
+    fn next_tag(&self, spec: &RequestSpec) -> FairQueueTag {
+        if spec.workspace.is_none() {
             return FairQueueTag::default();
         }
         let of_same = self.queue.iter().filter(|other| {
-            other.spec.workspace == ask.workspace && other.spec.priority == ask.priority
+            other.spec.workspace == spec.workspace && other.spec.priority == spec.priority
         });
-        let from_ms = of_same.map(|other| other.tag.finish_ms).fold(self.virtual_time_ms, f64::max);
-        FairQueueTag { start_ms: from_ms, finish_ms: from_ms + self.typical_ms(ask) }
+        let start_ms =
+            of_same.map(|other| other.tag.finish_ms).fold(self.virtual_time_ms, f64::max);
+        FairQueueTag { start_ms, finish_ms: start_ms + self.typical_ms(spec) }
     }
 
-    /// Slots that the limit lets be used now.
+    /// Slots of all usable servers, within the concurrency limit.
     fn usable_slots(&self, now_us: u64) -> u32 {
         let usable = self.usable_servers(now_us);
         usable.map(|server| self.concurrency_limit.steady_limit(server.row.slots)).sum()
@@ -123,62 +129,63 @@
         self.servers.iter().filter(usable)
     }
 
-    /// Started later, a request is expected to miss its aim.
+    /// If started later than this, a request is expected to miss its target.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "milliseconds of a deadline, never below zero"
     )]
-    fn start_by_us(&self, ask: &RequestSpec) -> u64 {
-        let needed_us = (self.typical_ms(ask) * 1000.0 * SERVICE_TIME_MARGIN) as u64;
-        let aim_us = (ask.target_ms * 1000.0) as u64;
-        let for_aim_us = (ask.arrived_us + aim_us).saturating_sub(ask.spent_before_us + needed_us);
-        for_aim_us.min(ask.deadline_us.saturating_sub(needed_us))
+    fn start_by_us(&self, spec: &RequestSpec) -> u64 {
+        let needed_us = (self.typical_ms(spec) * 1000.0 * SERVICE_TIME_MARGIN) as u64;
+        let target_us = (spec.target_ms * 1000.0) as u64;
+        let for_target_us =
+            (spec.arrived_us + target_us).saturating_sub(spec.spent_before_us + needed_us);
+        for_target_us.min(spec.deadline_us.saturating_sub(needed_us))
     }
 
-    /// This instance's part of the slots, as far as it may use them: a server in need takes requests at
-    /// a rate, and so keeps only some of its slots in use.
+    /// This instance's part of the slots. A rate-limited server takes requests at a rate, which
+    /// keeps only some of its slots busy.
     fn own_slots(&self, now_us: u64) -> OwnSlots {
         let share = self.own_share(now_us);
         let mean_s = self.mean_ms / 1000.0;
-        let (mut well, mut in_need) = (0.0, 0.0);
-        let mut all_in_need = None;
+        let (mut unlimited, mut limited) = (0.0, 0.0);
+        let mut all_limited = None;
         for server in self.usable_servers(now_us) {
             let slots = f64::from(self.concurrency_limit.steady_limit(server.row.slots)) * share;
             let own_per_s = server.start_limits.own_starts_per_s();
-            all_in_need = Some(own_per_s.is_some() && all_in_need.unwrap_or(true));
+            all_limited = Some(own_per_s.is_some() && all_limited.unwrap_or(true));
             match own_per_s {
-                Some(own_per_s) => in_need += slots.min(own_per_s * mean_s),
-                None => well += slots,
+                Some(own_per_s) => limited += slots.min(own_per_s * mean_s),
+                None => unlimited += slots,
             }
         }
-        if all_in_need == Some(true) {
-            return OwnSlots { slots: in_need, all_rate_limited: true };
+        if all_limited == Some(true) {
+            return OwnSlots { slots: limited, all_rate_limited: true };
         }
-        // With next to no share, one slot of all is still its own.
-        OwnSlots { slots: f64::max(well, 1.0) + in_need, all_rate_limited: false }
+        // Even with a tiny share, an instance has one slot of its own.
+        OwnSlots { slots: f64::max(unlimited, 1.0) + limited, all_rate_limited: false }
     }
 
-    /// Time until a newcomer of this priority and turn gets a slot, once a server may be given any: those before
-    /// it, at the rate at which this instance's part of the slots comes free. Other homes have queues
-    /// of their own, which take the rest.
+    /// Time until a new request of this priority and tag gets a slot, once a server may get any:
+    /// the requests ahead of it divided by the rate at which this instance's slots become free. The
+    /// other slots serve the queues of the other homes.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss,
         reason = "a queue's length and time"
     )]
-    fn expected_wait_us(&self, priority: u32, turn_ms: f64, now_us: u64) -> u64 {
+    fn expected_wait_us(&self, priority: u32, tag_start_ms: f64, now_us: u64) -> u64 {
         let before = |other: &&QueuedRequest| {
-            let in_turn = other.spec.priority < priority || other.tag.start_ms <= turn_ms;
-            !other.late && other.spec.priority <= priority && in_turn
+            let by_tag = other.spec.priority < priority || other.tag.start_ms <= tag_start_ms;
+            !other.late && other.spec.priority <= priority && by_tag
         };
         let before = self.queue.iter().filter(before).count();
         if self.mean_ms == 0.0 {
             return 0;
         }
         let own = self.own_slots(now_us);
-        // The newcomer needs a slot as well, but not where a rate is what it waits for.
+        // The new request needs a slot as well, except when it waits for a rate limit.
         let ahead = if own.all_rate_limited { before } else { before + 1 };
         if ahead == 0 {
             return 0;
@@ -186,11 +193,12 @@
         (ahead as f64 * self.mean_ms * 1000.0 / own.slots) as u64
     }
 
-    /// This instance's part of all requests at the servers, or its fair part if that is more.
+    /// This instance's fraction of all requests on the servers, but at least its fair share.
     ///
-    /// By the former alone, a home that has just started gives itself next to nothing, as others
-    /// have all the requests: it refuses nearly all of its own, and so its part stays as it is. Seen
-    /// for a second and more after a loss of power of everything, with half of the slots free.
+    /// Without that minimum, a home that has just started would have almost no share, as other
+    /// homes have all the requests. It would refuse nearly all of its own requests, so its share
+    /// would stay low. After a power loss of the whole deployment, this went on for more than a
+    /// second while half of the slots were free.
     fn own_share(&self, now_us: u64) -> f64 {
         let own: usize = self.servers.iter().map(TrackedServer::own_in_flight).sum();
         let all: u32 = self.servers.iter().map(|server| server.occupancy(now_us)).sum();
@@ -208,8 +216,7 @@
         self.servers.iter().any(|server| server.in_service(now_us))
     }
 
-    /// When a request may be started at any of the servers, as far as those in need are concerned;
-    /// `None` if never.
+    /// The earliest time at which the limits of any server allow a start; `None` if never.
     fn earliest_start_us(&self, avoid: &[Arc<str>], now_us: u64) -> Option<u64> {
         let servers = self
             .servers
@@ -218,47 +225,51 @@
         servers.filter_map(|server| server.start_limits.next_start_us(now_us)).min()
     }
 
-    /// When to come back: once those that wait now are served, and a server may be given more.
+    /// The refusal for a request now: its caller should retry once the queued requests are served
+    /// and a server may get more.
     #[must_use]
     pub fn refusal(&self, now_us: u64) -> Refusal {
         if !self.any_in_service(now_us) {
             return self.no_server_refusal();
         }
         let slots = self.usable_slots(now_us);
-        // Where this instance may never start any, another one may now.
-        let first_us = self.earliest_start_us(&[], now_us).map_or(0, |first_us| first_us - now_us);
+        // If this instance may never start a request there, another one may be able to now.
+        let earliest_us =
+            self.earliest_start_us(&[], now_us).map_or(0, |earliest_us| earliest_us - now_us);
         let wait_us = self.expected_wait_us(u32::MAX, f64::INFINITY, now_us);
-        let retry_after_ms =
-            (first_us.saturating_add(wait_us) / 1000).clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
-        let in_need = |server: &&TrackedServer| server.start_limits.rate_limit.current().is_some();
-        let resting = |server: &&TrackedServer| server.start_limits.in_cooldown(now_us);
+        let retry_after_ms = (earliest_us.saturating_add(wait_us) / 1000)
+            .clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS);
+        let rate_limited =
+            |server: &&TrackedServer| server.start_limits.rate_limit.current().is_some();
+        let in_cooldown = |server: &&TrackedServer| server.start_limits.in_cooldown(now_us);
         Refusal {
             no_server: false,
             retry_after_ms,
             waiting: self.queue.len(),
             slots,
-            rate_limited: self.servers.iter().filter(in_need).count(),
-            in_cooldown: self.servers.iter().filter(resting).count(),
+            rate_limited: self.servers.iter().filter(rate_limited).count(),
+            in_cooldown: self.servers.iter().filter(in_cooldown).count(),
         }
     }
 
-    /// Puts the most urgent first; nearly sorted already, so this is a walk over the queue.
+    /// Sorts the queue, most urgent first. It is nearly sorted already, so this takes about one
+    /// pass.
     fn sort_queue(&mut self) {
         let before = |one: &QueuedRequest, other: &QueuedRequest| {
             let urgency = |of: &QueuedRequest| (of.late, of.spec.priority);
-            let by_turn = || one.tag.start_ms.total_cmp(&other.tag.start_ms);
+            let by_tag = || one.tag.start_ms.total_cmp(&other.tag.start_ms);
             let by_arrival = || one.spec.arrived_us.cmp(&other.spec.arrived_us);
-            urgency(one).cmp(&urgency(other)).then_with(by_turn).then_with(by_arrival)
+            urgency(one).cmp(&urgency(other)).then_with(by_tag).then_with(by_arrival)
         };
         self.queue.sort_by(before);
     }
 
-    /// Gives a free slot to the most urgent request that can use one.
+    /// Gives a free slot to the most urgent request that can use it.
     ///
-    /// In a burst this runs at each answer, with hundreds waiting and no server free or only slow
-    /// ones: trying each request on each server would take all of the processor, and an instance
-    /// that answers no pings any more counts as dead. So only servers with room are looked at,
-    /// and of requests of one route only those that the fastest of them could answer in time.
+    /// In a burst this runs for each response, with hundreds of queued requests and few available
+    /// servers. Trying each request on each server would use all CPU time, and an instance that
+    /// stops answering pings is declared dead. So only available servers are considered, and a
+    /// request only if the fastest of them could answer its route in time.
     pub fn dispatch_queued(
         &mut self,
         zone: &str,
@@ -268,114 +279,116 @@
         if self.queue.is_empty() {
             return None;
         }
-        let near = self.available_in_subset(now_us);
-        let mut served = self.first_dispatchable(&near, zone, now_us, random);
+        let preferred = self.available_in_subset(now_us);
+        let mut served = self.first_dispatchable(&preferred, zone, now_us, random);
         if served.is_none() && self.may_scan_all(now_us) {
             served = self.first_dispatchable(&self.available_servers(now_us), zone, now_us, random);
         }
         let (at, index) = served?;
-        let waiting = self.queue.remove(at);
-        self.virtual_time_ms = self.virtual_time_ms.max(waiting.tag.start_ms);
-        let choice = self.start_request(index, waiting.ticket, &waiting.spec, now_us);
-        Some((waiting, choice))
+        let queued = self.queue.remove(at);
+        self.virtual_time_ms = self.virtual_time_ms.max(queued.tag.start_ms);
+        let choice = self.start_request(index, queued.ticket, &queued.spec, now_us);
+        Some((queued, choice))
     }
 
-    /// The first waiting request that can be served in these rooms, by its place in the queue, and the
-    /// server.
+    /// The first queued request that one of these servers can serve: its position in the queue, and
+    /// the index of the server.
     fn first_dispatchable(
         &self,
-        rooms: &[AvailableServer],
+        available: &[AvailableServer],
         zone: &str,
         now_us: u64,
         random: &mut impl FnMut() -> f64,
     ) -> Option<(usize, usize)> {
-        if rooms.is_empty() {
+        if available.is_empty() {
             return None;
         }
         let mut least_ms: SmallVec<[(&str, f64); 8]> = SmallVec::new();
-        for (at, waiting) in self.queue.iter().enumerate() {
-            let ask = &waiting.spec;
-            let within_ms = self.expected_max_ms(ask, waiting.late, now_us);
-            if !waiting.late
-                && self.least_expected_of_route(&mut least_ms, ask, rooms, now_us) > within_ms
+        for (at, queued) in self.queue.iter().enumerate() {
+            let spec = &queued.spec;
+            let expected_max_ms = self.expected_max_ms(spec, queued.late, now_us);
+            if !queued.late
+                && self.least_expected_of_route(&mut least_ms, spec, available, now_us)
+                    > expected_max_ms
             {
                 continue;
             }
-            let place = SelectionCriteria { zone, expected_max_ms: within_ms, late: waiting.late };
-            if let Some(index) = self.select_server(ask, rooms, place, now_us, random) {
+            let criteria = SelectionCriteria { zone, expected_max_ms, late: queued.late };
+            if let Some(index) = self.select_server(spec, available, criteria, now_us, random) {
                 return Some((at, index));
             }
         }
         None
     }
 
-    /// The least time in which any server with room is expected to answer a request of this route;
-    /// worked out once for each route, and kept in `known`.
+    /// The shortest expected time for requests of this route over the available servers, computed
+    /// once per route and cached in `known`.
     fn least_expected_of_route<'a>(
         &self,
         known: &mut SmallVec<[(&'a str, f64); 8]>,
-        ask: &'a RequestSpec,
-        rooms: &[AvailableServer],
+        spec: &'a RequestSpec,
+        available: &[AvailableServer],
         now_us: u64,
     ) -> f64 {
-        if let Some((_, least_ms)) = known.iter().find(|(route, _)| **route == *ask.route) {
+        if let Some((_, least_ms)) = known.iter().find(|(route, _)| **route == *spec.route) {
             return *least_ms;
         }
-        let least_ms = self.least_expected_ms(ask, rooms, now_us);
-        known.push((&ask.route, least_ms));
+        let least_ms = self.least_expected_ms(spec, available, now_us);
+        known.push((&spec.route, least_ms));
         least_ms
     }
 
-    /// How soon a server must be expected to answer for the request to begin there.
+    /// The longest expected time at which a request may start on a server, in milliseconds.
     ///
-    /// A late request still needs its answer before its deadline: begun on a server that takes
-    /// longer, it holds a slot until then, and its caller is told neither an answer nor that it did
-    /// not run. While others wait that can be in time, it must not hold a slot for much longer than
-    /// usual either: a slow server is a fast one a moment later, and its slot theirs.
-    pub(super) fn expected_max_ms(&self, ask: &RequestSpec, late: bool, now_us: u64) -> f64 {
+    /// A late request still needs its answer before its deadline. On a slower server it would hold
+    /// a slot until then, and its caller would learn neither an answer nor that it did not run.
+    /// While queued requests can still meet their targets, it must not hold a slot for much longer
+    /// than usual either: a slow server may be fast a moment later, and its slot is then needed by
+    /// them.
+    pub(super) fn expected_max_ms(&self, spec: &RequestSpec, late: bool, now_us: u64) -> f64 {
         if !late {
-            return ask.target_left_ms(now_us);
+            return spec.target_left_ms(now_us);
         }
-        let left_ms = ask.deadline_left_ms(now_us);
-        // The queue is in order: the late ones come last.
-        if self.queue.first().is_some_and(|waiting| !waiting.late) {
-            return left_ms.min(LATE_SERVICE_FACTOR * self.typical_ms(ask));
+        let left_ms = spec.deadline_left_ms(now_us);
+        // Late requests are last in the queue.
+        if self.queue.first().is_some_and(|queued| !queued.late) {
+            return left_ms.min(LATE_SERVICE_FACTOR * self.typical_ms(spec));
         }
         left_ms
     }
 
-    /// Whether a request that starts now on a server of usual pace is answered within its aim.
-    pub(super) fn can_meet_target(&self, ask: &RequestSpec, now_us: u64) -> bool {
-        self.typical_ms(ask) <= ask.target_left_ms(now_us)
+    /// Whether a request that starts now on a server of usual speed meets its target.
+    pub(super) fn can_meet_target(&self, spec: &RequestSpec, now_us: u64) -> bool {
+        self.typical_ms(spec) <= spec.target_left_ms(now_us)
     }
 
-    /// Takes out the requests that cannot be in time any more, and all where no server is left. One
-    /// that waited only because the servers with room are slow becomes late instead, and takes one of
-    /// those.
+    /// Removes the requests that cannot be served in time any more, or all if no server is in
+    /// service; returns their tickets. A request that waited only because the available servers are
+    /// slow is marked as late instead and may use those.
     pub fn expire_queued(&mut self, now_us: u64) -> SmallVec<[u64; 4]> {
         if !self.any_in_service(now_us) {
-            return self.queue.drain(..).map(|waiting| waiting.ticket).collect();
+            return self.queue.drain(..).map(|queued| queued.ticket).collect();
         }
         let mut tickets = SmallVec::new();
-        let room = self.any_available(now_us);
-        self.queue.retain_mut(|waiting| {
-            if now_us <= waiting.start_by_us {
+        let any_available = self.any_available(now_us);
+        self.queue.retain_mut(|queued| {
+            if now_us <= queued.start_by_us {
                 return true;
             }
-            if room && !waiting.late {
-                waiting.late = true;
-                waiting.start_by_us = now_us + late_wait_us(&waiting.spec);
+            if any_available && !queued.late {
+                queued.late = true;
+                queued.start_by_us = now_us + late_wait_us(&queued.spec);
                 return true;
             }
-            tickets.push(waiting.ticket);
+            tickets.push(queued.ticket);
             false
         });
         self.sort_queue();
         tickets
     }
 
-    /// Takes out a request that waits no more.
+    /// Removes a request from the queue.
     pub fn cancel_queued(&mut self, ticket: u64) {
-        self.queue.retain(|waiting| waiting.ticket != ticket);
+        self.queue.retain(|queued| queued.ticket != ticket);
     }
 }
--- a/src/balance/service_times.rs
+++ b/src/balance/service_times.rs
@@ -1,26 +1,28 @@
-//! How long the requests of each route usually take at a backend server.
+//! Usual service time of each route.
 
 use std::collections::HashMap;
 
-/// Weight of one sample in the moving average: the last some twenty requests count.
+/// Weight of a sample in the moving average, which covers about the last 20 requests.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Share of a route's aim taken as its service time before the first sample.
+/// Fraction of a route's latency target that is assumed as its service time before the first
+/// sample.
 const INITIAL_TARGET_SHARE: f64 = 0.4;
 
-/// Moving averages by route, in milliseconds.
+/// Moving averages of the service time by route, in milliseconds.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     by_route: HashMap<String, f64>,
 }
 
 impl ServiceTimes {
-    /// The usual time of a route; guessed from its aim before the first sample.
+    /// The usual service time of a route; estimated from its latency target before the first
+    /// sample.
     #[must_use]
     pub fn typical_ms(&self, route: &str, aim_ms: f64) -> f64 {
         self.by_route.get(route).copied().unwrap_or(aim_ms * INITIAL_TARGET_SHARE)
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn record(&mut self, route: &str, aim_ms: f64, took_ms: f64) {
         let before = self.typical_ms(route, aim_ms);
         let after = before + SAMPLE_WEIGHT * (took_ms - before);
--- a/src/balance/tracked_server.rs
+++ b/src/balance/tracked_server.rs
@@ -1,4 +1,4 @@
-//! What this instance believes of one backend server.
+//! State of one backend server as this instance knows it.
 
 use smallvec::SmallVec;
 
@@ -11,88 +11,97 @@
 use crate::model::ServerState;
 use crate::peer::ServerLoadRow;
 
-/// A report on requests that no peer told of fades over this time, about one request's work.
+/// Requests that no peer advertised fade from the estimate over this time, about the service time
+/// of one request.
 const UNATTRIBUTED_DECAY_US: u64 = 300_000;
-/// A pace older than this is not told on: the next health check is due by then.
+/// An older slowdown report is not advertised to peers. The next health check is due by then.
 const SLOWDOWN_ADVERTISED_AGE_MAX_US: u64 = 120_000;
-/// A report on the pace of the machine is worth a third after this: the neighbours' load that
-/// causes it shifts within 100 to 200 ms.
+/// Decay time of a slowdown report: after it, a third of the weight is left. The load of other
+/// tenants on the machine, which causes the slowdown, shifts within 100 to 200 ms.
 const SLOWDOWN_DECAY_US: f64 = 150_000.0;
-/// How much slower a cold server works, where its own word on its pace is missing or old.
+/// Slowdown assumed for a cold server without a recent report.
 const COLD_SLOWDOWN: f64 = 2.0;
-/// A request is handed over within so long of being given its place; the server is asked for its pace
-/// in between.
+/// A request is sent within this time after its slot was acquired. Meanwhile the server is asked
+/// for its current slowdown.
 const SEND_DELAY_MAX_US: u64 = 30_000;
-/// A server that fails all that it gets looks this many times slower, and one more.
+/// A server that fails all its requests is expected to take 1 plus this factor times as long.
 const FAILURE_PENALTY_FACTOR: f64 = 5.0;
-/// Work that takes this many times as long as usual counts as overdue.
+/// A request that takes this many times the usual time is overdue.
 const OVERDUE_FACTOR: f64 = 4.0;
-/// Without any word, also to probes, for this many times the usual work, a server in use counts
-/// as silent.
+/// A server with requests in flight counts as silent after this many times the usual service time
+/// without any message, including responses to health checks.
 const SILENT_FACTOR: f64 = 2.0;
-/// Servers close idle connections after some seconds, and one is not used again for the last quarter
-/// of that time.
+/// Age up to which an idle connection is assumed to be open. Servers close idle connections after
+/// some seconds, and connections are not reused in the last quarter of that time.
 const CONNECTION_IDLE_MAX_US: u64 = 3_000_000;
 
-/// A request that this instance has at the server.
+/// A request of this instance on the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InFlightRequest {
+    /// Identifies the request on this instance.
     pub ticket: u64,
     pub sent_at_us: u64,
-    /// Requests that ran there when it began, itself included, as far as known.
+    /// Requests known to be running there when it started, including itself.
     pub running: u32,
-    /// Time for which all slots had been in use until it began.
+    /// Total time for which all slots had been in use before it started, in microseconds.
     saturated_before_us: u64,
-    /// How much longer work took there than usual when it began.
+    /// Slowdown of the server when it started: service time relative to the usual one.
     pub slowdown: f64,
 }
 
-/// What a peer has at the server.
+/// Requests that a peer has on the server.
 #[derive(Clone, Copy, Debug)]
 struct PeerLoad {
+    /// Incarnation of the peer.
     peer: u64,
     in_flight: u16,
 }
 
-/// The hash by which instances name one start of a server to each other. With the time of the start
-/// in it, what a peer still tells of the start before is not taken for the new one's load.
+/// Hash that identifies one start of a server between instances. It includes the start time, so
+/// that a peer's report on the previous start is not counted for the new one.
 #[must_use]
 #[expect(clippy::cast_possible_truncation, reason = "half of the hash is enough")]
 pub fn server_key(row: &ServerRow) -> u32 {
     xxhash_rust::xxh3::xxh3_64_with_seed(row.id.as_bytes(), row.started_ms) as u32
 }
 
-/// One backend server as this instance sees it.
+/// One backend server as this instance knows it.
 #[derive(Clone, Debug)]
 pub struct TrackedServer {
+    /// The platform's entry for the server.
     pub row: ServerRow,
-    /// Hash by which instances name this start of the server to each other.
+    /// Hash that identifies this start of the server between instances; see [`server_key`].
     pub key: u32,
-    /// Time for which all slots have been in use, until `full_at_us`.
+    /// Total time until `saturation_at_us` for which all slots were in use.
     saturated_us: u64,
     saturation_at_us: u64,
+    /// Whether all slots were in use at `saturation_at_us`.
     saturated: bool,
+    /// Requests of this instance.
     in_flight: SmallVec<[InFlightRequest; 8]>,
-    /// What other instances told that they have here; only those that have something.
+    /// Requests that peers advertised; only peers with any.
     peers: SmallVec<[PeerLoad; 4]>,
-    /// Requests of others that no peer told of, when the server last told its load.
+    /// Requests of other instances that no peer had advertised, as of the server's last load
+    /// report.
     unattributed: f64,
     unattributed_at_us: u64,
-    /// How much longer work takes there than usual; 1 is the usual.
+    /// Service time relative to the usual one; 1 is the usual.
     slowdown: f64,
+    /// When the server or a peer last reported the slowdown; 0 if never.
     slowdown_at_us: u64,
-    /// The pace that the server told this instance itself.
+    /// The slowdown that the server last reported to this instance, in percent.
     reported_slowdown_percent: u16,
+    /// When the server last reported its load to this instance; 0 if never.
     reported_at_us: u64,
     pub start_limits: StartLimits,
     health: ServerHealth,
-    /// The platform no longer lists it: not to be used from this time on.
+    /// Set once the platform no longer lists the server: it is not used from this time on.
     usable_until_us: Option<u64>,
     exclusion: ServerExclusion,
 }
 
 impl TrackedServer {
-    /// A server that was just listed.
+    /// A newly listed server.
     #[must_use]
     pub fn new(row: ServerRow, now_us: u64) -> Self {
         Self {
@@ -116,66 +125,66 @@
         }
     }
 
-    /// Takes over what the platform lists now.
+    /// Applies an updated platform entry.
     pub fn relist(&mut self, row: ServerRow, now_us: u64) {
         self.start_limits.cold.record_entry(row.warmup_ms, now_us);
         self.row = row;
         self.usable_until_us = None;
     }
 
-    /// The platform no longer lists it; it may be used until `until_us`.
+    /// Marks the server as no longer listed. It may be used until `until_us`.
     pub fn unlist(&mut self, until_us: u64) {
         self.usable_until_us = Some(self.usable_until_us.unwrap_or(u64::MAX).min(until_us));
     }
 
-    /// Whether it is listed, or was so until a moment ago.
+    /// Whether the server is listed, or was until a moment ago.
     #[must_use]
     pub fn listed(&self, now_us: u64) -> bool {
         self.usable_until_us.is_none_or(|until_us| now_us < until_us)
     }
 
-    /// Whether it is no longer listed, and may be forgotten once it is not in use.
+    /// Whether the server is no longer listed and can be removed once it is not in use.
     #[must_use]
     pub const fn is_unlisted(&self) -> bool {
         self.usable_until_us.is_some()
     }
 
-    /// Its availability zone is evacuated; what runs there is finished.
+    /// Marks its zone as evacuated. Requests that run there are completed.
     pub fn evacuate(&mut self) {
         self.exclusion.evacuated = true;
     }
 
-    /// The evacuation ends. For as long as a cold server of its service is slow it may be cold without
-    /// anybody having said so.
+    /// Ends the evacuation. The server may be cold without having reported so, so it is assumed to
+    /// be for the warm-up time of its service.
     pub fn readmit(&mut self, warmup_us: u64, now_us: u64) {
         self.exclusion.evacuated = false;
         self.start_limits.cold.presume_cold(warmup_us, now_us);
     }
 
-    /// Whether another server was listed at its address after it.
+    /// Sets whether another server was listed later at the same address.
     pub const fn set_superseded(&mut self, superseded: bool) {
         self.exclusion.superseded = superseded;
     }
 
-    /// It says itself that it leaves; returns whether that is news. Of one start that holds to its end,
-    /// whatever the platform lists.
+    /// Records that the server announced that it drains; returns whether that is new. It holds
+    /// until this start ends, whatever the platform lists.
     pub const fn mark_draining(&mut self) -> bool {
         !std::mem::replace(&mut self.exclusion.announced_draining, true)
     }
 
-    /// Whether it holds its address, as far as the entries tell.
+    /// Whether no later entry claims the server's address.
     #[must_use]
     pub const fn owns_address(&self) -> bool {
         !self.exclusion.superseded
     }
 
-    /// Whether it may be given work at all, now or after a pause.
+    /// Whether the server may be used, possibly after an ejection or cooldown.
     #[must_use]
     pub fn in_service(&self, now_us: u64) -> bool {
         self.listed(now_us) && !self.exclusion.any()
     }
 
-    /// Whether it may be given new work.
+    /// Whether the server may get new requests.
     #[must_use]
     pub fn usable(&self, now_us: u64) -> bool {
         self.row.state == ServerState::Ready
@@ -183,18 +192,20 @@
             && !self.health.is_ejected(now_us)
     }
 
-    /// Whether it works at its usual speed, as far as its start is concerned.
+    /// Whether the server is warmed up.
     #[must_use]
     pub const fn is_warm(&self, now_us: u64) -> bool {
         self.start_limits.cold.is_warm(now_us)
     }
 
-    /// Takes in for how long a health answer says that it is cold; `None` where it does not say.
-    pub fn record_warmup_left(&mut self, left_ms: Option<u64>, now_us: u64) {
-        self.start_limits.cold.record_health(left_ms, now_us);
+    /// Records the remaining warm-up time from a health check; `None` if the response does not
+    /// state it.
+    pub fn record_warmup_left(&mut self, remaining_ms: Option<u64>, now_us: u64) {
+        self.start_limits.cold.record_health(remaining_ms, now_us);
     }
 
-    /// Whether an idle connection is probably there: it answered this instance lately.
+    /// Whether an idle connection is probably still open, as the server responded to this instance
+    /// recently.
     #[must_use]
     pub const fn likely_connected(&self, now_us: u64) -> bool {
         let answered_us = if self.reported_at_us > 0 {
@@ -205,19 +216,19 @@
         now_us.saturating_sub(answered_us) < CONNECTION_IDLE_MAX_US
     }
 
-    /// Requests of this instance that run or wait there.
+    /// Requests that this instance has running or queued there.
     #[must_use]
     pub fn own_in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Whether nothing of this instance runs there.
+    /// Whether this instance has no requests there.
     #[must_use]
     pub fn idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Requests that run or wait there, own and others', as far as known.
+    /// Requests running or queued there from all instances, as far as known.
     #[must_use]
     #[expect(
         clippy::cast_precision_loss,
@@ -232,12 +243,12 @@
             as u32
     }
 
-    /// Requests that peers have here.
+    /// Requests that peers advertised.
     fn peers_in_flight(&self) -> f64 {
         self.peers.iter().map(|peer| f64::from(peer.in_flight)).sum()
     }
 
-    /// Takes in what a peer told.
+    /// Applies a peer's report on its requests there and on the server's slowdown.
     pub fn record_peer_load(&mut self, from: u64, row: ServerLoadRow, now_us: u64) {
         self.update_saturation(now_us);
         self.peers.retain(|peer| peer.peer != from);
@@ -251,14 +262,15 @@
         }
     }
 
-    /// A peer is gone, and its requests with it.
+    /// Removes a failed peer and its requests.
     pub fn remove_peer(&mut self, from: u64, now_us: u64) {
         self.update_saturation(now_us);
         self.peers.retain(|peer| peer.peer != from);
         self.update_saturation(now_us);
     }
 
-    /// What peers are told: own requests, and the pace in percent if the server told it lately.
+    /// What peers are told: the requests of this instance, and the slowdown in percent if the
+    /// server reported it recently, otherwise 0.
     #[must_use]
     pub fn advertised_load(&self, now_us: u64) -> (u16, u16) {
         let in_flight = u16::try_from(self.in_flight.len()).unwrap_or(u16::MAX);
@@ -266,23 +278,23 @@
         (in_flight, if fresh { self.reported_slowdown_percent } else { 0 })
     }
 
-    /// Takes note of a request that is sent there.
+    /// Records a request that is sent there.
     pub fn record_start(&mut self, ticket: u64, now_us: u64) {
         self.update_saturation(now_us);
         let running = self.occupancy(now_us) + 1;
-        let (full_us, pace) = (self.saturated_us, self.slowdown_at(now_us));
+        let (saturated_before_us, slowdown) = (self.saturated_us, self.slowdown_at(now_us));
         self.in_flight.push(InFlightRequest {
             ticket,
             sent_at_us: now_us,
             running,
-            saturated_before_us: full_us,
-            slowdown: pace,
+            saturated_before_us,
+            slowdown,
         });
         self.start_limits.record_start(now_us);
         self.update_saturation(now_us);
     }
 
-    /// Adds up the time for which all slots were in use; called before and after each change.
+    /// Adds up the time for which all slots were in use. Called before and after each change.
     fn update_saturation(&mut self, now_us: u64) {
         if self.saturated {
             self.saturated_us += now_us.saturating_sub(self.saturation_at_us);
@@ -291,7 +303,7 @@
         self.saturated = self.occupancy(now_us) >= self.row.slots;
     }
 
-    /// Part of a request's time for which all slots were in use.
+    /// Fraction of a request's time for which all slots were in use.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "times of one request")]
     pub fn saturated_share(&self, sent: &InFlightRequest, now_us: u64) -> f64 {
@@ -299,25 +311,25 @@
         self.saturated_us.saturating_sub(sent.saturated_before_us) as f64 / lasted_us as f64
     }
 
-    /// Takes note of a request's end; returns how it began.
+    /// Records the end of a request; returns its record.
     pub fn finish(
         &mut self,
         ticket: u64,
-        end: SendOutcome,
+        outcome: SendOutcome,
         now_us: u64,
     ) -> Option<InFlightRequest> {
         let at = self.in_flight.iter().position(|sent| sent.ticket == ticket)?;
         self.update_saturation(now_us);
         let sent = self.in_flight.swap_remove(at);
         self.update_saturation(now_us);
-        if matches!(end, SendOutcome::Unsent | SendOutcome::Unreachable) {
+        if matches!(outcome, SendOutcome::Unsent | SendOutcome::Unreachable) {
             self.start_limits.undo_start(sent.sent_at_us);
         }
-        self.health.record_outcome(end, now_us);
+        self.health.record_outcome(outcome, now_us);
         Some(sent)
     }
 
-    /// Takes in the load that the server told with an answer.
+    /// Applies a load report from one of the server's responses.
     pub fn record_load(&mut self, load: LoadReport, now_us: u64) {
         let total = f64::from(load.running + load.waiting);
         #[expect(clippy::cast_precision_loss, reason = "a few requests")]
@@ -336,17 +348,17 @@
         }
     }
 
-    /// Takes in the answer to a health check.
-    pub const fn record_health_check(&mut self, well: bool, now_us: u64) {
-        self.health.record_health_check(well, now_us);
+    /// Records the response to a health check.
+    pub const fn record_health_check(&mut self, healthy: bool, now_us: u64) {
+        self.health.record_health_check(healthy, now_us);
     }
 
-    /// Takes note that a health check got no answer.
+    /// Records a health check without a response.
     pub fn record_check_timeout(&mut self, now_us: u64) {
         self.health.record_check_timeout(now_us);
     }
 
-    /// Age of the last word on its pace; `None` for a server that never told it.
+    /// Age of the last slowdown report, in microseconds; `None` if there was none.
     #[must_use]
     pub const fn slowdown_age_us(&self, now_us: u64) -> Option<u64> {
         if self.slowdown_at_us == 0 {
@@ -355,23 +367,23 @@
         Some(now_us.saturating_sub(self.slowdown_at_us))
     }
 
-    /// How much longer work that begins now is expected to take than usual. The pace that a server tells
-    /// is that of its work, its being cold included.
+    /// Expected slowdown of a request that starts now. A reported slowdown includes that of the
+    /// warm-up.
     #[expect(clippy::cast_precision_loss, reason = "ages in microseconds")]
     fn slowdown_at(&self, now_us: u64) -> f64 {
-        let pace_age_us = now_us.saturating_sub(self.slowdown_at_us) as f64;
-        let untold = if self.is_warm(now_us) { 1.0 } else { COLD_SLOWDOWN };
-        untold + (self.slowdown - untold) * (-pace_age_us / SLOWDOWN_DECAY_US).exp()
+        let age_us = now_us.saturating_sub(self.slowdown_at_us) as f64;
+        let default = if self.is_warm(now_us) { 1.0 } else { COLD_SLOWDOWN };
+        default + (self.slowdown - default) * (-age_us / SLOWDOWN_DECAY_US).exp()
     }
 
-    /// Expected time of work that begins now, from what it usually takes.
+    /// Expected service time of a request that starts now, given its usual time.
     #[must_use]
     pub fn expected_service_ms(&self, typical_ms: f64, now_us: u64) -> f64 {
         typical_ms * self.slowdown_at(now_us)
     }
 
-    /// Expected time until a request sent there now is answered, failures that make it take longer
-    /// included.
+    /// Expected time until a request sent now is answered, including penalties for failures, an
+    /// unhealthy server, overdue requests and silence.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "ages in microseconds")]
     pub fn expected_ms(&self, typical_ms: f64, now_us: u64) -> f64 {
@@ -389,8 +401,8 @@
         expected_ms + self.silence_ms(typical_ms, now_us)
     }
 
-    /// How long a server in use has been silent beyond what is usual; tells one that vanished
-    /// without closing its connections.
+    /// Time without any message from a server in use, if it is longer than usual; otherwise 0.
+    /// Detects a server that vanished without closing its connections.
     #[expect(clippy::cast_precision_loss, reason = "ages in microseconds")]
     fn silence_ms(&self, typical_ms: f64, now_us: u64) -> f64 {
         let Some(oldest_us) = self.in_flight.iter().map(|sent| sent.sent_at_us).min() else {
