--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -1,29 +1,30 @@
-//! Whether a request may wait for a slot, or gets its final answer at once.
+//! Admission control for requests that find no free slot.
 
-/// Nobody waits longer than this for a slot, however late the deadline: a longer queue only
-/// moves the overload into the latency of those admitted.
+/// Longest wait for a slot, however late the deadline, in microseconds. A longer queue only turns
+/// overload into latency for the admitted requests.
 const WAIT_MAX_US: u64 = 500_000;
+/// Minimum retry-after time; 20 times as long if no server takes requests.
 const RETRY_AFTER_MIN_MS: u64 = 50;
 
-/// What is known of the queue of one service on one instance.
+/// The queue of one service on one instance, as far as known.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueView {
-    /// Requests that wait already.
+    /// Queued requests.
     pub waiting: usize,
-    /// Most that may wait.
+    /// Maximum number of queued requests.
     pub waiting_max: usize,
-    /// Slots of the servers that may be used, free or not.
+    /// Slots of the usable servers, free or not.
     pub slots: u32,
-    /// Median service time; 0 when unknown.
+    /// Median service time in microseconds; 0 if unknown.
     pub median_service_us: f32,
-    /// Time until the deadline.
+    /// Time until the deadline, in microseconds.
     pub remaining_us: u64,
 }
 
 /// The decision on one request that found no free slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may wait this long.
+    /// It may wait for this long.
     Wait {
         at_most_us: u64,
     },
@@ -34,13 +35,13 @@
     TooLate {
         retry_after_ms: u64,
     },
-    /// No server may take work.
+    /// No server takes requests.
     NoServer {
         retry_after_ms: u64,
     },
 }
 
-/// How long the requests that wait already will take to get their slots.
+/// Expected time until the queued requests and one more get their slots, in microseconds.
 #[expect(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
--- a/src/decide/baseline.rs
+++ b/src/decide/baseline.rs
@@ -1,4 +1,4 @@
-//! Plain versions of the decisions, to compare with: round robin, no limits, even probing.
+//! Simple baseline policies for comparison.
 
 /// The next server in turn, whatever its load.
 #[must_use]
@@ -11,7 +11,7 @@
     Some(index)
 }
 
-/// The server with the fewest own requests in flight, the first of equals.
+/// The server with the fewest own requests in flight; the first of equals.
 #[must_use]
 pub fn least_in_flight(in_flight: &[u32]) -> Option<usize> {
     let rows = in_flight.iter().enumerate();
--- a/src/decide/choose_server.rs
+++ b/src/decide/choose_server.rs
@@ -1,52 +1,53 @@
-//! Which backend server gets the next request.
+//! Selection of the backend server for the next request.
 
 use super::ServerLoad;
 use super::ServerScope;
 use super::server_load::LATENCY_AGE_MAX_US;
 
-/// Added to the load of a stalled server, so that it is taken only when no other has a slot.
+/// Score penalty of a stalled server, so that it is selected only if no other has a free slot.
 const STALL_PENALTY: f32 = 10.0;
-/// Weight of relative latency against relative load.
+/// Weight of the relative latency in the score; the relative load has weight 1.
 const LATENCY_WEIGHT: f32 = 0.25;
+/// Maximum excess of the relative latency that counts.
 const LATENCY_RATIO_MAX: f32 = 4.0;
-/// An average up to so many medians is usual where service times are spread.
+/// A mean latency of up to this many medians is normal, as service times vary.
 const NORMAL_LATENCY_RATIO: f32 = 2.0;
 
-/// How much a server's slots are taken, raised by signs of slowness; lower is better.
-fn score(load: &ServerLoad, typical_us: f32, now_us: u64) -> f32 {
+/// Fraction of the server's slots in use plus penalties for slowness; lower is better.
+fn score(load: &ServerLoad, median_us: f32, now_us: u64) -> f32 {
     #[expect(clippy::cast_precision_loss, reason = "counts are at most 10,000")]
-    let taken = load.load(now_us) as f32 / load.current_limit(now_us) as f32;
-    let stall = if load.stalled(typical_us, now_us) { STALL_PENALTY } else { 0.0 };
-    taken + stall + LATENCY_WEIGHT * slowness(load, typical_us, now_us)
+    let utilization = load.load(now_us) as f32 / load.current_limit(now_us) as f32;
+    let stall = if load.stalled(median_us, now_us) { STALL_PENALTY } else { 0.0 };
+    utilization + stall + LATENCY_WEIGHT * slowness(load, median_us, now_us)
 }
 
-/// By how much a server's answers came later than is usual, fading with their age. Differences
-/// within the usual count for nothing: they would send all traffic of a quiet service to one
-/// server, and the others' figures would never be refreshed.
-fn slowness(load: &ServerLoad, typical_us: f32, now_us: u64) -> f32 {
-    if typical_us <= 0.0 {
+/// Excess of the server's mean latency over the normal one, in medians, decaying with the age of
+/// its last sample. Differences within the normal range are ignored: otherwise a quiet service
+/// would send all requests to one server, and the latencies of the others would never be updated.
+fn slowness(load: &ServerLoad, median_us: f32, now_us: u64) -> f32 {
+    if median_us <= 0.0 {
         return 0.0;
     }
     let excess =
-        (load.latency_us() / typical_us - NORMAL_LATENCY_RATIO).clamp(0.0, LATENCY_RATIO_MAX);
+        (load.latency_us() / median_us - NORMAL_LATENCY_RATIO).clamp(0.0, LATENCY_RATIO_MAX);
     #[expect(clippy::cast_precision_loss, reason = "an age")]
     let age = load.latency_age_us(now_us) as f32 / LATENCY_AGE_MAX_US as f32;
     excess * (1.0 - age).max(0.0)
 }
 
-/// Servers compared with each other; bounds the time of a decision for large services.
+/// Maximum number of servers compared, which bounds the time of a decision for large services.
 const COMPARED_MAX: usize = 64;
 
-/// The free server with the lowest score, or `None` when no slot is free.
+/// The server with the lowest score among those with a free slot; `None` if there is none.
 ///
-/// Up to 64 servers from `start` on, which is random, are compared; further ones only until the
-/// first free one. A service of today's sizes is compared whole.
+/// Compares up to [`COMPARED_MAX`] servers from the random position `start` on, and further ones
+/// only until the first with a free slot. Services of usual size are compared completely.
 #[must_use]
 pub fn choose_server(
     loads: &[ServerLoad],
-    reach: ServerScope,
+    scope: ServerScope,
     avoid: &[usize],
-    typical_us: f32,
+    median_us: f32,
     start: usize,
     now_us: u64,
 ) -> Option<usize> {
@@ -59,13 +60,13 @@
             break;
         }
         let load = &loads[index];
-        if !load.has_free_slot(reach, now_us) || avoid.contains(&index) {
+        if !load.has_free_slot(scope, now_us) || avoid.contains(&index) {
             continue;
         }
-        let score = score(load, typical_us, now_us);
-        if score < best_score {
+        let candidate_score = score(load, median_us, now_us);
+        if candidate_score < best_score {
             best = Some(index);
-            best_score = score;
+            best_score = candidate_score;
         }
     }
     best
--- a/src/decide/hedge.rs
+++ b/src/decide/hedge.rs
@@ -1,16 +1,18 @@
-//! When a second attempt runs beside the first.
+//! Timing of hedged attempts.
 
 use crate::model::Preference;
 
 /// Hedges allowed per request of a service.
 pub const HEDGE_SHARE: f32 = 0.03;
-/// A hedge never starts earlier than this many median service times.
+/// A hedge starts no earlier than this many median service times after the first attempt.
 const DELAY_MEDIANS_MIN: f32 = 2.0;
-/// Nor earlier than this: the attempt that loses is cancelled by closing its connection, and a
-/// new one costs about a millisecond, more than a hedge of a quick service could win.
+/// Minimum hedge delay in microseconds. The losing attempt is cancelled by closing its connection,
+/// and a new connection takes about a millisecond, which is more than a hedge saves for a fast
+/// service.
 const DELAY_MIN_US: f32 = 3_000.0;
 
-/// How long after its start an idempotent attempt is joined by a second; `None` for never.
+/// Time after which a second attempt joins an idempotent first one, in microseconds; `None` for
+/// never.
 #[must_use]
 pub fn hedge_delay_us(
     preference: Preference,
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -1,13 +1,14 @@
-//! Which instances are the homes of a service, and which home keeps which backend server.
+//! Selection of the homes of a service, and of the home that keeps each of its backend servers.
 
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// One more home in a zone for each so many slots there.
+/// Each zone gets another home per this many slots.
 const SLOTS_PER_HOME: u32 = 64;
+/// Minimum number of homes of a service.
 const HOMES_MIN: usize = 2;
 
-/// An instance that may be a home.
+/// An instance that can become a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomeCandidate<'a> {
     pub incarnation: u64,
@@ -18,19 +19,21 @@
     xxh3_64_with_seed(name.as_bytes(), incarnation)
 }
 
-/// How many homes each zone has that holds backend servers, from its slots.
+/// The number of homes in a zone, from the slots of its backend servers.
 ///
-/// One home per zone keeps its servers without a way between zones, on which slots would idle
-/// while answers travel; fewer homes lose to that, more split what is known of the servers
-/// (docs/MEASUREMENTS.md, "How many homes").
+/// With a home in each zone, servers get their requests without crossing zones; otherwise slots
+/// would be idle while responses travel. Fewer homes lose to that, and more homes split the
+/// knowledge about the servers (docs/MEASUREMENTS.md, "How many homes").
 fn homes_wanted(slots: u32) -> usize {
     (slots.div_ceil(SLOTS_PER_HOME) as usize).max(1)
 }
 
-/// The homes of a service by rendezvous hashing, for `zone_slots`: its slots in each zone.
+/// The homes of a service, by rendezvous hashing. `zone_slots` holds the slots of the service in
+/// each zone.
 ///
-/// All instances that see the same members name the same homes, and a member that comes or goes
-/// moves only the homes that it gains or loses. There are two at least, so that one may fail.
+/// All instances with the same view of the members select the same homes, and a member that joins
+/// or leaves only moves homes to or from itself. There are at least two homes, so that one can
+/// fail.
 #[must_use]
 pub fn select_homes(
     service: &str,
@@ -57,24 +60,25 @@
     homes
 }
 
-/// For each backend server (id, zone) the position in `homes` of its keeper.
+/// For each backend server (ID, zone), the position in `homes` of its keeper.
 ///
-/// Each server has one keeper, which alone hands out its slots; so nothing is lent that could
-/// be lost. A home of the server's own zone comes first, and no home keeps more than its share.
+/// The keeper of a server is the only home that hands out its slots, so no slots are leased that
+/// could be lost. A home in the server's zone is preferred, and no home keeps more than its equal
+/// share.
 #[must_use]
 pub fn assign_keepers(servers: &[(&str, &str)], homes: &[HomeCandidate<'_>]) -> Vec<usize> {
     if homes.is_empty() {
         return Vec::new();
     }
     let share = servers.len().div_ceil(homes.len());
-    let mut kept = vec![0; homes.len()];
+    let mut kept_counts = vec![0; homes.len()];
     let mut keepers = Vec::with_capacity(servers.len());
     for (id, zone) in servers {
-        let open = (0..homes.len()).filter(|&at| kept[at] < share);
+        let open = (0..homes.len()).filter(|&at| kept_counts[at] < share);
         let rank =
             |&at: &usize| (homes[at].zone == *zone, rendezvous_weight(id, homes[at].incarnation));
         let keeper = open.max_by_key(rank).unwrap_or(0);
-        kept[keeper] += 1;
+        kept_counts[keeper] += 1;
         keepers.push(keeper);
     }
     keepers
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions without I/O: functions of what is known, the time and seeded random numbers.
+//! Decisions without I/O, as functions of the known state, the time and seeded random numbers.
 
 mod admit;
 pub mod baseline;
--- a/src/decide/quantile.rs
+++ b/src/decide/quantile.rs
@@ -1,13 +1,13 @@
-//! A running estimate of one quantile in constant space.
+//! A streaming estimate of one quantile in constant space.
 
-/// Share of the estimate that one sample may move it by.
+/// Maximum change of the estimate by one sample, as a fraction of the estimate.
 const STEP: f32 = 0.05;
 
-/// Moves up by `p` steps for a larger sample and down by `1 - p` for a smaller one, so that it
-/// rests where a share `p` of the samples is smaller.
+/// Moves up by `p` steps for a larger sample and down by `1 - p` steps for a smaller one, so that
+/// it settles where a fraction `p` of the samples is smaller.
 #[derive(Clone, Debug)]
 pub struct Quantile {
-    /// Within 0 and 1.
+    /// From 0 to 1.
     p: f32,
     /// 0 before the first sample.
     value: f32,
@@ -20,7 +20,7 @@
         Self { p, value: 0.0 }
     }
 
-    /// Takes a sample into account.
+    /// Adds a sample.
     pub fn record(&mut self, sample: f32) {
         if self.value == 0.0 {
             self.value = sample;
--- a/src/decide/ratio_budget.rs
+++ b/src/decide/ratio_budget.rs
@@ -1,36 +1,36 @@
-//! A budget that grows with traffic.
+//! A token budget that grows with traffic.
 
-/// Tokens that a quiet service may have saved.
+/// Maximum number of tokens, which a service accumulates while nothing fails.
 const TOKENS_MAX: f32 = 10.0;
 
-/// Allows extra work up to a share of the requests, so that an outage is not amplified: when
-/// every request fails, at most that share of them is repeated.
+/// Limits extra attempts to a fraction of the requests, so that an outage is not amplified: if
+/// every request fails, at most this fraction is repeated.
 #[derive(Clone, Debug)]
 pub struct RatioBudget {
     share: f32,
-    /// Within 0 and [`SAVED_MAX`].
+    /// From 0 to [`TOKENS_MAX`].
     tokens: f32,
 }
 
 impl RatioBudget {
-    /// A budget of `share` extra attempts per request.
+    /// A full budget of `share` extra attempts per request.
     #[must_use]
     pub const fn new(share: f32) -> Self {
         Self { share, tokens: TOKENS_MAX }
     }
 
-    /// Earns the share of one request.
+    /// Adds the tokens of one request.
     pub fn record_request(&mut self) {
         self.tokens = (self.tokens + self.share).min(TOKENS_MAX);
     }
 
-    /// Whether one more attempt is left.
+    /// Whether a token for another attempt is left.
     #[must_use]
     pub const fn has_left(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Takes one attempt out if one is left.
+    /// Takes a token for an attempt; returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
         let left = self.has_left();
         if left {
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,17 +1,17 @@
-//! Whether an attempt is followed by another.
+//! The decision whether to retry a failed attempt.
 
 /// Retries allowed per request of a service.
 pub const RETRY_SHARE: f32 = 0.02;
-/// Attempts in a row on one request, hedges not counted.
+/// Maximum number of consecutive attempts per request, not counting hedges.
 const ATTEMPTS_MAX: u32 = 3;
 
-/// What is known after an attempt that brought no usable answer.
+/// State after an attempt without a usable answer.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryView {
     pub idempotent: bool,
-    /// No byte of the request was handed to any connection.
+    /// Whether no byte of the request was written to any connection.
     pub not_run: bool,
-    /// Attempts made so far, this one included.
+    /// Attempts so far, including this one.
     pub attempts: u32,
     pub remaining_us: u64,
     pub median_service_us: f32,
@@ -19,10 +19,10 @@
     pub has_budget_left: bool,
 }
 
-/// Whether to try once more on another server.
+/// Whether to try again on another server.
 ///
-/// A request that must not repeat is tried again only after `not_run`: everything else may have
-/// run, and a second run is what its operator ruled out.
+/// A request that is not idempotent is retried only after `not_run`. Any other failed attempt may
+/// have run, and its operator does not allow a second run.
 #[must_use]
 pub fn may_retry(view: &RetryView) -> bool {
     let safe = view.idempotent || view.not_run;
--- a/src/decide/server_load.rs
+++ b/src/decide/server_load.rs
@@ -1,75 +1,82 @@
-//! What one instance knows of the load of one backend server.
+//! Load of one backend server as this instance knows it.
 
-/// Failures in a row after which a server is ejected.
+/// Consecutive failures after which a server is ejected.
 const EJECT_AFTER: u32 = 3;
+/// First ejection time; doubles with each ejection in a row.
 const EJECT_BASE_MS: u64 = 500;
+/// Maximum number of doublings of the ejection time.
 const EJECT_DOUBLINGS_MAX: u32 = 6;
-/// A server that is new or comes back gets its full limit only after this long.
+/// A new or returning server reaches its full limit only after this time.
 const RAMP_UP_MS: u64 = 1_000;
-/// Factor on the limit after a refusal.
+/// Factor on the concurrency limit after a refusal.
 const LIMIT_DECREASE: f32 = 0.7;
+/// Weight of a sample in the moving average of the latency.
 const LATENCY_WEIGHT: f32 = 0.2;
-/// At this age a latency counts for nothing any more, and the server is tried again.
+/// A latency older than this is ignored, so that the server is tried again.
 pub(super) const LATENCY_AGE_MAX_US: u64 = 1_000_000;
-/// Without progress for this many typical service times, a busy server counts as stalled.
+/// A server in use is stalled after this many median service times without progress.
 const STALL_FACTOR: f32 = 2.5;
-/// What another instance told of a server is worth nothing after this long.
+/// A load report older than this is ignored.
 const REPORT_AGE_MAX_MS: u64 = 200;
 
-/// Which servers a request may be bound to.
+/// The servers that a request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerScope {
-    /// Those whose slots this instance hands out.
+    /// Servers whose slots this instance hands out as their keeper.
     Own,
-    /// All: no keeper can be reached.
+    /// All servers, because no keeper can be reached.
     All,
 }
 
-/// How an attempt ended, as far as the server's load is concerned.
+/// How an attempt ended, as far as it concerns the server's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer that is not a failure.
+    /// A complete answer that is not a failure.
     Answered { latency_us: u64 },
-    /// The server declared that it did not run the request.
+    /// The server reported that it did not run the request.
     Refused,
-    /// As `Refused`, and it wants nothing of this instance for so long.
+    /// As `Refused`, and the server asked this instance to send nothing for this time.
     RefusedWithCooldown { cooldown_us: u64 },
-    /// Connection fault, truncated answer or a failure status.
+    /// Connection fault, truncated answer or failure status.
     Failed,
-    /// The caller left, or another attempt answered first.
+    /// The caller disconnected, or another attempt was answered first.
     Cancelled,
 }
 
-/// One row of a [`super::SlotPool`].
+/// Load of one server in a [`super::SlotPool`].
 #[derive(Clone, Debug)]
 pub struct ServerLoad {
     /// At least 1.
     pub slots: u32,
-    /// Whether this instance is the keeper that hands out the slots of this server.
+    /// Whether this instance is the keeper that hands out this server's slots.
     pub is_keeper: bool,
-    /// Drained or leaving: no new work.
+    /// Drained or leaving: gets no new requests.
     pub closed: bool,
-    /// Own requests in flight; never above the limit while `kept` does not change.
+    /// Requests of this instance in flight; never above the limit while `is_keeper` does not
+    /// change.
     pub in_flight: u32,
-    /// Adaptive limit, within 1 and `slots`.
+    /// Adaptive concurrency limit, from 1 to `slots`.
     concurrency_limit: f32,
+    /// Moving average of service times; 0 before the first.
     latency_us: f32,
-    /// When the last sample of `latency_us` came.
+    /// When the last sample of `latency_us` was taken.
     last_sample_us: u64,
-    /// When it last finished a request, or took one while idle.
+    /// When the server last completed a request, or got one while idle.
     last_progress_us: u64,
     consecutive_failures: u32,
+    /// Consecutive ejections without an answer in between.
     ejections: u32,
     ejected_until_us: u64,
     cooldown_until_us: u64,
+    /// Start of the ramp-up to the full limit.
     ramp_up_from_us: u64,
-    /// In flight from everywhere, as an answer or probe of the server last told.
+    /// Requests in flight from all instances, according to the server's last response or probe.
     reported_in_flight: u32,
     reported_us: u64,
 }
 
 impl ServerLoad {
-    /// A server that has long been in use.
+    /// A server that has been in use for long.
     #[must_use]
     pub fn warm(slots: u32) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "slots are at most 10,000")]
@@ -99,18 +106,14 @@
         Self { ramp_up_from_us: now_us, ..Self::warm(slots) }
     }
 
-    /// Begins a ramp, with what is in flight still counted: it takes work again after a pause.
+    /// Restarts the ramp-up, as the server takes requests again after a pause. Its requests in
+    /// flight remain counted.
     pub fn restart_ramp_up(&mut self, now_us: u64) {
-        let Self { in_flight, is_keeper: kept, cooldown_until_us: rest_until_us, .. } = *self;
-        *self = Self {
-            is_keeper: kept,
-            in_flight,
-            cooldown_until_us: rest_until_us,
-            ..Self::cold(self.slots, now_us)
-        };
+        let Self { in_flight, is_keeper, cooldown_until_us, .. } = *self;
+        *self = Self { is_keeper, in_flight, cooldown_until_us, ..Self::cold(self.slots, now_us) };
     }
 
-    /// Whether it may be used at all now, whatever its load.
+    /// Whether the server may be used, whatever its load.
     #[must_use]
     pub fn usable(&self, now_us: u64) -> bool {
         !self.closed && now_us >= self.ejected_until_us.max(self.cooldown_until_us)
@@ -129,24 +132,24 @@
         floor((whole * share).max(1.0))
     }
 
-    /// Whether it has a slot that this instance may take now.
+    /// Whether the server has a slot that this instance may take now.
     #[must_use]
-    pub fn has_free_slot(&self, reach: ServerScope, now_us: u64) -> bool {
-        self.in_scope(reach)
+    pub fn has_free_slot(&self, scope: ServerScope, now_us: u64) -> bool {
+        self.in_scope(scope)
             && self.usable(now_us)
             && self.load(now_us) < self.current_limit(now_us)
     }
 
-    /// Whether `reach` covers this server.
+    /// Whether `scope` includes this server.
     #[must_use]
-    pub fn in_scope(&self, reach: ServerScope) -> bool {
-        self.is_keeper || reach == ServerScope::All
+    pub fn in_scope(&self, scope: ServerScope) -> bool {
+        self.is_keeper || scope == ServerScope::All
     }
 
-    /// Own requests in flight, or the reported load while that is fresh and higher.
+    /// Own requests in flight, or the reported load if that is recent and higher.
     ///
-    /// A report may only lower trust: an old or low one never makes a server look emptier than
-    /// what this instance has there itself.
+    /// An old or low report never makes a server look less loaded than this instance's own requests
+    /// there.
     #[must_use]
     pub fn load(&self, now_us: u64) -> u32 {
         let fresh = now_us.saturating_sub(self.reported_us) < REPORT_AGE_MAX_MS * 1000;
@@ -157,24 +160,24 @@
         }
     }
 
-    /// Whether requests are in flight there and none has finished for too long.
+    /// Whether requests are in flight there and none has completed for too long.
     ///
-    /// This tells a server that turned slow within a few service times, while its latency
-    /// average learns of it only when the slow answers are there.
+    /// This detects a server that became slow within a few service times. The mean latency shows it
+    /// only once the slow answers have arrived.
     #[must_use]
-    pub fn stalled(&self, typical_us: f32, now_us: u64) -> bool {
+    pub fn stalled(&self, median_us: f32, now_us: u64) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "microseconds of one stall")]
         let silent_us = now_us.saturating_sub(self.last_progress_us) as f32;
-        self.in_flight > 0 && typical_us > 0.0 && silent_us > STALL_FACTOR * typical_us
+        self.in_flight > 0 && median_us > 0.0 && silent_us > STALL_FACTOR * median_us
     }
 
-    /// Moving average of service times; 0 before the first.
+    /// Moving average of the service times in microseconds; 0 before the first.
     #[must_use]
     pub const fn latency_us(&self) -> f32 {
         self.latency_us
     }
 
-    /// Takes note that an attempt begins.
+    /// Records the start of an attempt.
     pub fn record_start(&mut self, now_us: u64) {
         if self.in_flight == 0 {
             self.last_progress_us = now_us;
@@ -182,15 +185,17 @@
         self.in_flight += 1;
     }
 
-    /// Takes note that an attempt ended; `may_eject` bounds how many are ejected at once.
-    pub fn record_outcome(&mut self, finish: AttemptOutcome, may_eject: bool, now_us: u64) {
+    /// Records the end of an attempt. The server is only ejected if `may_eject`, which limits how
+    /// many are ejected at once.
+    pub fn record_outcome(&mut self, outcome: AttemptOutcome, may_eject: bool, now_us: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        match finish {
+        match outcome {
             AttemptOutcome::Answered { latency_us } => self.record_answer(latency_us, now_us),
             AttemptOutcome::Refused => self.record_refusal(),
-            AttemptOutcome::RefusedWithCooldown { cooldown_us: rest_us } => {
+            AttemptOutcome::RefusedWithCooldown { cooldown_us } => {
                 self.record_refusal();
-                self.cooldown_until_us = self.cooldown_until_us.max(now_us.saturating_add(rest_us));
+                self.cooldown_until_us =
+                    self.cooldown_until_us.max(now_us.saturating_add(cooldown_us));
             }
             AttemptOutcome::Failed => self.record_failure(may_eject, now_us),
             AttemptOutcome::Cancelled => {}
@@ -218,8 +223,8 @@
         self.concurrency_limit = (self.concurrency_limit + 1.0 / self.concurrency_limit).min(slots);
     }
 
-    /// Counts a failure. An instant error must not make a server look idle and so attract the
-    /// traffic of all: after a few in a row it is ejected, each time for longer.
+    /// Records a failure. A server that fails instantly must not look idle and attract all
+    /// requests, so it is ejected after a few failures in a row, each time for longer.
     fn record_failure(&mut self, may_eject: bool, now_us: u64) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= EJECT_AFTER && may_eject {
@@ -227,30 +232,30 @@
             self.ejected_until_us = now_us + ((EJECT_BASE_MS * 1000) << doublings);
             self.ejections += 1;
             self.ramp_up_from_us = self.ejected_until_us;
-            // One more failure on trial is enough to eject it again.
+            // After the ejection a single failure ejects it again.
             self.consecutive_failures = EJECT_AFTER - 1;
         }
     }
 
-    /// Whether it is ejected now.
+    /// Whether the server is ejected.
     #[must_use]
     pub const fn is_ejected(&self, now_us: u64) -> bool {
         now_us < self.ejected_until_us
     }
 
-    /// Takes note of a load that the server told.
+    /// Records the load that the server reported.
     pub fn record_load(&mut self, in_flight: u32, now_us: u64) {
         self.reported_in_flight = in_flight;
         self.reported_us = now_us;
     }
 
-    /// Age of the moving average: time since its last sample.
+    /// Time since the last sample of the moving average, in microseconds.
     #[must_use]
     pub const fn latency_age_us(&self, now_us: u64) -> u64 {
         now_us.saturating_sub(self.last_sample_us)
     }
 
-    /// Age of the last report or answer: what a probe would refresh.
+    /// Age of the last report or answer in microseconds, which a probe would reset.
     #[must_use]
     pub fn report_age_us(&self, now_us: u64) -> u64 {
         now_us.saturating_sub(self.reported_us.max(self.last_progress_us))
--- a/src/decide/slot_pool.rs
+++ b/src/decide/slot_pool.rs
@@ -14,10 +14,11 @@
 use super::choose_server;
 
 const MEDIAN: f32 = 0.5;
+/// Quantile of the service time after which a request may be hedged.
 const HIGH_QUANTILE: f32 = 0.96;
 
-/// Load, limits and budgets of one service; no I/O, no clock of its own, no allocation while
-/// requests start and finish.
+/// Load, limits and budgets of the servers of one service. No I/O, no clock, and no allocation when
+/// requests start and end.
 #[derive(Clone, Debug)]
 pub struct SlotPool {
     loads: Vec<ServerLoad>,
@@ -29,7 +30,7 @@
 }
 
 impl SlotPool {
-    /// A pool over `loads`; `seed` decides ties.
+    /// A pool over `loads`; `seed` determines how ties are broken.
     #[must_use]
     pub fn new(loads: Vec<ServerLoad>, seed: u64) -> Self {
         Self {
@@ -42,13 +43,13 @@
         }
     }
 
-    /// The rows, in the order of the backend servers.
+    /// The loads, in the order of the backend servers.
     #[must_use]
     pub fn loads(&self) -> &[ServerLoad] {
         &self.loads
     }
 
-    /// The rows, for reports and marks.
+    /// The loads, to record reports and states.
     pub fn loads_mut(&mut self) -> &mut Vec<ServerLoad> {
         &mut self.loads
     }
@@ -59,57 +60,57 @@
         self.median.value()
     }
 
-    /// The quantile after which a hedge is worth its cost, in microseconds.
+    /// Service time in microseconds after which a hedge is worth its cost.
     #[must_use]
     pub const fn high_quantile_us(&self) -> f32 {
         self.high_quantile.value()
     }
 
-    /// Takes a slot of the best free server that is not in `avoid`.
+    /// Acquires a slot of the best server with a free one, except those in `avoid`.
     pub fn acquire_slot(
         &mut self,
-        reach: ServerScope,
+        scope: ServerScope,
         avoid: &[usize],
         now_us: u64,
     ) -> Option<usize> {
         let start = self.rng.random_range(0..self.loads.len().max(1));
         let index =
-            choose_server(&self.loads, reach, avoid, self.median_service_us(), start, now_us)?;
+            choose_server(&self.loads, scope, avoid, self.median_service_us(), start, now_us)?;
         self.loads[index].record_start(now_us);
         Some(index)
     }
 
-    /// Gives the slot of a finished attempt back.
-    pub fn release_slot(&mut self, index: usize, finish: AttemptOutcome, now_us: u64) {
+    /// Releases the slot of an ended attempt.
+    pub fn release_slot(&mut self, index: usize, outcome: AttemptOutcome, now_us: u64) {
         let may_eject = self.may_eject(now_us);
-        if let AttemptOutcome::Answered { latency_us } = finish {
+        if let AttemptOutcome::Answered { latency_us } = outcome {
             #[expect(clippy::cast_precision_loss, reason = "an estimate of a quantile")]
             let sample = latency_us as f32;
             self.median.record(sample);
             self.high_quantile.record(sample);
         }
         if let Some(load) = self.loads.get_mut(index) {
-            load.record_outcome(finish, may_eject, now_us);
+            load.record_outcome(outcome, may_eject, now_us);
         }
     }
 
-    /// Ejection stops at half of the servers: when most fail, the fault is hardly theirs, and
-    /// sending everything to the few left would bring those down too.
+    /// At most half of the servers are ejected. If most of them fail, the fault is probably
+    /// elsewhere, and the remaining servers would be overloaded too.
     fn may_eject(&self, now_us: u64) -> bool {
         let ejected = self.loads.iter().filter(|load| load.is_ejected(now_us)).count();
         (ejected + 1) * 2 <= self.loads.len()
     }
 
-    /// Slots of the servers this instance may use now, free or not, but for those of `avoid`.
+    /// Slots of the servers that this instance may use now, free or not, except those in `avoid`.
     #[must_use]
-    pub fn usable_slots(&self, reach: ServerScope, avoid: &[usize], now_us: u64) -> u32 {
+    pub fn usable_slots(&self, scope: ServerScope, avoid: &[usize], now_us: u64) -> u32 {
         let loads = self.loads.iter().enumerate();
-        let reached = loads.filter(|(at, load)| load.in_scope(reach) && !avoid.contains(at));
-        let usable = reached.filter(|(_, load)| load.usable(now_us));
+        let in_scope = loads.filter(|(at, load)| load.in_scope(scope) && !avoid.contains(at));
+        let usable = in_scope.filter(|(_, load)| load.usable(now_us));
         usable.map(|(_, load)| load.current_limit(now_us)).sum()
     }
 
-    /// Slots free now.
+    /// Free slots now.
     #[must_use]
     pub fn free_slots(&self, now_us: u64) -> u32 {
         let free = self.loads.iter().filter(|load| load.has_free_slot(ServerScope::Own, now_us));
