--- a/src/cold/cold_limit.rs
+++ b/src/cold/cold_limit.rs
@@ -1,25 +1,29 @@
-//! What a cold server may get.
+//! The limit on requests to a cold server.
 
-/// Views of the homes that may be held at the same time, each with its own homes that start requests
-/// at a cold server: on two sides of a cut, and while homes change. Each keeps to its part.
+/// Views of the set of homes that may exist at the same time, on both sides of a network partition
+/// and while homes change. The homes of each view send to a cold server, within an equal part of
+/// the limit.
 const CONCURRENT_VIEWS_MAX: f64 = 3.0;
-/// The span of the operators' bound, and a margin for requests that take longer than others on their
-/// way, so that starts further apart arrive within one second: a connection and a health check.
+/// Window in which instances enforce the limit, in microseconds: the operators' second plus a
+/// margin for requests that take longer than others to arrive, by a new connection and a health
+/// check.
 pub const COLD_WINDOW_US: u64 = 1_300_000;
 
-/// The operators' bound on what a cold server gets in any second from all instances together.
+/// The operators' limit on the requests that a cold server gets in any second from all instances
+/// together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
-    /// Requests a second that the service's cold servers tolerate.
+    /// Requests per second that cold servers of the service tolerate.
     pub per_s: f64,
-    /// By how much that may be exceeded, as a factor and in requests.
+    /// Factor by which the limit may be exceeded.
     pub overage: f64,
+    /// Requests by which the limit may be exceeded in addition.
     pub slack: f64,
 }
 
 impl ColdLimit {
-    /// Requests that a server may get in any second from the instances that hold one view; at least
-    /// one, or a cold server would never be used.
+    /// Requests that a server may get in any second from the instances of one view. At least one,
+    /// as a cold server would otherwise never be used.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -27,7 +31,7 @@
         reason = "a few requests, never below zero"
     )]
     pub fn starts_per_view(&self) -> u32 {
-        let bound = self.per_s.max(0.0).mul_add(self.overage, self.slack);
-        (bound / CONCURRENT_VIEWS_MAX).max(1.0) as u32
+        let limit = self.per_s.max(0.0).mul_add(self.overage, self.slack);
+        (limit / CONCURRENT_VIEWS_MAX).max(1.0) as u32
     }
 }
--- a/src/cold/cold_rule.rs
+++ b/src/cold/cold_rule.rs
@@ -1,11 +1,11 @@
-//! What holds for the cold servers of one service.
+//! The handling of a service's cold servers.
 
 use super::ColdLimit;
 
-/// The operators' rule for a service's cold servers.
+/// The operators' rule for the cold servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdRule {
-    /// `None` for a service whose cold servers bear as much as others.
+    /// `None` if cold servers of the service tolerate as much as others.
     pub limit: Option<ColdLimit>,
     /// How long a server stays cold, in microseconds.
     pub warmup_us: u64,
--- a/src/cold/cold_state.rs
+++ b/src/cold/cold_state.rs
@@ -1,20 +1,21 @@
-//! Whether one server is cold.
+//! Warm-up state of one server.
 
-/// What is known of one server. Its entry says how long it stays cold, and its health answers do; the
-/// newer word counts.
+/// How long one server stays cold, according to its platform entry and its health checks; the newer
+/// report counts.
 #[derive(Clone, Debug)]
 pub struct ColdState {
     entry_until_us: u64,
     entry_at_us: u64,
-    /// By its health answers, or presumed where nobody has said anything yet.
+    /// From health checks, or assumed as long as there is no report.
     health_until_us: u64,
     health_at_us: u64,
-    /// Whether its health answers ever told that it is cold; one that does not say so is warm then.
+    /// Whether the server's health checks ever reported it as cold. If so, a health check that does
+    /// not means that it is warm.
     checks_report_cold: bool,
 }
 
 impl ColdState {
-    /// Of a server that was just listed with an entry that says so.
+    /// State of a newly listed server whose entry states this remaining warm-up time.
     #[must_use]
     pub fn new(warmup_ms: u64, now_us: u64) -> Self {
         Self {
@@ -26,31 +27,32 @@
         }
     }
 
-    /// Takes in what its entry says.
+    /// Records the remaining warm-up time that the platform entry states.
     pub const fn record_entry(&mut self, warmup_ms: u64, now_us: u64) {
         self.entry_until_us = now_us + warmup_ms * 1000;
         self.entry_at_us = now_us;
     }
 
-    /// Takes in what a health answer says; `None` where it says nothing of being cold.
-    pub fn record_health(&mut self, left_ms: Option<u64>, now_us: u64) {
-        self.checks_report_cold |= left_ms.is_some();
+    /// Records the remaining warm-up time that a health check reports; `None` if it reports none.
+    pub fn record_health(&mut self, remaining_ms: Option<u64>, now_us: u64) {
+        self.checks_report_cold |= remaining_ms.is_some();
         self.health_at_us = now_us;
-        self.health_until_us = left_ms.map_or(0, |left_ms| now_us + left_ms * 1000);
+        self.health_until_us = remaining_ms.map_or(0, |remaining_ms| now_us + remaining_ms * 1000);
     }
 
-    /// It may be cold for so long without anybody having said so; the next health answer tells.
+    /// Assumes that the server may be cold for this time without a report. The next health check
+    /// settles it.
     pub fn presume_cold(&mut self, warmup_us: u64, now_us: u64) {
         self.health_until_us = self.health_until_us.max(now_us + warmup_us);
     }
 
-    /// Whether it works at its usual speed, as far as its start is concerned.
+    /// Whether the server is warmed up.
     #[must_use]
     pub const fn is_warm(&self, now_us: u64) -> bool {
         now_us >= self.health_until_us && (now_us >= self.entry_until_us || self.reported_warm())
     }
 
-    /// Whether a health answer told otherwise after its entry did.
+    /// Whether a health check after the entry reported the server as warm.
     const fn reported_warm(&self) -> bool {
         self.checks_report_cold && self.health_at_us > self.entry_at_us
     }
--- a/src/cold/mod.rs
+++ b/src/cold/mod.rs
@@ -1,5 +1,5 @@
-//! Backend servers that are cold: just started, or back after an evacuation. They work slower, and
-//! crash under more than some requests a second from all instances together.
+//! Cold backend servers, which have just started or return after an evacuation. They are slower,
+//! and crash if all instances together send more than a few requests per second.
 
 mod cold_limit;
 mod cold_rule;
--- a/src/evacuation/evacuations.rs
+++ b/src/evacuation/evacuations.rs
@@ -1,17 +1,17 @@
-//! The evacuations in force.
+//! The active evacuations.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Evacuated zones, and since when this instance knows so. Zones are names only: one in which no
-/// backend server lies may be evacuated before there is one.
+/// Evacuated zones, and since when this instance knows of each. A zone is only a name: it can be
+/// evacuated before it has any backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     since_us: BTreeMap<Arc<str>, u64>,
 }
 
 impl Evacuations {
-    /// Evacuates a zone; `false` if it was already.
+    /// Starts the evacuation of a zone; returns `false` if it was already evacuated.
     pub fn begin(&mut self, zone: &str, now_us: u64) -> bool {
         if self.contains(zone) {
             return false;
@@ -20,7 +20,7 @@
         true
     }
 
-    /// Takes an evacuation back; returns since when it was in force, in microseconds.
+    /// Ends an evacuation; returns its start in microseconds.
     pub fn end(&mut self, zone: &str) -> Option<u64> {
         self.since_us.remove(zone)
     }
@@ -31,7 +31,7 @@
         self.since_us.contains_key(zone)
     }
 
-    /// The evacuated zones, by name.
+    /// The evacuated zones, sorted by name.
     pub fn zones(&self) -> impl Iterator<Item = &Arc<str>> {
         self.since_us.keys()
     }
--- a/src/evacuation/mod.rs
+++ b/src/evacuation/mod.rs
@@ -1,4 +1,4 @@
-//! Availability zones that the operators evacuate: their backend servers are given nothing.
+//! Availability zones that the operators evacuate: their backend servers get no requests.
 
 mod evacuations;
 
--- a/src/limit/advertised_limit.rs
+++ b/src/limit/advertised_limit.rs
@@ -1,25 +1,27 @@
-//! The limit that one server names now.
+//! The rate limit that one server advertises.
 
 use super::RateLimit;
 use crate::model::Heard;
 
-/// The last word of one server on its limit; a limit holds for as long as it is named.
+/// The last report of one server on its rate limit. A limit holds for as long as the server reports
+/// it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdvertisedLimit {
     limit: Option<RateLimit>,
-    /// When `limit` was heard last, or to end.
+    /// When the limit was last reported, or reported to have ended.
     reported_at_us: u64,
-    /// Whether its health answers ever named a limit; of others, silence says nothing of it.
+    /// Whether the server's health checks ever reported a limit. If not, a health check without a
+    /// limit does not end one.
     checks_report_limit: bool,
-    /// Whether the last word could not be read.
+    /// Whether the last report was invalid.
     unreadable: bool,
 }
 
 impl AdvertisedLimit {
-    /// Takes in a word, `None` where none was named; returns whether that changes the limit.
-    pub fn record(&mut self, heard: Heard, limit: Option<RateLimit>, now_us: u64) -> bool {
+    /// Records a report, `None` if it has no limit; returns whether that changes the limit.
+    pub fn record(&mut self, source: Heard, limit: Option<RateLimit>, now_us: u64) -> bool {
         self.unreadable = false;
-        if heard == Heard::Check {
+        if source == Heard::Check {
             self.checks_report_limit |= limit.is_some();
             if !self.checks_report_limit {
                 return false;
@@ -31,18 +33,18 @@
         changed
     }
 
-    /// Takes in a word that cannot be read; returns whether it is the first in a row.
+    /// Records an invalid report; returns whether it is the first in a row.
     pub const fn record_unreadable(&mut self) -> bool {
         !std::mem::replace(&mut self.unreadable, true)
     }
 
-    /// The limit in force.
+    /// The current limit.
     #[must_use]
     pub const fn current(&self) -> Option<RateLimit> {
         self.limit
     }
 
-    /// Age of the last word on the limit in force, in microseconds; `None` without one.
+    /// Age of the last report on the current limit, in microseconds; `None` without a limit.
     #[must_use]
     pub fn age_us(&self, now_us: u64) -> Option<u64> {
         self.limit.map(|_| now_us.saturating_sub(self.reported_at_us))
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -1,5 +1,5 @@
-//! Limits that backend servers in need name: requests a second that they take from all instances
-//! together.
+//! Rate limits that backend servers advertise: requests per second that they accept from all
+//! instances together.
 
 mod advertised_limit;
 mod rate_limit;
--- a/src/limit/rate_limit.rs
+++ b/src/limit/rate_limit.rs
@@ -1,49 +1,51 @@
-//! A limit as a server names it.
+//! A rate limit as a server advertises it.
 
 use std::str::FromStr;
 
-/// Span over which instances keep to a limit: limits of about one request a second become whole numbers
-/// of requests in it, which homes can divide. Servers judge four seconds; the rest is for requests that
-/// take longer than others on their way.
+/// Window in which instances enforce a limit, in microseconds. It is long enough that a limit of
+/// about one request per second is a whole number of requests that homes can divide. Servers
+/// measure over four seconds; the rest allows for requests that take longer than others to arrive.
 pub const LIMIT_WINDOW_US: u64 = 4_300_000;
-/// [`LIMIT_SPAN_US`] in seconds.
+/// [`LIMIT_WINDOW_US`] in seconds.
 pub const LIMIT_WINDOW_S: f64 = 4.3;
+/// Window over which a server measures its limit, in seconds.
 const SERVER_WINDOW_S: f64 = 4.0;
-/// By how much a server bears more than its limit over the span that it judges, as a factor and in
-/// requests.
+/// Factor by which a server tolerates more than its limit within [`SERVER_WINDOW_S`].
 const OVERAGE: f64 = 1.5;
+/// Requests that a server tolerates in addition within [`SERVER_WINDOW_S`].
 const SLACK: f64 = 5.0;
-/// Part of what a server bears that is used at most, however many homes there are: more than one of
-/// them may be replaced at the same time.
+/// Maximum fraction of the tolerated requests that is used, however many homes there are, as more
+/// than one of them may be replaced at the same time.
 const TOLERATED_SHARE_MAX: f64 = 2.0 / 3.0;
 
-/// Requests a second that a backend server takes from all instances together.
+/// Requests per second that a backend server accepts from all instances together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct RateLimit {
-    /// Finite, and not below zero.
+    /// Finite and not negative.
     per_s: f64,
 }
 
-/// A text that names no limit.
+/// The error for a text that is not a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRateLimit;
 
 impl RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     #[must_use]
     pub const fn per_s(self) -> f64 {
         self.per_s
     }
 
-    /// Requests within [`LIMIT_SPAN_US`] that the server takes; at least one, or it would never be used,
-    /// unless it takes none.
+    /// Requests within [`LIMIT_WINDOW_US`] that the server accepts. At least one, as the server
+    /// would otherwise never be used, unless the limit is 0.
     #[must_use]
     pub fn starts_allowed(self) -> u32 {
         self.at_least_one(self.per_s * LIMIT_WINDOW_S)
     }
 
-    /// Requests within [`LIMIT_SPAN_US`] that so many homes may start there together while no other
-    /// server has room, so that the server bears it also when one of them is replaced meanwhile.
+    /// Requests within [`LIMIT_WINDOW_US`] that this number of homes may start there together while
+    /// no other server is available. The server tolerates it even if one of the homes is replaced
+    /// within the window.
     #[must_use]
     pub fn starts_tolerated(self, homes: u32) -> u32 {
         let homes = f64::from(homes.max(1));
--- a/src/starts/home_share.rs
+++ b/src/starts/home_share.rs
@@ -1,26 +1,26 @@
-//! Who may start requests at a server that bears only some.
+//! How the homes of a service share the starts on a limited server.
 
 /// The homes that share the starts, as this instance sees them.
 ///
-/// Each server ranks the homes by a hash of its own, so who has more of one server's starts has less
-/// of another's, and no word between them is needed.
+/// The homes are ranked by a hash per server, so an instance with a larger share of one server has
+/// a smaller share of another, without coordination.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomeShare {
-    /// Homes by incarnation; `None` while this instance knows no other and may be one of many.
+    /// Incarnations of the homes; `None` while this instance knows no other and may be one of many.
     pub homes: Option<Vec<u64>>,
     /// Incarnation of this instance.
     pub own: u64,
 }
 
-/// The part of one instance in the starts at one server.
+/// Share of one instance in the starts on one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StartShare {
-    /// It knows no other instance, and may be one of many: it may start one.
+    /// Knows no other instance but may be one of many: it may start one request.
     #[default]
     Alone,
-    /// It is no home, and may start none.
+    /// Is not a home and may start none.
     NotHome,
-    /// It is the home of this rank, from 0, among so many.
+    /// Is a home, with this rank from 0 among this number of homes.
     Home { homes: u32, rank: u32 },
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl HomeShare {
-    /// The part of this instance at the server that `server_key` names.
+    /// The share of this instance in the starts on the server with this key.
     #[must_use]
     pub fn start_share(&self, server_key: u32) -> StartShare {
         let Some(homes) = &self.homes else {
@@ -46,7 +46,7 @@
 }
 
 impl StartShare {
-    /// Homes that share the starts, as far as known.
+    /// Number of homes that share the starts, as far as known.
     #[must_use]
     pub const fn homes(self) -> u32 {
         match self {
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Of so many starts those of this instance; the first homes get what does not divide evenly.
+    /// The part of `starts` that belongs to this instance. The remainder of the division goes to
+    /// the lowest ranks.
     #[must_use]
     pub fn of(self, starts: u32) -> u32 {
         match self {
--- a/src/starts/mod.rs
+++ b/src/starts/mod.rs
@@ -1,5 +1,5 @@
-//! Requests that this instance starts at backend servers which bear only so many from all instances
-//! together: what it started lately, and its part of them.
+//! Requests that this instance starts on backend servers which accept only a limited number from
+//! all instances together: its recent starts, and its share of the limit.
 
 mod home_share;
 mod start_window;
