--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,4 +1,4 @@
-//! Times of the decisions; not part of CI's verdict.
+//! Benchmarks of the decision functions; they do not affect the result of CI.
 
 use criterion::BenchmarkId;
 use criterion::Criterion;
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -1,4 +1,4 @@
-//! Cold backend servers: what all instances together send them in a second.
+//! Cold backend servers: the requests per second that all instances together send them.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -26,9 +26,9 @@
 
 const MS: u64 = 1_000;
 const SECOND_US: u64 = 1_000_000;
-const BOUND: ColdLimit = ColdLimit { per_s: 4.8, overage: 1.5, slack: 8.0 };
-/// `BOUND` in whole requests.
-const MOST: usize = 15;
+const LIMIT: ColdLimit = ColdLimit { per_s: 4.8, overage: 1.5, slack: 8.0 };
+/// `LIMIT` in whole requests.
+const REQUESTS_MAX: usize = 15;
 const WARMUP_MS: u64 = 3_000;
 
 fn row(id: &str, warmup_ms: u64) -> ServerRow {
@@ -39,9 +39,10 @@
     HomeShare { homes: Some(homes.to_vec()), own }
 }
 
-/// Parted or restarted instances each take themselves for homes, and crash a cold server together.
+/// Guards against partitioned or restarted instances that each consider themselves homes and
+/// together crash a cold server.
 #[test]
-fn three_views_of_the_homes_keep_the_bound_together() {
+fn three_views_of_the_homes_keep_the_limit_together() {
     common::property(400, |u| {
         let bound = ColdLimit {
             per_s: f64::from(u.int_in_range(0..=400)?) / 10.0,
@@ -63,28 +64,29 @@
     });
 }
 
-/// Starts are shared out whole: nothing of what a server may get is lost by dividing.
+/// Guards against starts that are lost to integer division between homes.
 #[test]
-fn the_homes_of_one_view_use_up_its_part() {
+fn the_homes_of_one_view_use_up_its_share() {
     for homes in 1..=40_u64 {
         let homes: Vec<u64> = (0..homes).collect();
         let sum: u32 = homes
             .iter()
-            .map(|own| share(&homes, *own).start_share(7).of(BOUND.starts_per_view()))
+            .map(|own| share(&homes, *own).start_share(7).of(LIMIT.starts_per_view()))
             .sum();
-        assert_eq!(sum, BOUND.starts_per_view());
-        assert_eq!(share(&homes, 1_000).start_share(7).of(BOUND.starts_per_view()), 0);
+        assert_eq!(sum, LIMIT.starts_per_view());
+        assert_eq!(share(&homes, 1_000).start_share(7).of(LIMIT.starts_per_view()), 0);
     }
 }
 
-/// Pattern: all cold, short work, more callers than slots; a slot is free again at once, and all send.
+/// Guards against exceeding the limit with short requests: all servers are cold, slots become free
+/// at once, and more callers than slots send through six homes.
 #[test]
-fn a_cold_server_of_short_work_gets_no_more_than_its_bound() {
+fn a_cold_server_with_short_requests_gets_no_more_than_its_limit() {
     let homes: Vec<u64> = (0..6).collect();
     let mut pools: Vec<ServicePool> = Vec::new();
     for own in &homes {
         let mut pool = ServicePool::default();
-        let rule = ColdRule { limit: Some(BOUND), warmup_us: WARMUP_MS * MS };
+        let rule = ColdRule { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
         pool.set_start_limits(rule, &Arc::new(share(&homes, *own)));
         pool.upsert_server(row("s0", WARMUP_MS), 0);
         pools.push(pool);
@@ -93,8 +95,8 @@
     let (mut most, mut all) = (0, 0);
     for now_us in (0..WARMUP_MS * MS).step_by(2_000) {
         for (pool, ticket) in pools.iter_mut().zip(now_us..) {
-            let ask = ask_now(now_us);
-            let Some(choice) = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5) else {
+            let spec = ask_now(now_us);
+            let Some(choice) = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5) else {
                 continue;
             };
             arrivals.push_back(now_us);
@@ -103,57 +105,58 @@
                 arrivals.pop_front();
             }
             most = most.max(arrivals.len());
-            pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + MS);
+            pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Answered, now_us + MS);
         }
     }
-    assert!(most <= MOST, "{most} within a second");
-    // Kept busy all the while: its rate is borne by it.
+    assert!(most <= REQUESTS_MAX, "{most} within a second");
+    // It is kept busy at the rate that it tolerates.
     assert!(all >= 8, "{all} in {WARMUP_MS} ms");
 }
 
-/// A request that was given a place and not sent takes nothing from the server's bound.
+/// Guards against requests that got a slot but were not sent, and still count against the limit.
 #[test]
-fn what_was_not_sent_is_not_counted() {
+fn unsent_requests_do_not_count_against_the_cold_limit() {
     let mut pool = ServicePool::default();
-    let rule = ColdRule { limit: Some(BOUND), warmup_us: WARMUP_MS * MS };
+    let rule = ColdRule { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
     pool.set_start_limits(rule, &Arc::new(share(&[1], 1)));
     pool.upsert_server(row("s0", WARMUP_MS), 0);
     for ticket in 1..100 {
         let now_us = ticket * MS;
-        let ask = ask_now(now_us);
-        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5).expect("room");
-        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Unsent, now_us);
+        let spec = ask_now(now_us);
+        let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5).expect("room");
+        pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Unsent, now_us);
     }
 }
 
-/// A server turns cold unasked between choice and send, and gets one request too many.
+/// Guards against a server that becomes cold between the selection and the send and gets a request
+/// too many.
 #[test]
-fn a_server_that_turns_cold_after_the_choice_is_no_place_any_more() {
+fn a_server_that_becomes_cold_after_selection_is_rejected() {
     let mut pool = ServicePool::default();
-    let rule = ColdRule { limit: Some(BOUND), warmup_us: WARMUP_MS * MS };
+    let rule = ColdRule { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
     pool.set_start_limits(rule, &Arc::new(share(&[1, 2, 3, 4, 5, 6], 1)));
     pool.upsert_server(row("s0", 0), 0);
     let key = server_key(&row("s0", 0));
     for ticket in 0..5 {
-        let ask = ask_now(MS);
-        let choice = pool.acquire_slot(ticket, &ask, "z", MS, &mut || 0.5).expect("a warm server");
-        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Refused, MS);
+        let spec = ask_now(MS);
+        let choice = pool.acquire_slot(ticket, &spec, "z", MS, &mut || 0.5).expect("a warm server");
+        pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Refused, MS);
     }
-    let asked = ask_now(2 * MS);
-    let choice = pool.acquire_slot(9, &asked, "z", 2 * MS, &mut || 0.5).expect("a warm server");
-    // Its slowness alone would be no reason.
+    let spec = ask_now(2 * MS);
+    let choice = pool.acquire_slot(9, &spec, "z", 2 * MS, &mut || 0.5).expect("a warm server");
+    // With ten times the expected time, slowness alone is no reason.
     let expected_ms = 10.0 * choice.expected_ms;
-    assert!(!pool.is_worse("s0", key, &asked, expected_ms, 2 * MS));
+    assert!(!pool.is_worse("s0", key, &spec, expected_ms, 2 * MS));
     pool.server_mut("s0").expect("listed").record_warmup_left(Some(WARMUP_MS), 3 * MS);
-    assert!(pool.is_worse("s0", key, &asked, expected_ms, 3 * MS));
+    assert!(pool.is_worse("s0", key, &spec, expected_ms, 3 * MS));
 }
 
-/// The entry of a server and its health answers contradict each other: the newer word counts.
+/// Platform entry and health checks of a server may contradict each other: the newer report counts.
 #[test]
-fn the_newer_word_on_being_cold_counts() {
+fn the_newer_report_on_the_warm_up_counts() {
     let mut state = ColdState::new(WARMUP_MS, 0);
     assert!(!state.is_warm(MS));
-    // One that never told that it is cold says nothing of it by silence.
+    // A server that never reported itself as cold says nothing by omitting it.
     state.record_health(None, 2 * MS);
     assert!(!state.is_warm(2 * MS));
     state.record_health(Some(2_000), 3 * MS);
@@ -168,9 +171,10 @@
     assert!(state.is_warm((7 + WARMUP_MS) * MS));
 }
 
-/// A zone is given back cold before anybody said so, and its callers crash it.
+/// Guards against crashing the servers of a zone that return cold from an evacuation before they
+/// have reported it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_that_is_given_back_cold_is_not_crashed() {
+async fn a_zone_readmitted_cold_is_not_crashed() {
     let bed = RoutedBed::start(&["a", "a"]).await;
     let server = RawServer::spawn("s1").await;
     let mut config: serde_json::Value = serde_json::from_str(&two_routes(1)).expect("JSON");
@@ -184,7 +188,7 @@
     }
     bed.store.put(&format!("{EVACUATIONS_PREFIX}a"), "{}");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    server.grow_cold(Duration::from_millis(WARMUP_MS), MOST);
+    server.grow_cold(Duration::from_millis(WARMUP_MS), REQUESTS_MAX);
     bed.store.remove(&format!("{EVACUATIONS_PREFIX}a"));
     let began = Instant::now();
     while began.elapsed() < Duration::from_millis(1_500) {
@@ -193,10 +197,15 @@
         }
     }
     assert!(server.crashed_at().is_empty());
-    assert!((1..=MOST).contains(&server.cold_arrivals_most()), "{}", server.cold_arrivals_most());
+    assert!(
+        (1..=REQUESTS_MAX).contains(&server.cold_arrivals_most()),
+        "{}",
+        server.cold_arrivals_most()
+    );
 }
 
-/// Pattern: all servers slower than usual; nearly everybody is refused beside free slots.
+/// Guards against counting the slowness of all servers twice, in the usual time and in their
+/// slowdown: nearly all requests would be refused although slots are free.
 #[test]
 fn slowness_of_all_servers_is_counted_once() {
     let mut pool = ServicePool::default();
@@ -206,15 +215,21 @@
     let slow = LoadReport { running: 0, waiting: 0, pace_percent: 200 };
     for ticket in 0..400 {
         let now_us = (ticket + 1) * 5 * MS;
-        let ask = ask_now(now_us);
-        let choice = pool.acquire_slot(ticket, &ask, "z", now_us, &mut || 0.5);
-        let choice = choice.unwrap_or_else(|| panic!("request {ticket} finds no place"));
+        let spec = ask_now(now_us);
+        let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5);
+        let choice = choice.unwrap_or_else(|| panic!("request {ticket} finds no server"));
         let server = pool.server_mut(&choice.server).expect("listed");
         server.record_load(slow, now_us + MS);
         server.record_warmup_left(Some(WARMUP_MS), now_us + MS);
-        // Usual work of 220 ms, of 600 that it may take.
+        // The usual time is 220 ms of a target of 600 ms.
         assert!(choice.expected_ms < 600.0, "request {ticket}: {choice:?}");
-        pool.finish_request(&choice.server, ticket, &ask, SendOutcome::Answered, now_us + 440 * MS);
+        pool.finish_request(
+            &choice.server,
+            ticket,
+            &spec,
+            SendOutcome::Answered,
+            now_us + 440 * MS,
+        );
     }
     let usual_ms = pool.typical_ms(&ask_now(0));
     assert!((200.0..280.0).contains(&usual_ms), "{usual_ms} ms");
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,5 +1,5 @@
-//! The decisions: against naive versions where they must agree, against the oracle and bounds of
-//! counts where they must win, and without allocation where requests pass.
+//! Decision functions: against baseline policies where they must agree, against the oracle and
+//! fixed bounds where they must be better, and without allocation on the request path.
 
 use sorrelwick::decide::Admission;
 use sorrelwick::decide::AttemptOutcome;
@@ -25,10 +25,10 @@
 
 const NOW_US: u64 = 1_000_000_000;
 
-/// With nothing known but own requests in flight, and room everywhere, the choice is the naive
-/// least-in-flight one.
+/// If only the own requests in flight are known and all servers have free slots, the choice is that
+/// of the least-in-flight baseline.
 #[test]
-fn choosing_agrees_with_least_in_flight_when_nothing_else_is_known() {
+fn selection_agrees_with_least_in_flight_when_nothing_else_is_known() {
     property(500, |u| {
         let count = u.int_in_range(1..=40)?;
         let mut loads = Vec::new();
@@ -40,16 +40,16 @@
         let in_flight: Vec<u32> = loads.iter().map(|load| load.in_flight).collect();
         let ours =
             choose_server(&loads, ServerScope::Own, &[], 0.0, u.choose_index(count)?, NOW_US);
-        let naive = baseline::least_in_flight(&in_flight).expect("a server");
-        assert_eq!(in_flight[ours.expect("room everywhere")], in_flight[naive]);
+        let expected = baseline::least_in_flight(&in_flight).expect("a server");
+        assert_eq!(in_flight[ours.expect("room everywhere")], in_flight[expected]);
         Ok(())
     });
 }
 
-/// No sequence of starts and ends gives out more slots than there are, or chooses a server that
-/// is closed, avoided or not kept.
+/// No sequence of starts and ends assigns more slots than there are, or selects a server that is
+/// closed, avoided or kept by another home.
 #[test]
-fn no_slot_is_given_out_twice_and_no_closed_server_is_chosen() {
+fn no_slot_is_assigned_twice_and_no_closed_server_is_selected() {
     property(300, |u| {
         let mut loads = Vec::new();
         for _ in 0..u.int_in_range(1..=8)? {
@@ -89,8 +89,8 @@
     });
 }
 
-/// Story: one of six servers fails each request at once and so always looks idle. It must not
-/// attract the traffic of all; and when all fail, not all may be ejected.
+/// Guards against a server that fails instantly, looks idle and attracts all requests. If all
+/// servers fail, not all of them may be ejected.
 #[test]
 fn a_server_that_fails_instantly_is_ejected_but_never_all() {
     let mut pool = SlotPool::new(vec![ServerLoad::warm(4); 6], 1);
@@ -116,8 +116,8 @@
     }
 }
 
-/// Story: a quiet service, one request at a time. All its servers must get some of them: else the
-/// figures of the others are never refreshed, and a server that was slow once stays unused.
+/// Guards against a quiet service that sends all requests to one server: the latencies of the
+/// others are never updated, and a server that was slow once stays unused.
 #[test]
 fn a_quiet_service_uses_all_its_servers() {
     let mut pool = SlotPool::new(vec![ServerLoad::warm(4); 6], 1);
@@ -126,16 +126,16 @@
         let now_us = NOW_US + turn * 2_000;
         let index = pool.acquire_slot(ServerScope::Own, &[], now_us).expect("room");
         used[index] += 1;
-        // Each server is a little different, and the first was very slow in the beginning.
+        // Servers differ a little, and the first one is very slow at the beginning.
         let latency_us = 900 + 30 * index as u64 + if index == 0 && turn < 50 { 9_000 } else { 0 };
         pool.release_slot(index, AttemptOutcome::Answered { latency_us }, now_us + 1_000);
     }
     assert!(used.iter().all(|count| *count > 50), "{used:?}");
 }
 
-/// Extra work is bounded by its share of the requests, whatever fails.
+/// Extra attempts are limited to their share of the requests, whatever fails.
 #[test]
-fn extra_work_is_a_share_of_the_requests() {
+fn extra_attempts_are_a_share_of_the_requests() {
     property(200, |u| {
         let mut budget = RatioBudget::new(0.02);
         let requests = u.int_in_range(1..=5_000)?;
@@ -149,9 +149,9 @@
     });
 }
 
-/// What must not repeat is tried again only when it was not run.
+/// A request that is not idempotent is retried only if it did not run.
 #[test]
-fn only_idempotent_or_not_run_is_tried_again() {
+fn only_idempotent_or_unrun_requests_are_retried() {
     property(500, |u| {
         let view = RetryView {
             idempotent: u.arbitrary()?,
@@ -169,10 +169,10 @@
     });
 }
 
-/// Whoever is admitted to wait can run before the deadline as far as is known; whoever is not
-/// is told when to come back.
+/// An admitted request can run before its deadline as far as known, and a refused one gets a
+/// retry-after time.
 #[test]
-fn nobody_waits_in_vain_and_everybody_refused_is_told_when() {
+fn admitted_requests_can_run_and_refused_ones_get_a_retry_time() {
     property(500, |u| {
         let view = QueueView {
             waiting: u.int_in_range(0..=2_000)?,
@@ -194,9 +194,9 @@
     });
 }
 
-/// Taking and giving back a slot allocates nothing.
+/// Acquiring and releasing a slot does not allocate.
 #[test]
-fn choosing_allocates_nothing() {
+fn selection_does_not_allocate() {
     let mut pool = SlotPool::new(vec![ServerLoad::warm(4); 1_000], 1);
     let seen = allocation_counter::measure(|| {
         for turn in 0..1_000 {
@@ -216,8 +216,8 @@
     Scene { size, seconds: 20, ..Scene::default() }
 }
 
-/// Bounds for regressions, on seeded counts: the same on every run. The figures that they are
-/// drawn from are in docs/MEASUREMENTS.md.
+/// Regression bounds on seeded runs, which give the same counts each time. The figures behind the
+/// bounds are in docs/MEASUREMENTS.md.
 #[test]
 fn steady_load_stays_within_a_twentieth_of_the_oracle() {
     for size in
@@ -234,8 +234,8 @@
 }
 
 #[test]
-fn shifting_load_beats_the_naive_version_and_stays_near_the_oracle() {
-    for (size, of_naive, of_oracle) in [
+fn shifting_load_beats_the_baseline_and_stays_near_the_oracle() {
+    for (size, of_baseline, of_oracle) in [
         (ServiceSize::Catalogue, 0.45, 1.4),
         (ServiceSize::Portal, 0.45, 1.4),
         (ServiceSize::Orders, 0.60, 1.65),
@@ -243,9 +243,9 @@
     ] {
         let scene = Scene { slow_third: true, ..scene(size) };
         let (ours, oracle) = pair(&scene, Policy::KeepersPullHedge);
-        let naive = run_trial(&scene, Policy::SprayRoundRobin);
+        let baseline_run = run_trial(&scene, Policy::SprayRoundRobin);
         let line = format!("{size:?}: {}", ours.line(""));
-        assert!(ours.ms(0.99) <= of_naive * naive.ms(0.99), "{line}");
+        assert!(ours.ms(0.99) <= of_baseline * baseline_run.ms(0.99), "{line}");
         assert!(ours.ms(0.99) <= of_oracle * oracle.ms(0.99), "{line}");
         assert!(ours.ms(0.999) <= 2.5 * oracle.ms(0.999), "{line}");
         assert!(ours.per_thousand(ours.hedges + ours.retries) <= 50.0, "{line}");
@@ -262,15 +262,16 @@
     }
 }
 
-/// Story: for ten seconds half as much again arrives as the servers can do. They stay busy with
-/// work that counts, the rest is refused at once, and when it is over nobody waits for long.
+/// Guards against overload that outlasts its cause: for ten seconds 1.5 times the capacity arrives.
+/// The servers stay busy with useful work, the rest is refused at once, and afterwards nobody waits
+/// for long.
 #[test]
-fn overload_is_refused_and_over_when_it_is_over() {
+fn overload_is_refused_and_does_not_outlast_its_cause() {
     let scene = Scene { overload_s: Some((5, 15, 1.5)), ..scene(ServiceSize::Catalogue) };
     let ours = run_trial(&scene, Policy::KeepersPullHedge);
     assert!(ours.refused > 0);
     assert!(ours.recovery_ms > 0 && ours.recovery_ms < 3_000, "{} ms", ours.recovery_ms);
-    // 120 slots of 10 ms: 12,000 a second for 10 s, and 80% of that for the other 8 counted.
+    // 120 slots of 10 ms: 12,000 per second for 10 s, and 80% of that for the other 8 s counted.
     let capacity = 12_000.0 * (10.0 + 0.8 * 8.0);
     let goodput = f64::from(u32::try_from(ours.answered).unwrap_or(u32::MAX)) / capacity;
     assert!(goodput >= 0.95, "goodput {goodput}");
@@ -280,7 +281,10 @@
 fn one_failing_server_costs_almost_no_answer() {
     let scene = Scene { failing_server: true, load: 0.5, ..scene(ServiceSize::Orders) };
     let ours = run_trial(&scene, Policy::KeepersPullHedge);
-    let naive = run_trial(&scene, Policy::SprayRoundRobin);
+    let baseline_run = run_trial(&scene, Policy::SprayRoundRobin);
     assert!(ours.per_thousand(ours.failed) < 2.0, "{} failed", ours.failed);
-    assert!(naive.per_thousand(naive.failed) > 100.0, "the scene must hurt the naive version");
+    assert!(
+        baseline_run.per_thousand(baseline_run.failed) > 100.0,
+        "the scenario must affect the baseline"
+    );
 }
--- a/tests/load_words.rs
+++ b/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What homes tell each other of the backend servers, in bytes, without network.
+//! Size of the load reports that homes send each other about the backend servers, without network.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,16 +25,18 @@
 use sorrelwick::peer::encode;
 use standins::routed::bed_settings;
 
-/// Servers of one home's part of a large zone.
+/// Servers in one home's partition of a large zone.
 const SERVERS: u16 = 125;
 const CHECKS_PER_S: u64 = 8;
 const SECONDS: u64 = 10;
-/// What an instance may spend on control.
+/// Limit on the control traffic of an instance, in bytes per second.
 const CONTROL_MAX_BYTES_PER_S: usize = 5_000;
-const NEAR: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 2);
-const FAR: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 3);
+const SAME_ZONE_PEER: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 2);
+const OTHER_ZONE_PEER: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 3);
 
-/// Takes note of what each peer is told.
+/// Records the bytes sent to each peer.
 #[derive(Clone, Debug, Default)]
 struct Recorder {
     bytes: Arc<Mutex<HashMap<SocketAddr, usize>>>,
@@ -93,8 +95,8 @@
     }
 }
 
-/// A request that lasts.
-fn long_ask() -> RequestSpec {
+/// The requirements of a long-running request.
+fn long_spec() -> RequestSpec {
     RequestSpec {
         route: "look".into(),
         workspace: None,
@@ -107,11 +109,12 @@
     }
 }
 
-/// Pattern: paces that shift with each health check; telling them to all zones cost more than answers earn.
+/// Guards against sending slowdowns that shift with each health check to all zones, which costs
+/// more than it is worth.
 #[tokio::test(start_paused = true)]
-async fn the_pace_of_servers_does_not_travel_between_zones() {
+async fn server_slowdowns_are_not_sent_between_zones() {
     let board = board();
-    for row in [member(2, "a", NEAR), member(3, "b", FAR)] {
+    for row in [member(2, "a", SAME_ZONE_PEER), member(3, "b", OTHER_ZONE_PEER)] {
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
@@ -120,11 +123,11 @@
     (1..=SERVERS).for_each(|port| dispatcher.list_server(server(port)));
     let servers = dispatcher.servers();
     let links = Recorder::default();
-    let share = LoadReporter { board, links: links.clone(), dispatcher: dispatcher.clone() };
-    let running = tokio::spawn(share.run());
-    // A request keeps the instance busy, as on a day.
-    let ask = long_ask();
-    let grant = dispatcher.try_acquire_spare("parts", &ask).expect("a slot");
+    let reporter = LoadReporter { board, links: links.clone(), dispatcher: dispatcher.clone() };
+    let running = tokio::spawn(reporter.run());
+    // A request in flight keeps the instance busy.
+    let spec = long_spec();
+    let grant = dispatcher.try_acquire_spare("parts", &spec).expect("a slot");
     for check in 0..SECONDS * CHECKS_PER_S {
         for (number, server) in servers.iter().enumerate() {
             dispatcher.record_use(server);
@@ -144,23 +147,30 @@
     }
     running.abort();
     drop(grant);
-    let told = |peer| links.bytes.lock().get(&peer).copied().unwrap_or(0);
-    let far = told(FAR) / usize::try_from(SECONDS).expect("few");
-    println!("{} bytes near, {} far", told(NEAR), told(FAR));
-    assert!(told(FAR) > 0, "it is told of requests");
-    assert!(told(NEAR) > told(FAR), "pace is told in the zone");
-    // Of 24 homes 16 are of other zones.
-    assert!(far * 16 < CONTROL_MAX_BYTES_PER_S, "{far} bytes a second");
+    let bytes_to = |peer| links.bytes.lock().get(&peer).copied().unwrap_or(0);
+    let other_zone_per_s = bytes_to(OTHER_ZONE_PEER) / usize::try_from(SECONDS).expect("few");
+    println!(
+        "{} bytes to the same zone, {} to another",
+        bytes_to(SAME_ZONE_PEER),
+        bytes_to(OTHER_ZONE_PEER)
+    );
+    assert!(bytes_to(OTHER_ZONE_PEER) > 0, "requests are reported to other zones");
+    assert!(
+        bytes_to(SAME_ZONE_PEER) > bytes_to(OTHER_ZONE_PEER),
+        "slowdowns are reported in the zone"
+    );
+    // 16 of 24 homes are in other zones.
+    assert!(other_zone_per_s * 16 < CONTROL_MAX_BYTES_PER_S, "{other_zone_per_s} bytes per second");
 }
 
-/// Guards against words that grow with instances times homes: each of hundreds that are no homes, with a
-/// request now and then, tells the homes of all zones.
+/// Guards against reports that grow with instances times homes: hundreds of instances that are not
+/// homes, each with an occasional request, must not report to the homes of all zones.
 #[tokio::test(start_paused = true)]
-async fn an_instance_that_is_no_home_tells_only_the_homes_of_its_zone() {
+async fn an_instance_that_is_not_a_home_reports_only_to_the_homes_of_its_zone() {
     let mut settings = bed_settings("i", "a", &["a", "b"], &[]);
     settings.instance.cpu_share = 0.1;
     let board = Arc::new(Blackboard::new(settings, 1));
-    for row in [member(2, "a", NEAR), member(3, "b", FAR)] {
+    for row in [member(2, "a", SAME_ZONE_PEER), member(3, "b", OTHER_ZONE_PEER)] {
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
@@ -168,13 +178,13 @@
     let dispatcher = Dispatcher::new("a", allowance);
     dispatcher.list_server(server(1));
     let links = Recorder::default();
-    let share = LoadReporter { board, links: links.clone(), dispatcher: dispatcher.clone() };
-    let running = tokio::spawn(share.run());
-    let grant = dispatcher.try_acquire_spare("parts", &long_ask()).expect("a slot");
+    let reporter = LoadReporter { board, links: links.clone(), dispatcher: dispatcher.clone() };
+    let running = tokio::spawn(reporter.run());
+    let grant = dispatcher.try_acquire_spare("parts", &long_spec()).expect("a slot");
     tokio::time::sleep(Duration::from_secs(SECONDS)).await;
     running.abort();
     drop(grant);
-    let told = |peer| links.bytes.lock().get(&peer).copied().unwrap_or(0);
-    assert!(told(NEAR) > 0, "a home of its zone uses the same servers");
-    assert_eq!(told(FAR), 0);
+    let bytes_to = |peer| links.bytes.lock().get(&peer).copied().unwrap_or(0);
+    assert!(bytes_to(SAME_ZONE_PEER) > 0, "a home of its zone uses the same servers");
+    assert_eq!(bytes_to(OTHER_ZONE_PEER), 0);
 }
--- a/tests/near_servers.rs
+++ b/tests/server_subset.rs
@@ -1,4 +1,4 @@
-//! Choosing among thousands of servers: what a request costs must not grow with them.
+//! Selection among thousands of servers: the cost per request must not grow with their number.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,28 +26,29 @@
     pool
 }
 
-fn part(place: usize, homes: usize) -> ServerSubset {
-    ServerSubset { zone: ZONE.into(), index: place, homes }
+fn partition(index: usize, homes: usize) -> ServerSubset {
+    ServerSubset { zone: ZONE.into(), index, homes }
 }
 
-/// Time of so many requests, one after the other, each with others waiting or not.
-fn time_of(servers: usize) -> Duration {
+/// Time of sequential requests, each with an attempt to dispatch from the queue; the shortest of
+/// five runs.
+fn shortest_time(servers: usize) -> Duration {
     const REQUESTS: u64 = 400;
     let mut pool = pool_of(servers);
-    pool.set_subset(Some(&part(0, 4)));
+    pool.set_subset(Some(&partition(0, 4)));
     let mut random = || 0.5;
     let mut shortest = Duration::MAX;
     for run in 0..5 {
         let began = Instant::now();
         for number in 0..REQUESTS {
             let now_us = (1 + run * REQUESTS + number) * 10 * MS;
-            let ask = ask_now(now_us);
-            let choice = pool.acquire_slot(number, &ask, ZONE, now_us, &mut random).expect("room");
+            let spec = ask_now(now_us);
+            let choice = pool.acquire_slot(number, &spec, ZONE, now_us, &mut random).expect("room");
             assert!(pool.dispatch_queued(ZONE, now_us, &mut random).is_none());
             pool.finish_request(
                 &choice.server,
                 number,
-                &ask,
+                &spec,
                 SendOutcome::Answered,
                 now_us + 5 * MS,
             );
@@ -57,45 +58,48 @@
     shortest
 }
 
-/// Guards against homes that spend their processor on looking at thousands of servers for each request.
+/// Guards against homes that spend their CPU time on scanning thousands of servers for each
+/// request.
 #[test]
 fn a_request_costs_the_same_among_one_and_sixteen_thousand_servers() {
-    let (few, many) = (time_of(1_000), time_of(16_000));
+    let (few, many) = (shortest_time(1_000), shortest_time(16_000));
     println!("{few:?} among 1,000, {many:?} among 16,000");
     assert!(many < few * 3, "{few:?} among 1,000, {many:?} among 16,000");
 }
 
 /// Guards against homes of a zone that all keep connections to the same servers.
 #[test]
-fn each_home_chooses_among_servers_of_its_own_first() {
+fn each_home_prefers_its_own_servers() {
     let pool = pool_of(2_000);
-    let near = |place| part(place, 4).select_if_larger(&pool.servers).expect("there are many");
-    let mut all: Vec<usize> = (0..4).flat_map(near).collect();
+    let preferred =
+        |index| partition(index, 4).select_if_larger(&pool.servers).expect("there are many");
+    let mut all: Vec<usize> = (0..4).flat_map(preferred).collect();
     all.sort_unstable();
     let count = all.len();
     all.dedup();
     assert_eq!((count, all.len()), (4 * SUBSET_MAX, 4 * SUBSET_MAX));
     assert_eq!(
-        part(0, 4).select_if_larger(&pool_of(4 * SUBSET_MAX / 2).servers),
+        partition(0, 4).select_if_larger(&pool_of(4 * SUBSET_MAX / 2).servers),
         None,
-        "few are all near"
+        "a small partition needs no subset"
     );
 }
 
-/// Guards against requests that wait although far servers have room.
+/// Guards against requests that wait although servers outside the subset have free slots.
 #[test]
-fn while_no_near_server_has_room_the_others_are_used() {
+fn other_servers_are_used_while_no_preferred_one_is_available() {
     let mut pool = pool_of(1_000);
-    pool.set_subset(Some(&part(0, 4)));
-    let near = part(0, 4).select_if_larger(&pool.servers).expect("there are many");
-    let near: Vec<_> = near.iter().map(|at| Arc::clone(&pool.servers[*at].row.id)).collect();
+    pool.set_subset(Some(&partition(0, 4)));
+    let preferred = partition(0, 4).select_if_larger(&pool.servers).expect("there are many");
+    let preferred: Vec<_> =
+        preferred.iter().map(|at| Arc::clone(&pool.servers[*at].row.id)).collect();
     let mut random = || 0.5;
-    let mut far = 0;
-    // One look at all servers each 5 ms is enough for as many requests.
+    let mut others = 0;
+    // All servers are scanned at most every 5 ms, so requests come at 6 ms intervals.
     for number in 0..1_000 {
         let now_us = (1 + number) * 6 * MS;
         let choice = pool.acquire_slot(number, &ask_now(now_us), ZONE, now_us, &mut random);
-        far += u32::from(!near.contains(&choice.expect("room").server));
+        others += u32::from(!preferred.contains(&choice.expect("room").server));
     }
-    assert!(far > 500, "{far} went to far ones");
+    assert!(others > 500, "{others} went to servers outside the subset");
 }
