--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -21,15 +21,17 @@
 }
 
 /// Asserts that no id ran twice, and that the last answer to one that ran is not `not-run`.
-fn assert_at_most_once(bed: &Bed, told: &HashMap<String, Vec<Told>>) {
+fn assert_at_most_once(bed: &Bed, answers_by_id: &HashMap<String, Vec<Told>>) {
     let counts = bed.run_counts();
-    for (id, answers) in told {
+    for (id, answers) in answers_by_id {
         let runs = counts.get(id).copied().unwrap_or(0);
         assert!(runs <= 1, "{id} ran {runs} times: {answers:?}");
         let last = answers.last();
-        let denied = last.is_some_and(|told| told.outcome() == "not-run");
+        let denied = last.is_some_and(|answer| answer.outcome() == "not-run");
         assert!(runs == 0 || !denied, "{id} ran, and its last answer is not-run: {answers:?}");
-        for answer in answers.iter().filter(|told| told.outcome() == "ran" && told.code() == 0) {
+        for answer in
+            answers.iter().filter(|answer| answer.outcome() == "ran" && answer.code() == 0)
+        {
             assert_eq!(answer.body(), &body_for(id, BYTES)[..], "{id}");
         }
     }
@@ -42,12 +44,12 @@
     let bed = Bed::start(BedPlan { instances: 4, ..BedPlan::default() }).await;
     bed.create("orders").await;
     let addresses = bed.caller_addresses();
-    let mut told: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
     for number in 0..40 {
         let id = format!("o-{number}");
         let caller = bed.caller("orders", number);
-        let named = caller.addresses().await;
-        let key = format!("{}-{id}", named[0].key_prefix);
+        let listed = caller.addresses().await;
+        let key = format!("{}-{id}", listed[0].key_prefix);
         let mut work = JoinSet::new();
         for address in addresses.iter().copied() {
             let (caller, call) = (caller.clone(), order(&id).with_key(&key));
@@ -55,10 +57,10 @@
         }
         let mut answers = work.join_all().await;
         answers.push(caller.call_at(addresses[number % 4], &order(&id).with_key(&key)).await);
-        assert!(answers.iter().all(|told| told.outcome() == "ran"), "{answers:?}");
-        told.insert(id, answers);
+        assert!(answers.iter().all(|answer| answer.outcome() == "ran"), "{answers:?}");
+        answers_by_id.insert(id, answers);
     }
-    assert_at_most_once(&bed, &told);
+    assert_at_most_once(&bed, &answers_by_id);
     assert_eq!(bed.run_counts().len(), 40);
 }
 
@@ -69,12 +71,12 @@
     let bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
-    for (at, named) in caller.addresses().await.into_iter().enumerate() {
+    for (at, listed) in caller.addresses().await.into_iter().enumerate() {
         let id = format!("owner-{at}");
-        let call = order(&id).with_key(&format!("{}-{id}", named.key_prefix));
-        let first = caller.call_at(named.address, &call).await;
+        let call = order(&id).with_key(&format!("{}-{id}", listed.key_prefix));
+        let first = caller.call_at(listed.address, &call).await;
         assert_eq!(first.body(), &body_for(&id, BYTES)[..]);
-        assert_eq!(caller.call_at(named.address, &call).await, first);
+        assert_eq!(caller.call_at(listed.address, &call).await, first);
     }
 }
 
@@ -85,7 +87,7 @@
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
     let addresses = bed.caller_addresses();
-    let mut told: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
     for number in 0..30 {
         let id = format!("p-{number}");
         let caller = bed.caller("orders", number);
@@ -97,10 +99,10 @@
             let (caller, call) = (caller.clone(), order(&id).with_key(&format!("shop-7-{id}")));
             work.spawn(async move { caller.call_at(address, &call).await });
         }
-        told.insert(id, work.join_all().await);
+        answers_by_id.insert(id, work.join_all().await);
     }
-    assert_at_most_once(&bed, &told);
-    let ran = told.values().flatten().filter(|told| told.outcome() == "ran").count();
+    assert_at_most_once(&bed, &answers_by_id);
+    let ran = answers_by_id.values().flatten().filter(|answer| answer.outcome() == "ran").count();
     assert!(ran >= 60, "most requests must run despite lost answers: {ran}");
 }
 
@@ -116,21 +118,21 @@
     let first = caller.call_at(addresses[0], &order("ran").with_key("plain-ran")).await;
     assert_eq!(first.outcome(), "ran");
     bed.stop_platform();
-    let mut told: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
     for address in &addresses {
         for id in ["ran", "new"] {
             let call = order(id).with_key(&format!("plain-{id}")).within_ms(2_000);
             let answer = caller.call_at(*address, &call).await;
             assert_eq!(answer.outcome(), "unknown", "{id}: {answer:?}");
-            told.entry(id.into()).or_default().push(answer);
+            answers_by_id.entry(id.into()).or_default().push(answer);
         }
     }
     let (_, bound) = caller.call_keyed(&order("bound")).await;
     assert_eq!(bound.outcome(), "ran");
     bed.start_platform().await;
-    let again = caller.call_at(addresses[1], &order("ran").with_key("plain-ran")).await;
-    assert_eq!(again, first, "the first answer, once the store names its owner again");
-    assert_at_most_once(&bed, &told);
+    let repeat = caller.call_at(addresses[1], &order("ran").with_key("plain-ran")).await;
+    assert_eq!(repeat, first, "the first answer, once the store names its owner again");
+    assert_at_most_once(&bed, &answers_by_id);
 }
 
 /// An instance is killed while it runs keyed requests: some not yet sent to a server, some in
@@ -144,13 +146,13 @@
     bed.create("filings").await;
     let addresses = bed.caller_addresses();
     let caller = Caller::new("filings", "burnaby", &addresses);
-    let named = caller.addresses().await;
-    let victim = named[0].address;
+    let listed = caller.addresses().await;
+    let victim = listed[0].address;
     let victim_at = addresses.iter().position(|a| *a == victim).expect("a known address");
     let mut work = JoinSet::new();
     for number in 0..60 {
         let id = format!("f-{number}");
-        let key = format!("{}-{id}", named[0].key_prefix);
+        let key = format!("{}-{id}", listed[0].key_prefix);
         let caller = caller.clone();
         let call = order(&id).with_key(&key).within_ms(3_000);
         work.spawn(async move {
@@ -161,17 +163,19 @@
     }
     tokio::time::sleep(Duration::from_millis(20)).await;
     bed.kill(victim_at);
-    let mut told: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
     for (id, call, first) in work.join_all().await {
         let mut answers = vec![first];
         for address in addresses.iter().filter(|address| **address != victim) {
             answers.push(caller.call_at(*address, &call).await);
         }
-        told.insert(id, answers);
+        answers_by_id.insert(id, answers);
     }
-    assert_at_most_once(&bed, &told);
-    let broken =
-        told.values().filter(|answers| !matches!(answers[0], Told::Answered { .. })).count();
+    assert_at_most_once(&bed, &answers_by_id);
+    let broken = answers_by_id
+        .values()
+        .filter(|answers| !matches!(answers[0], Told::Answered { .. }))
+        .count();
     assert!(broken > 0, "the kill must interrupt requests, or the test proves nothing");
 }
 
@@ -183,36 +187,36 @@
     bed.create("orders").await;
     let addresses = bed.caller_addresses();
     let caller = Caller::new("orders", "burnaby", &addresses);
-    let named = caller.addresses().await;
-    let owner = named[0].address;
+    let listed = caller.addresses().await;
+    let owner = listed[0].address;
     let at = addresses.iter().position(|address| *address == owner).expect("known");
-    let mut told: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
     let mut calls = Vec::new();
     for number in 0..30 {
         let id = format!("s-{number}");
-        let call = order(&id).with_key(&format!("{}-{id}", named[0].key_prefix));
-        told.insert(id.clone(), vec![caller.call_at(owner, &call).await]);
+        let call = order(&id).with_key(&format!("{}-{id}", listed[0].key_prefix));
+        answers_by_id.insert(id.clone(), vec![caller.call_at(owner, &call).await]);
         calls.push((id, call));
     }
     bed.daemons[at].take().expect("runs").stop().await;
     for (id, call) in &calls {
         for address in addresses.iter().filter(|address| **address != owner) {
-            let again = caller.call_at(*address, call).await;
-            let answers = told.get_mut(id).expect("was sent");
-            assert_eq!(again, answers[0], "{id} repeated after the hand-over");
-            answers.push(again);
+            let repeat = caller.call_at(*address, call).await;
+            let answers = answers_by_id.get_mut(id).expect("was sent");
+            assert_eq!(repeat, answers[0], "{id} repeated after the hand-over");
+            answers.push(repeat);
         }
     }
     // A key that the stopped instance never saw runs at its successor, once.
-    let fresh = order("fresh").with_key(&format!("{}-fresh", named[0].key_prefix));
+    let fresh = order("fresh").with_key(&format!("{}-fresh", listed[0].key_prefix));
     let others: Vec<_> = addresses.iter().filter(|address| **address != owner).collect();
     let mut answers = Vec::new();
     for address in others {
         answers.push(caller.call_at(*address, &fresh).await);
     }
-    assert!(answers.iter().all(|told| told.outcome() == "ran"), "{answers:?}");
-    told.insert("fresh".into(), answers);
-    assert_at_most_once(&bed, &told);
+    assert!(answers.iter().all(|answer| answer.outcome() == "ran"), "{answers:?}");
+    answers_by_id.insert("fresh".into(), answers);
+    assert_at_most_once(&bed, &answers_by_id);
 }
 
 /// In a rolling restart, each instance hands its outcomes to a successor. An order that is repeated
@@ -223,11 +227,11 @@
     bed.create("orders").await;
     let addresses = bed.caller_addresses();
     let caller = Caller::new("orders", "burnaby", &addresses);
-    let named = caller.addresses().await;
-    let call = order("rolled").with_key(&format!("{}-rolled", named[0].key_prefix));
-    let first = caller.call_at(named[0].address, &call).await;
+    let listed = caller.addresses().await;
+    let call = order("rolled").with_key(&format!("{}-rolled", listed[0].key_prefix));
+    let first = caller.call_at(listed[0].address, &call).await;
     assert_eq!(first.outcome(), "ran");
-    let mut owner = addresses.iter().position(|a| *a == named[0].address).expect("known");
+    let mut owner = addresses.iter().position(|a| *a == listed[0].address).expect("known");
     for _ in 0..2 {
         let own = bed.daemon(owner).board().incarnation;
         bed.daemons[owner].take().expect("runs").stop().await;
@@ -255,8 +259,8 @@
     assert_eq!(first.outcome(), "ran");
     bed.operator(0).delete("orders", 1).await.expect("deleted");
     until("it is gone", async || bed.boards().iter().all(|b| b.services().is_empty())).await;
-    let again = caller.call(&order("known").with_key(&key.expect("a key"))).await;
-    assert_eq!((again.outcome(), again.code()), ("unknown", 2002));
+    let repeat = caller.call(&order("known").with_key(&key.expect("a key"))).await;
+    assert_eq!((repeat.outcome(), repeat.code()), ("unknown", 2002));
     let plain = caller.call(&order("never")).await;
     assert_eq!((plain.outcome(), plain.code()), ("not-run", 2002));
 }
@@ -272,11 +276,11 @@
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
-    let named = caller.addresses().await;
+    let listed = caller.addresses().await;
     let links = Links::new(&bed.boards()[0].settings.peers.secret);
     for (at, board) in bed.boards().iter().enumerate() {
         let id = format!("d-{at}");
-        let key = format!("{}-{id}", named[0].key_prefix);
+        let key = format!("{}-{id}", listed[0].key_prefix);
         let head = PassHead {
             fingerprints: sorrelwick::quarantine::Fingerprints::of(
                 std::net::Ipv4Addr::LOCALHOST.into(),
@@ -296,8 +300,8 @@
         };
         let passed = links.pass(board.settings.listen.peer, &head, &bytes::Bytes::new()).await;
         assert!(passed.is_ok());
-        let again = caller.call(&order(&id).with_key(&key)).await;
-        assert_at_most_once(&bed, &HashMap::from([(id, vec![again])]));
+        let repeat = caller.call(&order(&id).with_key(&key)).await;
+        assert_at_most_once(&bed, &HashMap::from([(id, vec![repeat])]));
     }
 }
 
@@ -329,16 +333,16 @@
     let bed = Bed::start(plan).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
-    let named = caller.addresses().await;
-    let mut told: HashMap<String, Vec<Told>> = HashMap::new();
+    let listed = caller.addresses().await;
+    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
     for number in 0..20 {
         let id = format!("l-{number}");
-        let call = order(&id).with_key(&format!("{}-{id}", named[0].key_prefix));
-        let first = caller.call_at(named[0].address, &call);
+        let call = order(&id).with_key(&format!("{}-{id}", listed[0].key_prefix));
+        let first = caller.call_at(listed[0].address, &call);
         let _ = tokio::time::timeout(Duration::from_millis(number), first).await;
-        let again = caller.call_at(named[1].address, &call).await;
-        assert_eq!(again.outcome(), "ran", "{again:?}");
-        told.insert(id, vec![again]);
+        let repeat = caller.call_at(listed[1].address, &call).await;
+        assert_eq!(repeat.outcome(), "ran", "{repeat:?}");
+        answers_by_id.insert(id, vec![repeat]);
     }
-    assert_at_most_once(&bed, &told);
+    assert_at_most_once(&bed, &answers_by_id);
 }
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -12,12 +12,12 @@
 use tokio::task::JoinSet;
 
 /// Asserts that no backend server ran a request answered `not-run`; returns how many there were.
-fn assert_not_run(bed: &Bed, told: &[(String, Told)]) -> usize {
+fn assert_not_run(bed: &Bed, results: &[(String, Told)]) -> usize {
     let counts = bed.run_counts();
-    let not_run = told.iter().filter(|(_, told)| told.outcome() == "not-run");
+    let not_run = results.iter().filter(|(_, result)| result.outcome() == "not-run");
     let mut checked = 0;
-    for (id, told) in not_run {
-        assert!(!counts.contains_key(id), "{id} ran, but was answered not-run: {told:?}");
+    for (id, result) in not_run {
+        assert!(!counts.contains_key(id), "{id} ran, but was answered not-run: {result:?}");
         checked += 1;
     }
     checked
@@ -48,15 +48,15 @@
     let bed = Bed::start(plan).await;
     bed.create("orders").await;
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for (turn, timeout_ms) in [5, 20, 40, 80, 3_000].into_iter().enumerate() {
-        told.extend(send_burst(&callers, orders(&format!("t{turn}"), 200, timeout_ms)).await);
+        results.extend(send_burst(&callers, orders(&format!("t{turn}"), 200, timeout_ms)).await);
     }
-    let not_run = assert_not_run(&bed, &told);
+    let not_run = assert_not_run(&bed, &results);
     assert!(not_run > 100, "requests must be rejected, or the test proves nothing: {not_run}");
-    for (id, told) in &told {
-        assert!(matches!(told, Told::Answered { .. }), "{id} got no final answer: {told:?}");
-        if let Told::Answered { outcome, retry_after_ms, .. } = told
+    for (id, result) in &results {
+        assert!(matches!(result, Told::Answered { .. }), "{id} got no final answer: {result:?}");
+        if let Told::Answered { outcome, retry_after_ms, .. } = result
             && outcome == "not-run"
         {
             assert!(*retry_after_ms > 0, "the answer to {id} has no retry time");
@@ -73,10 +73,10 @@
     let kept = bed.backends.split_off(0);
     let records: Vec<_> = kept.iter().map(|b| std::sync::Arc::clone(&b.record)).collect();
     drop(kept);
-    let told = send_burst(&[caller], orders("down", 20, 2_000)).await;
+    let results = send_burst(&[caller], orders("down", 20, 2_000)).await;
     assert!(records.iter().all(|record| record.runs().is_empty()));
-    for (id, told) in told {
-        assert_eq!(told.outcome(), "not-run", "{id}: {told:?}");
+    for (id, result) in results {
+        assert_eq!(result.outcome(), "not-run", "{id}: {result:?}");
     }
 }
 
@@ -97,12 +97,12 @@
     for backend in &bed.backends {
         backend.behaviour.shedding.store(true, Ordering::Release);
     }
-    let told = send_burst(&[bed.caller("orders", 0)], orders("shed", 60, 5_000)).await;
-    let not_run = assert_not_run(&bed, &told);
+    let results = send_burst(&[bed.caller("orders", 0)], orders("shed", 60, 5_000)).await;
+    let not_run = assert_not_run(&bed, &results);
     assert!(not_run > 0, "servers must reject requests, or the test proves nothing");
     let counts = bed.run_counts();
-    for (id, told) in told.iter().filter(|(_, told)| told.outcome() == "ran") {
-        assert_eq!(counts.get(id), Some(&1), "{id}: {told:?}");
+    for (id, result) in results.iter().filter(|(_, result)| result.outcome() == "ran") {
+        assert_eq!(counts.get(id), Some(&1), "{id}: {result:?}");
     }
 }
 
@@ -116,12 +116,12 @@
         backend.behaviour.lose_answers.store(100, Ordering::Release);
     }
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
-    let told = send_burst(&callers, orders("lost", 30, 5_000)).await;
+    let results = send_burst(&callers, orders("lost", 30, 5_000)).await;
     let counts = bed.run_counts();
-    let unknown = told.iter().filter(|(_, told)| told.outcome() == "unknown").count();
+    let unknown = results.iter().filter(|(_, result)| result.outcome() == "unknown").count();
     assert!(unknown >= 10, "answers must be lost, or the test proves nothing: {unknown}");
-    assert_not_run(&bed, &told);
-    for (id, _) in told {
+    assert_not_run(&bed, &results);
+    for (id, _) in results {
         assert!(counts.get(&id).copied().unwrap_or(0) <= 1, "{id} ran twice");
     }
 }
@@ -144,9 +144,9 @@
     bed.backends[1].behaviour.shedding.store(true, Ordering::Release);
     bed.backends[1].behaviour.slow_factor.store(50, Ordering::Release);
     let lookups = (0..60).map(|n| Call::get("/l", &format!("l-{n}")).within_ms(4_000)).collect();
-    let told = send_burst(&[bed.caller("lookups", 0)], lookups).await;
-    assert_not_run(&bed, &told);
-    let unknown = told.iter().filter(|(_, told)| told.outcome() == "unknown").count();
+    let results = send_burst(&[bed.caller("lookups", 0)], lookups).await;
+    assert_not_run(&bed, &results);
+    let unknown = results.iter().filter(|(_, result)| result.outcome() == "unknown").count();
     assert!(unknown > 0, "answers must be lost, or the test proves nothing");
 }
 
@@ -166,8 +166,8 @@
         };
         let _ = tokio::time::timeout(Duration::from_micros(300 * turn), caller.call(&call)).await;
     }
-    let told = bed.caller("orders", 0).call(&Call::get("/after", "after")).await;
-    assert_eq!(told.outcome(), "ran");
+    let result = bed.caller("orders", 0).call(&Call::get("/after", "after")).await;
+    assert_eq!(result.outcome(), "ran");
     let board = &bed.boards()[0];
     let state = board.services().get("orders").cloned().expect("in force");
     standins::bed::until("all slots are back", async || {
@@ -186,8 +186,8 @@
     let caller = bed.caller("lookups", 0);
     bed.backends[0].behaviour.lose_answers.store(1, Ordering::Release);
     let since = std::time::Instant::now();
-    let told = caller.call(&Call::get("/part", "only").within_ms(2_000)).await;
-    assert_eq!(told.outcome(), "unknown", "{told:?}");
+    let result = caller.call(&Call::get("/part", "only").within_ms(2_000)).await;
+    assert_eq!(result.outcome(), "unknown", "{result:?}");
     assert!(since.elapsed().as_millis() < 400, "{:?}", since.elapsed());
 }
 
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -28,7 +28,7 @@
             work.spawn(async move { caller.call(&call).await });
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        work.join_all().await.into_iter().filter(|told| told.outcome() != "ran").collect()
+        work.join_all().await.into_iter().filter(|result| result.outcome() != "ran").collect()
     })
 }
 
@@ -64,7 +64,7 @@
     bed.operator(1).set_drain("orders", "b0", true).await.expect("drained");
     bed.until_in_force("orders", 2).await;
     let record = std::sync::Arc::clone(&bed.backends[0].record);
-    // Its longest work is far below this; only then may it be shut down.
+    // Its requests take far less than this; it may be shut down only after they have finished.
     tokio::time::sleep(Duration::from_millis(700)).await;
     drop(bed.backends.remove(0));
     let ran = record.runs().len();
@@ -108,8 +108,8 @@
         })
         .await;
         bed.daemons[at].take().expect("runs").stop().await;
-        let told = long.await.expect("no panic");
-        assert_eq!(told.outcome(), "ran", "{method}: {told:?}");
+        let result = long.await.expect("no panic");
+        assert_eq!(result.outcome(), "ran", "{method}: {result:?}");
     }
 }
 
@@ -120,16 +120,16 @@
     let mut bed = Bed::start(plan(4)).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
-    let named = caller.addresses().await;
-    let owner = named[0].address;
+    let listed = caller.addresses().await;
+    let owner = listed[0].address;
     let at = bed.caller_addresses().iter().position(|address| *address == owner).expect("known");
-    let key = format!("{}-left", named[0].key_prefix);
+    let key = format!("{}-left", listed[0].key_prefix);
     let call = Call::post("/x?bytes=300&work_us=1500000", "left").with_key(&key);
     let leaving = tokio::time::timeout(Duration::from_millis(300), caller.call_at(owner, &call));
     assert!(leaving.await.is_err(), "the caller must leave in the middle");
     bed.daemons[at].take().expect("runs").stop().await;
-    let again = bed.caller("orders", 1).call(&call).await;
-    assert_eq!(again.outcome(), "ran", "{again:?}");
-    assert_eq!(again.code(), 0);
+    let repeat = bed.caller("orders", 1).call(&call).await;
+    assert_eq!(repeat.outcome(), "ran", "{repeat:?}");
+    assert_eq!(repeat.code(), 0);
     assert_eq!(bed.run_counts().get("left"), Some(&1));
 }
