--- a/src/gateway/feed_source.rs
+++ b/src/gateway/feed_source.rs
@@ -30,8 +30,8 @@
     /// when the request arrived, which is no earlier than `asked_us`, so the proof is never dated
     /// too late.
     #[must_use]
-    pub fn of(told: FeedTold, asked_us: u64) -> Self {
-        let FeedTold { reply, age_ms, proof_after_ms, zone_demand_per_s } = told;
+    pub fn of(response: FeedTold, asked_us: u64) -> Self {
+        let FeedTold { reply, age_ms, proof_after_ms, zone_demand_per_s } = response;
         let proved_us = proof_after_ms
             .and_then(|after_ms| asked_us.checked_add_signed(after_ms.saturating_mul(1000)));
         Self { reply, age: Duration::from_millis(age_ms), proved_us, zone_demand_per_s }
@@ -66,9 +66,9 @@
         let asked_us = boot_us();
         // The cause does not matter: the caller asks another instance.
         let reply = self.call(peer, &request, within).await.ok()?;
-        let PeerReply::Feed(told) = reply else {
+        let PeerReply::Feed(response) = reply else {
             return None;
         };
-        Some(FeedAnswer::of(told, asked_us))
+        Some(FeedAnswer::of(response, asked_us))
     }
 }
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -26,7 +26,7 @@
 use super::proof_schedule::ProofSchedule;
 use super::relay_cooldowns::RelayCooldowns;
 use super::relays::is_watcher;
-use super::server_list_holders::RETENTION;
+use super::server_list_holders::SERVER_LIST_RETENTION;
 use super::server_list_holders::holds_server_list;
 use super::store_outage::StoreOutage;
 use crate::board::Blackboard;
@@ -166,7 +166,7 @@
         self.feed != Feed::Servers || holds_server_list(&self.board)
     }
 
-    /// Whether the full mirror is needed now or, if it is loaded, was needed within [`RETENTION`].
+    /// Whether the full mirror is needed now or, if it is loaded, was needed within [`SERVER_LIST_RETENTION`].
     fn needed_recently(&self) -> bool {
         let now_us = now_us();
         if self.needs_full_mirror() {
@@ -174,7 +174,7 @@
             return true;
         }
         let since_us = now_us.saturating_sub(self.last_needed_us.load(Ordering::Acquire));
-        self.mirror.revision().is_some() && Duration::from_micros(since_us) < RETENTION
+        self.mirror.revision().is_some() && Duration::from_micros(since_us) < SERVER_LIST_RETENTION
     }
 
     /// Returns when this instance stops being a watcher. Its pending watch may wait for seconds for
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -149,9 +149,9 @@
 
     /// Discards the revision, so that the next load replaces the content, and switches between all
     /// keys (`full`) and a sample. A sample is not served to other instances.
-    pub fn reset(&self, whole: bool) {
+    pub fn reset(&self, full: bool) {
         let mut state = self.state.lock();
-        state.full = whole;
+        state.full = full;
         state.recent.clear();
         state.revision = None;
         state.reply_cache = ReplyCache::default();
@@ -166,8 +166,8 @@
         WatchGuard(&self.active_watches)
     }
 
-    /// Records that the store answered this instance at `at_us`. Proof of completeness only while a
-    /// watch is waiting: between two watches, changes may be missed.
+    /// Records that the store answered this instance at `at_us`. This confirms the mirror only while
+    /// a watch is waiting: between two watches, changes may be missed.
     pub fn record_store_reply(&self, at_us: u64) {
         if self.active_watches.load(Ordering::Acquire) > 0 {
             self.record_confirmation(at_us);
@@ -285,7 +285,7 @@
             self.sample_revision.send_replace(changed);
         }
         let upto = Some(upto);
-        self.revision.send_if_modified(|told| std::mem::replace(told, upto.max(*told)) < upto);
+        self.revision.send_if_modified(|known| std::mem::replace(known, upto.max(*known)) < upto);
     }
 
     /// Returns the changes after revision `after`, and their age; waits up to `wait` for some.
@@ -296,8 +296,8 @@
         let wait =
             if after.is_some() { wait.min(FRESH_AGE_MAX.saturating_sub(self.age())) } else { wait };
         // If the time is over, the reply contains no events.
-        let news = revision_rx.wait_for(|told| *told > after);
-        let _ = tokio::time::timeout(wait, news).await;
+        let changed = revision_rx.wait_for(|known| *known > after);
+        let _ = tokio::time::timeout(wait, changed).await;
         self.reply_with_age(asked_us, |state| state.changes_since(after))
     }
 
@@ -330,11 +330,13 @@
 }
 
 impl<K: Sink> MirrorState<K> {
+    /// Advances the revision up to which the mirror is complete, and drops cached replies.
     fn advance_to(&mut self, upto: u64) {
         self.revision = Some(self.revision.unwrap_or(0).max(upto));
         self.reply_cache = ReplyCache::default();
     }
 
+    /// Appends an event to the recent ones, dropping the oldest when they are too many.
     fn push_recent(&mut self, event: ItemEvent) {
         if self.recent.len() == RECENT_EVENTS_MAX
             && let Some(dropped) = self.recent.pop_front()
@@ -344,12 +346,13 @@
         self.recent.push_back(event);
     }
 
-    /// Whether the mirror already includes changes up to `revision`. Otherwise a late answer would
-    /// restore what was removed since.
+    /// Whether the mirror already includes the change at `revision`. Without this check, a late
+    /// answer would restore what was removed since.
     fn covers(&self, revision: u64) -> bool {
         self.revision.is_some_and(|complete| revision <= complete)
     }
 
+    /// Applies a write unless the mirror has it or a newer one.
     fn written(&mut self, item: &Item) {
         let newer = self.items.get(&item.key).is_none_or(|known| known.revision < item.revision);
         if self.covers(item.revision) || !newer {
@@ -360,6 +363,7 @@
         self.sink.written(item);
     }
 
+    /// Applies a removal unless the mirror has it or a newer write.
     fn removed(&mut self, key: &str, revision: u64, grace: Duration) {
         let older = self.items.get(key).is_some_and(|known| known.revision <= revision);
         if self.covers(revision) || !older {
@@ -370,6 +374,7 @@
         self.sink.removed(key, grace);
     }
 
+    /// The events after `after` if they are still kept, otherwise all items.
     fn changes_since(&mut self, after: Option<u64>) -> FeedReply {
         let Some(revision) = self.revision.filter(|_| self.full) else {
             return FeedReply::Unknown;
--- a/src/gateway/server_list_holders.rs
+++ b/src/gateway/server_list_holders.rs
@@ -15,7 +15,7 @@
 const STANDBYS_PER_ZONE: usize = 4;
 /// How long an instance keeps the list after it stopped being a holder: callers may use an old
 /// address answer for some seconds.
-pub(super) const RETENTION: Duration = Duration::from_secs(10);
+pub(super) const SERVER_LIST_RETENTION: Duration = Duration::from_secs(10);
 
 /// Whether this instance should hold the list, judging by the members that it knows.
 pub fn holds_server_list(board: &Blackboard) -> bool {
--- a/tests/first_copy.rs
+++ b/tests/first_copy.rs
@@ -136,7 +136,7 @@
         pass(20).await;
         mirror.replace(&[], 0, Duration::ZERO);
     };
-    let (told, ()) = tokio::join!(asked, read);
-    assert_eq!(told.reply, FeedReply::All { items: Vec::new().into(), revision: 0 });
+    let (response, ()) = tokio::join!(asked, read);
+    assert_eq!(response.reply, FeedReply::All { items: Vec::new().into(), revision: 0 });
     assert!(began.elapsed() < Duration::from_millis(30), "{:?}", began.elapsed());
 }
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -68,9 +68,9 @@
     store.remove("servers/s1");
     store.set_fault(Fault::None);
     pass(2_000).await;
-    let told = removals.0.lock().clone();
-    assert_eq!(told.len(), 1);
-    assert!((500..=2_400).contains(&told[0].1.as_millis()), "{told:?}");
+    let removed = removals.0.lock().clone();
+    assert_eq!(removed.len(), 1);
+    assert!((500..=2_400).contains(&removed[0].1.as_millis()), "{removed:?}");
 }
 
 /// Guards against requests to a server that left long ago: an instance that was disconnected
@@ -88,6 +88,6 @@
     pass(3_000).await;
     store.remove("servers/s1");
     pass(1_000).await;
-    let told = removals.0.lock().clone();
-    assert_eq!(told, [("servers/s1".to_owned(), Duration::ZERO)]);
+    let removed = removals.0.lock().clone();
+    assert_eq!(removed, [("servers/s1".to_owned(), Duration::ZERO)]);
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -268,7 +268,7 @@
         let (half, whole) = (start_cost(250).await, start_cost(500).await);
         println!("250: {half:?}; 500: {whole:?}");
         assert!(whole.messages < half.messages * 13 / 10, "{half:?}, {whole:?}");
-        // Each instance hears of each other once and receives the data once.
+        // Each instance learns of each other once and receives the data once.
         assert!(whole.bytes < half.bytes * 2, "{half:?}, {whole:?}");
         assert!(whole.bytes < 250_000, "{whole:?}");
         assert!(whole.store_calls < 500 * 3 / 10, "{whole:?}");
@@ -347,8 +347,8 @@
     leaving.board.members.lock().set_own(MemberState::Leaving, None, now_ms);
     leaving.board.publish_members();
     announce(&leaving.board, &leaving.links).await;
-    let told = leaving.links.calls() - before;
-    assert!(told < 100, "{told} calls");
+    let calls = leaving.links.calls() - before;
+    assert!(calls < 100, "{calls} calls");
     let incarnation = leaving.board.incarnation;
     fleet
         .until(Duration::from_secs(6), "the leaving instance known", |one| {
@@ -371,20 +371,20 @@
         .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let caller = std::net::Ipv4Addr::new(10, 9, 9, 9);
-    let guilty = Fingerprints::of(caller.into(), "shop.example", "GET", "/look/a", b"");
+    let crashing = Fingerprints::of(caller.into(), "shop.example", "GET", "/look/a", b"");
     let small = |one: &&Instance| one.board.own_capacity_per_s() == 100;
     let first = fleet.instances.iter().find(small).expect("most are small");
     let (calls, messages, bytes) = (first.links.calls(), fleet.net.messages(), fleet.net.bytes());
-    let other = Fingerprints::of(caller.into(), "shop.example", "GET", "/look/b", b"");
+    let harmless = Fingerprints::of(caller.into(), "shop.example", "GET", "/look/b", b"");
     for server in 0..3 {
         let quarantine = &first.board.quarantine;
-        quarantine.admit(&guilty, "parts").expect("not quarantined yet").record_crash(server);
+        quarantine.admit(&crashing, "parts").expect("not quarantined yet").record_crash(server);
         tokio::time::sleep(Duration::from_millis(5)).await;
-        quarantine.admit(&other, "parts").expect("not quarantined").record_response();
+        quarantine.admit(&harmless, "parts").expect("not quarantined").record_response();
     }
     let took = fleet
         .until(Duration::from_secs(4), "the request quarantined", |one| {
-            one.board.quarantine.denial(&guilty).is_some()
+            one.board.quarantine.denial(&crashing).is_some()
         })
         .await;
     let calls = first.links.calls() - calls;
--- a/tests/mirror_schedules.rs
+++ b/tests/mirror_schedules.rs
@@ -59,8 +59,8 @@
 fn mirror_never_regresses_and_converges_to_store() {
     common::property(400, |u| {
         let mut store = Store::default();
-        let told = RecordingSink::default();
-        let mirror = Mirror::new(told.clone());
+        let sink = RecordingSink::default();
+        let mirror = Mirror::new(sink.clone());
         let relay = Mirror::new(RecordingSink::default());
         for _ in 0..u.int_in_range(5..=60)? {
             match u.int_in_range(0..=5)? {
@@ -95,8 +95,8 @@
         mirror.apply(&store.events[from.min(all)..], all as u64, Duration::ZERO);
         let expected: BTreeMap<String, u64> =
             store.items(all).into_iter().map(|(key, item)| (key, item.revision)).collect();
-        assert_eq!(*told.values.lock(), expected);
-        assert!(!*told.regressed.lock());
+        assert_eq!(*sink.values.lock(), expected);
+        assert!(!*sink.regressed.lock());
         Ok(())
     });
 }
--- a/tests/relay_size.rs
+++ b/tests/relay_size.rs
@@ -46,9 +46,9 @@
     let mirror = Mirror::new(NoSink);
     mirror.replace(&[configuration(1)], 1, Duration::ZERO);
     mirror.replace(&[configuration(2)], 2, Duration::ZERO);
-    let told = mirror.serve(Some(1), Duration::ZERO).await;
-    assert!(!matches!(told.reply, FeedReply::Unknown));
-    let message = PeerReply::Feed(told);
+    let response = mirror.serve(Some(1), Duration::ZERO).await;
+    assert!(!matches!(response.reply, FeedReply::Unknown));
+    let message = PeerReply::Feed(response);
     let bytes = sorrelwick::peer::encode(&message).len();
     assert!(bytes < CHANGE_MAX_BYTES, "{bytes} bytes for one change");
 }
@@ -81,8 +81,8 @@
         let began = Instant::now();
         mirror.apply(&changes, before + CHANGES as u64, Duration::ZERO);
         for _ in 0..others {
-            let told = mirror.serve(Some(before), Duration::ZERO).await;
-            let message = PeerReply::Feed(told);
+            let response = mirror.serve(Some(before), Duration::ZERO).await;
+            let message = PeerReply::Feed(response);
             assert!(sorrelwick::peer::encode(&message).len() > 1_000);
         }
         shortest = shortest.min(began.elapsed());
