--- a/src/decide/choose_server.rs
+++ b/src/decide/choose_server.rs
@@ -46,7 +46,7 @@
 pub fn choose_server(
     loads: &[ServerLoad],
     scope: ServerScope,
-    avoid: &[usize],
+    tried: &[usize],
     median_us: f32,
     start: usize,
     now_us: u64,
@@ -60,7 +60,7 @@
             break;
         }
         let load = &loads[index];
-        if !load.has_free_slot(scope, now_us) || avoid.contains(&index) {
+        if !load.has_free_slot(scope, now_us) || tried.contains(&index) {
             continue;
         }
         let candidate_score = score(load, median_us, now_us);
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -21,9 +21,9 @@
 
 /// The number of homes in a zone, from the slots of its backend servers.
 ///
-/// With a home in each zone, servers get their requests without crossing zones; otherwise slots
-/// would be idle while responses travel. Fewer homes lose to that, and more homes split the
-/// knowledge about the servers (docs/MEASUREMENTS.md, "How many homes").
+/// With a home in each zone, requests need not cross zones on their way, during which slots would
+/// be idle. Fewer homes perform worse, and more homes split the knowledge about the servers
+/// (docs/MEASUREMENTS.md, "How many homes").
 fn homes_wanted(slots: u32) -> usize {
     (slots.div_ceil(SLOTS_PER_HOME) as usize).max(1)
 }
--- a/src/decide/slot_pool.rs
+++ b/src/decide/slot_pool.rs
@@ -66,16 +66,16 @@
         self.high_quantile.value()
     }
 
-    /// Acquires a slot of the best server with a free one, except those in `avoid`.
+    /// Acquires a slot of the best server with a free one, except those in `tried`.
     pub fn acquire_slot(
         &mut self,
         scope: ServerScope,
-        avoid: &[usize],
+        tried: &[usize],
         now_us: u64,
     ) -> Option<usize> {
         let start = self.rng.random_range(0..self.loads.len().max(1));
         let index =
-            choose_server(&self.loads, scope, avoid, self.median_service_us(), start, now_us)?;
+            choose_server(&self.loads, scope, tried, self.median_service_us(), start, now_us)?;
         self.loads[index].record_start(now_us);
         Some(index)
     }
@@ -101,11 +101,11 @@
         (ejected + 1) * 2 <= self.loads.len()
     }
 
-    /// Slots of the servers that this instance may use now, free or not, except those in `avoid`.
+    /// Slots of the servers that this instance may use now, free or not, except those in `tried`.
     #[must_use]
-    pub fn usable_slots(&self, scope: ServerScope, avoid: &[usize], now_us: u64) -> u32 {
+    pub fn usable_slots(&self, scope: ServerScope, tried: &[usize], now_us: u64) -> u32 {
         let loads = self.loads.iter().enumerate();
-        let in_scope = loads.filter(|(at, load)| load.in_scope(scope) && !avoid.contains(at));
+        let in_scope = loads.filter(|(at, load)| load.in_scope(scope) && !tried.contains(at));
         let usable = in_scope.filter(|(_, load)| load.usable(now_us));
         usable.map(|(_, load)| load.current_limit(now_us)).sum()
     }
