--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -13,11 +13,11 @@
 use super::TrackedServer;
 use super::available_server::AvailableServer;
 use super::service_queue::QueuedRequest;
-use crate::cold::ColdRule;
+use crate::cold::ColdPolicy;
 use crate::model::ServerRow;
 use crate::model::ServerState;
 use crate::peer::zone_hash;
-use crate::starts::HomeShare;
+use crate::starts::HomeSet;
 
 /// Added cost of a server in another zone: traffic between zones costs money, and the route is
 /// longer. 90 ms is about a third of the usual service time.
@@ -75,8 +75,8 @@
     unsaturated_times: ServiceTimes,
     /// Moving mean of the service time of all requests, in milliseconds; 0 before the first sample.
     pub(super) mean_ms: f64,
-    cold_rule: ColdRule,
-    home_share: Arc<HomeShare>,
+    cold_policy: ColdPolicy,
+    home_set: Arc<HomeSet>,
     /// The partition that this instance prefers; `None` if it prefers none.
     subset: Option<ServerSubset>,
     /// Indexes in `servers` of the preferred servers; `None` if all servers are considered.
@@ -100,8 +100,8 @@
             service_times: ServiceTimes::default(),
             unsaturated_times: ServiceTimes::default(),
             mean_ms: 0.0,
-            cold_rule: ColdRule::default(),
-            home_share: Arc::default(),
+            cold_policy: ColdPolicy::default(),
+            home_set: Arc::default(),
             subset: None,
             subset_indexes: None,
             next_full_scan_us: 0,
@@ -135,14 +135,14 @@
         let mut server = TrackedServer::new(row, now_us);
         server
             .start_limits
-            .set_share(self.home_share.start_share(server.key), self.cold_rule.limit.as_ref());
+            .set_share(self.home_set.start_share(server.key), self.cold_policy.limit.as_ref());
         server
     }
 
     /// Sets the limits for cold servers, and the homes that share limited servers.
-    pub fn set_start_limits(&mut self, rule: ColdRule, share: &Arc<HomeShare>) {
-        self.cold_rule = rule;
-        self.home_share = Arc::clone(share);
+    pub fn set_start_limits(&mut self, rule: ColdPolicy, share: &Arc<HomeSet>) {
+        self.cold_policy = rule;
+        self.home_set = Arc::clone(share);
         for server in &mut self.servers {
             server.start_limits.set_share(share.start_share(server.key), rule.limit.as_ref());
         }
@@ -151,7 +151,7 @@
     /// Ends the evacuation of a zone; returns the number of its servers.
     pub fn readmit_zone(&mut self, zone: &str, now_us: u64) -> usize {
         let of_zone = self.servers.iter_mut().filter(|server| *server.row.zone == *zone);
-        let readmitted = of_zone.map(|server| server.readmit(self.cold_rule.warmup_us, now_us));
+        let readmitted = of_zone.map(|server| server.readmit(self.cold_policy.warmup_us, now_us));
         readmitted.count()
     }
 
--- a/src/cold/cold_rule.rs
+++ b/src/cold/cold_rule.rs
@@ -4,7 +4,7 @@
 
 /// The operators' rule for the cold servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ColdRule {
+pub struct ColdPolicy {
     /// `None` if cold servers of the service tolerate as much as others.
     pub limit: Option<ColdLimit>,
     /// How long a server stays cold, in microseconds.
--- a/src/cold/mod.rs
+++ b/src/cold/mod.rs
@@ -7,5 +7,5 @@
 
 pub use cold_limit::COLD_WINDOW_US;
 pub use cold_limit::ColdLimit;
-pub use cold_rule::ColdRule;
+pub use cold_rule::ColdPolicy;
 pub use cold_state::ColdState;
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -27,10 +27,10 @@
 use crate::balance::ServicePool;
 use crate::balance::TrackedServer;
 use crate::clock::now_us;
-use crate::cold::ColdRule;
+use crate::cold::ColdPolicy;
 use crate::evacuation::Evacuations;
 use crate::model::ServerRow;
-use crate::starts::HomeShare;
+use crate::starts::HomeSet;
 
 /// Interval at which the queues, while not empty, are checked for expired requests and for servers
 /// that became available again.
@@ -51,8 +51,8 @@
     pub(super) claims: AddressClaims,
     pub(super) evacuations: Evacuations,
     /// Limits for servers that warm up, by service.
-    pub(super) cold_policies: HashMap<Arc<str>, ColdRule>,
-    pub(super) home_set: Arc<HomeShare>,
+    pub(super) cold_policies: HashMap<Arc<str>, ColdPolicy>,
+    pub(super) home_set: Arc<HomeSet>,
     pub(super) peers: PeerLiveness,
     pub(super) in_use: ServersInUse,
     /// Whether any unlisted server has not been removed yet.
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -12,8 +12,8 @@
 use crate::balance::RetryNeed;
 use crate::balance::ServerSubset;
 use crate::clock::now_us;
-use crate::cold::ColdRule;
-use crate::starts::HomeShare;
+use crate::cold::ColdPolicy;
+use crate::starts::HomeSet;
 
 /// This instance's share of the connections that a server accepts; at least one.
 #[expect(
@@ -88,14 +88,14 @@
     }
 
     /// Replaces the limits for servers that warm up, by service.
-    pub fn set_cold_policies(&self, rules: HashMap<Arc<str>, ColdRule>) {
+    pub fn set_cold_policies(&self, rules: HashMap<Arc<str>, ColdPolicy>) {
         let mut state = self.state.lock();
         state.cold_policies = rules;
         state.update_all_start_limits();
     }
 
     /// Sets this instance's share of the limits for servers that warm up or recover.
-    pub fn set_home_set(&self, share: HomeShare) {
+    pub fn set_home_set(&self, share: HomeSet) {
         let mut state = self.state.lock();
         if *state.home_set != share {
             state.home_set = Arc::new(share);
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -18,7 +18,7 @@
 use crate::quota::QuotaHome;
 use crate::quota::QuotaPlacement;
 use crate::quota::Quotas;
-use crate::starts::HomeShare;
+use crate::starts::HomeSet;
 use crate::workspace::WorkspaceTable;
 
 /// Requests per second that are planned for each slot in a zone's share of the servers. A request
@@ -166,10 +166,10 @@
     }
 
     /// The homes among which the starts of requests at overloaded servers are divided.
-    fn home_share(&self, inputs: &PlanInputs) -> HomeShare {
+    fn home_share(&self, inputs: &PlanInputs) -> HomeSet {
         let lacks_members = self.may_lack_members(inputs.homes.len() + inputs.others);
         let homes = (!lacks_members).then(|| inputs.homes.clone());
-        HomeShare { homes, own: self.board.incarnation }
+        HomeSet { homes, own: self.board.incarnation }
     }
 
     /// Requests per second that the homes of one zone must be able to carry.
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -18,7 +18,7 @@
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::cold::ColdLimit;
-use crate::cold::ColdRule;
+use crate::cold::ColdPolicy;
 use crate::errors::Code;
 use crate::model::ServerRow;
 use crate::store::Item;
@@ -94,10 +94,10 @@
     }
 
     /// The rate rules for cold servers, by service.
-    fn cold_rules(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdRule> {
+    fn cold_rules(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdPolicy> {
         let bounds = self.board.settings.gateway.as_ref();
         let (overage, slack) = bounds.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
-        let rule = |service: &ServiceConfig| ColdRule {
+        let rule = |service: &ServiceConfig| ColdPolicy {
             limit: service.cold_per_s.map(|per_s| ColdLimit { per_s, overage, slack }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
         };
--- a/src/starts/home_share.rs
+++ b/src/starts/home_share.rs
@@ -5,7 +5,7 @@
 /// The homes are ranked by a hash per server, so an instance with a larger share of one server has
 /// a smaller share of another, without coordination.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HomeShare {
+pub struct HomeSet {
     /// Incarnations of the homes; `None` while this instance knows no other and may be one of many.
     pub homes: Option<Vec<u64>>,
     /// Incarnation of this instance.
@@ -28,7 +28,7 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(&home.to_le_bytes(), u64::from(server_key))
 }
 
-impl HomeShare {
+impl HomeSet {
     /// The share of this instance in the starts on the server with this key.
     #[must_use]
     pub fn start_share(&self, server_key: u32) -> StartShare {
--- a/src/starts/mod.rs
+++ b/src/starts/mod.rs
@@ -4,6 +4,6 @@
 mod home_share;
 mod start_window;
 
-pub use home_share::HomeShare;
+pub use home_share::HomeSet;
 pub use home_share::StartShare;
 pub use start_window::StartWindow;
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -9,11 +9,11 @@
 use sorrelwick::balance::ServicePool;
 use sorrelwick::balance::server_key;
 use sorrelwick::cold::ColdLimit;
-use sorrelwick::cold::ColdRule;
+use sorrelwick::cold::ColdPolicy;
 use sorrelwick::cold::ColdState;
 use sorrelwick::model::LoadReport;
 use sorrelwick::model::ServerRow;
-use sorrelwick::starts::HomeShare;
+use sorrelwick::starts::HomeSet;
 use standins::routed::CONFIG_KEY;
 use standins::routed::EVACUATIONS_PREFIX;
 use standins::routed::RawServer;
@@ -35,8 +35,8 @@
     ServerRow { warmup_ms, ..ready_row(id) }
 }
 
-fn share(homes: &[u64], own: u64) -> HomeShare {
-    HomeShare { homes: Some(homes.to_vec()), own }
+fn share(homes: &[u64], own: u64) -> HomeSet {
+    HomeSet { homes: Some(homes.to_vec()), own }
 }
 
 /// Guards against partitioned or restarted instances that each consider themselves homes and
@@ -86,7 +86,7 @@
     let mut pools: Vec<ServicePool> = Vec::new();
     for own in &homes {
         let mut pool = ServicePool::default();
-        let rule = ColdRule { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
+        let rule = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
         pool.set_start_limits(rule, &Arc::new(share(&homes, *own)));
         pool.upsert_server(row("s0", WARMUP_MS), 0);
         pools.push(pool);
@@ -117,7 +117,7 @@
 #[test]
 fn unsent_requests_do_not_count_against_the_cold_limit() {
     let mut pool = ServicePool::default();
-    let rule = ColdRule { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
+    let rule = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
     pool.set_start_limits(rule, &Arc::new(share(&[1], 1)));
     pool.upsert_server(row("s0", WARMUP_MS), 0);
     for ticket in 1..100 {
@@ -133,7 +133,7 @@
 #[test]
 fn a_server_that_becomes_cold_after_selection_is_rejected() {
     let mut pool = ServicePool::default();
-    let rule = ColdRule { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
+    let rule = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
     pool.set_start_limits(rule, &Arc::new(share(&[1, 2, 3, 4, 5, 6], 1)));
     pool.upsert_server(row("s0", 0), 0);
     let key = server_key(&row("s0", 0));
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -5,13 +5,13 @@
 
 use sorrelwick::balance::SendOutcome;
 use sorrelwick::balance::ServicePool;
-use sorrelwick::cold::ColdRule;
+use sorrelwick::cold::ColdPolicy;
 use sorrelwick::limit::AdvertisedLimit;
 use sorrelwick::limit::InvalidRateLimit;
 use sorrelwick::limit::LIMIT_WINDOW_US;
 use sorrelwick::limit::RateLimit;
 use sorrelwick::model::Heard;
-use sorrelwick::starts::HomeShare;
+use sorrelwick::starts::HomeSet;
 use sorrelwick::task::TaskGuard;
 use standins::routed::CONFIG_KEY;
 use standins::routed::LimitWord;
@@ -96,8 +96,8 @@
 /// The pool of one of these homes, with servers of these IDs.
 fn pool(homes: &[u64], own: u64, servers: &[&str]) -> ServicePool {
     let mut pool = ServicePool::default();
-    let share = HomeShare { homes: Some(homes.to_vec()), own };
-    pool.set_start_limits(ColdRule::default(), &Arc::new(share));
+    let share = HomeSet { homes: Some(homes.to_vec()), own };
+    pool.set_start_limits(ColdPolicy::default(), &Arc::new(share));
     for id in servers {
         pool.upsert_server(ready_row(id), 0);
     }
@@ -164,7 +164,7 @@
         let mut after = before[replaced..].to_vec();
         after.extend((0..replaced).map(|home| 1_000 + home as u64));
         let part = |homes: &[u64], own: u64| {
-            let part = HomeShare { homes: Some(homes.to_vec()), own }.start_share(key);
+            let part = HomeSet { homes: Some(homes.to_vec()), own }.start_share(key);
             part.of(limit.starts_tolerated(part.homes()))
         };
         // Each home counts only its own starts, before and after the change.
