--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// Probes a server of the service if one needs it and a token is ready.
 async fn probe_if_due(
     router: Router,
     state: Arc<ServiceState>,
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// Sends the addresses of the leaving servers to the other instances of this zone.
 fn send_to_zone(board: &Blackboard, links: &Links, leaving: &BTreeSet<SocketAddr>) {
     let request = PeerRequest::Listed(leaving.iter().copied().collect());
     let view = board.members_view();
--- a/src/measure/shard.rs
+++ b/src/measure/shard.rs
@@ -30,6 +30,7 @@
 /// this process run at slightly different rates.
 const CLOCK_MARGIN_DIVISOR: u64 = 10;
 
+/// A shard whose lease this instance holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct HeldShard {
     shard: u32,
--- a/src/measure/token_buckets.rs
+++ b/src/measure/token_buckets.rs
@@ -22,6 +22,7 @@
     if shard < budget % shards { whole + 1 } else { whole }
 }
 
+/// The right to one probe in any second.
 #[derive(Clone, Copy, Debug)]
 struct Token {
     /// The token may be used only before this time.
--- a/src/outcome/idempotency_key.rs
+++ b/src/outcome/idempotency_key.rs
@@ -5,7 +5,9 @@
 
 /// Longest key that callers may send, in bytes.
 pub const KEY_MAX_BYTES: usize = 200;
+/// Hexadecimal digits of the incarnation in a prefix.
 const INCARNATION_DIGITS: usize = 16;
+/// Most hexadecimal digits of the epoch in a prefix.
 const EPOCH_DIGITS_MAX: usize = 10;
 
 /// Names the only process that may run the key, and when the prefix was issued.
--- a/src/outcome/recorded_outcome.rs
+++ b/src/outcome/recorded_outcome.rs
@@ -28,8 +28,10 @@
 /// The outcome of a keyed request that may have run; none is recorded for one that did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordedOutcome {
+    /// The request ran and got this answer.
     Answer(Arc<RecordedAnswer>),
-    /// The request ran; its answer was not recorded, for example because of its size.
+    /// The request ran; its answer is not recorded because it was too large, of unknown length, or
+    /// beyond the limit for all recorded answers.
     AnswerNotKept,
     /// The request may have run, and will not run again.
     Unknown(Code),
--- a/src/outcome/table.rs
+++ b/src/outcome/table.rs
@@ -20,6 +20,7 @@
 /// Service and key.
 type RowKey = (String, String);
 
+/// Whether the request of a row is still running.
 #[derive(Debug)]
 enum RowState {
     /// Repeats wait for the result on this channel: `None` until it is known. The channel closes
@@ -28,6 +29,7 @@
     Done(RecordedOutcome),
 }
 
+/// The row of one key.
 #[derive(Debug)]
 struct TrackedRow {
     state: RowState,
@@ -157,6 +159,8 @@
         })
     }
 
+    /// Stores the outcome of a request, or removes its row if there is none; returns what was
+    /// stored.
     fn finish(
         &self,
         incarnation: u64,
@@ -268,6 +272,7 @@
         outcome
     }
 
+    /// Removes the finished rows whose epoch has left the window.
     fn expire(&mut self, now_epoch: u64) {
         let window = self.window_epochs;
         let mut freed = 0;
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -101,6 +101,7 @@
         Self { incoming, resources: Some((slot, conn, pending_send)), deadline }
     }
 
+    /// Releases the slot, and after a complete answer also the connection.
     fn release(&mut self, complete: bool) {
         let Some((slot, conn, pending_send)) = self.resources.take() else {
             return;
@@ -204,6 +205,7 @@
     pub body: AnswerBody,
 }
 
+/// The HTTP status of a generated answer.
 const fn status_of(code: Code, outcome: Outcome) -> StatusCode {
     match code {
         Code::BadRequest | Code::KeyMalformed | Code::KeyRequired | Code::BodyIncomplete => {
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -111,6 +111,7 @@
     send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, pending_send).await
 }
 
+/// Sends the request over `conn` and handles the head of the answer.
 async fn send_on_conn(
     proxy_request: &ProxyRequest,
     spec: &Service,
@@ -218,6 +219,8 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
+/// Receives the body of an answer: buffered if its length is known and at most `buffer_bytes`, else
+/// streamed.
 async fn receive_answer(
     proxy_request: &ProxyRequest,
     response: Response<Incoming>,
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -109,6 +109,7 @@
     build_response(router, answer)
 }
 
+/// Converts an answer to a response with outcome, result code and retry headers.
 fn build_response(router: &Router, answer: Answer) -> Response<AnswerBody> {
     let mut response = Response::new(answer.body);
     *response.status_mut() = answer.status;
@@ -211,7 +212,8 @@
     response
 }
 
-/// The homes of the service, then other instances; in each group those of `zone` come first.
+/// Up to [`ADDRESSES_MAX`] instances: the homes of the service, then others; in each group those
+/// of `zone` come first.
 fn list_addresses(router: &Router, service: &str, zone: &str) -> Vec<AddressEntry> {
     let board = &router.board;
     let view = board.members_view();
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -52,6 +52,8 @@
         self.forward_to_owner(&proxy_request, prefix.incarnation).await
     }
 
+    /// The prefix of the instance that owns a plain key, after a claim for this instance; `None`
+    /// if the store does not answer before the deadline.
     async fn claim_key(
         &self,
         proxy_request: &ProxyRequest,
@@ -65,10 +67,12 @@
         tokio::time::timeout(remaining, claimed).await.ok().flatten()
     }
 
+    /// Forwards the request to the process that answers for the keys of `incarnation`: the owner
+    /// or its successor.
     async fn forward_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
         if proxy_request.stage >= Stage::Owner {
-            // The sender took this instance for the owner or its successor. It is neither, and
-            // forwarding once more could form a loop.
+            // The sender took this instance for the owner or its successor, but it is not, or no
+            // longer. Forwarding once more could form a loop.
             return owner_unreachable();
         }
         let view = self.board.members_view();
@@ -84,6 +88,7 @@
         }
     }
 
+    /// Runs the request, or answers it from the outcome table.
     async fn run_as_owner(
         &self,
         state: &Arc<ServiceState>,
@@ -133,6 +138,8 @@
         receiver.await.unwrap_or_else(|_| Answer::unknown(Code::AnswerLost))
     }
 
+    /// Waits until the deadline for the outcome of the first request with this key, which still
+    /// runs.
     async fn wait_for_first_run(
         &self,
         proxy_request: &ProxyRequest,
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -36,9 +36,9 @@
             .iter()
             .map(|row| HomeCandidate { incarnation: row.incarnation, zone: &row.zone })
             .collect();
-        let picked = select_homes(&service.name, &candidates, &service.zone_slots());
+        let selected = select_homes(&service.name, &candidates, &service.zone_slots());
         let home_candidates: SmallVec<[HomeCandidate<'_>; 8]> =
-            picked.iter().map(|&at| candidates[at]).collect();
+            selected.iter().map(|&at| candidates[at]).collect();
         let servers: Vec<(&str, &str)> = service
             .backend_servers
             .iter()
@@ -49,7 +49,7 @@
         let mut is_keeper: Vec<bool> = keepers.iter().map(keeps).collect();
         is_keeper.resize(service.backend_servers.len(), false);
         let mut homes: SmallVec<[Arc<MemberRow>; 4]> =
-            picked.iter().map(|&at| Arc::clone(available[at])).collect();
+            selected.iter().map(|&at| Arc::clone(available[at])).collect();
         homes.sort_by_key(|home| home.zone != zone);
         Self { homes, is_keeper }
     }
@@ -84,8 +84,8 @@
         || ServiceRuntime::new(board.settings.requests.queue_max, board.incarnation),
         |state| state.runtime.clone(),
     );
-    let share = u32::try_from(members.serving()).unwrap_or(u32::MAX);
-    runtime.slot_queue.apply(&spec, &placement.is_keeper, share);
+    let serving_instances = u32::try_from(members.serving()).unwrap_or(u32::MAX);
+    runtime.slot_queue.apply(&spec, &placement.is_keeper, serving_instances);
     let is_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
     ServiceState { revision, spec: Arc::new(spec), homes: placement.homes, is_home, runtime }
 }
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -49,6 +49,7 @@
     }
 }
 
+/// Sends the load of this instance to a co-home and records the free slots in its reply.
 async fn send_load(router: Router, name: String, home: MemberRow, free: u32, waiting: u32) {
     let from = router.board.incarnation;
     let note = PeerRequest::Load(LoadNote { service: name.clone(), from, free, waiting });
@@ -61,6 +62,7 @@
     }
 }
 
+/// Sends the load of this instance to the co-homes to which it is due.
 fn send_load_to_co_homes(router: &Router, state: &ServiceState, rate_limit: &mut TokenBucket) {
     let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
     if free == 0 && waiting == 0 {
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -42,6 +42,7 @@
         answer
     }
 
+    /// Runs an idempotent request at once, and any other by way of its key, if it has one.
     async fn dispatch(
         &self,
         state: &Arc<ServiceState>,
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -328,6 +328,7 @@
         Answer::not_run(denial.code(), denial.retry_after_ms())
     }
 
+    /// One attempt on the server of `slot`, unless the quarantine denies the request.
     async fn attempt_once(
         &self,
         state: &ServiceState,
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -86,9 +86,9 @@
     }
 
     /// Applies a declaration. `is_keeper[i]` tells whether this instance is the keeper of
-    /// `service.backend_servers[i]`; `share` is the number of instances that divide the
-    /// connections that a server accepts.
-    pub fn apply(&self, service: &Service, is_keeper: &[bool], share: u32) {
+    /// `service.backend_servers[i]`; the connections that a server accepts are divided among
+    /// `serving_instances`.
+    pub fn apply(&self, service: &Service, is_keeper: &[bool], serving_instances: u32) {
         let now = now_us();
         let mut state = self.state.lock();
         state.preference = service.preference;
@@ -103,7 +103,7 @@
         let initial = state.servers.is_empty();
         for (server, is_keeper) in service.backend_servers.iter().zip(is_keeper) {
             let index = state.find_or_add_server(server, initial, now);
-            let open_max = (server.connections_max / share.max(1)).max(1);
+            let open_max = (server.connections_max / serving_instances.max(1)).max(1);
             state.servers[index].upstream.set_open_max(open_max);
             state.pool.loads_mut()[index].slots = server.slots;
             state.pool.loads_mut()[index].is_keeper = *is_keeper;
--- a/src/route/upstream.rs
+++ b/src/route/upstream.rs
@@ -64,6 +64,7 @@
     last_used_ms: AtomicU64,
 }
 
+/// A connection in the pool.
 #[derive(Debug)]
 struct IdleConn {
     sender: SendRequest<Full<Bytes>>,
@@ -187,6 +188,7 @@
         Some(PooledConn { sender, upstream: Arc::clone(self) })
     }
 
+    /// Opens a connection; `None` if that fails or this instance has too many open.
     async fn connect(&self) -> Option<SendRequest<Full<Bytes>>> {
         let permit = self.acquire_permit()?;
         let stream = TcpStream::connect(self.address).await.ok()?;
