--- a/src/quarantine/quarantine.rs
+++ b/src/quarantine/quarantine.rs
@@ -30,6 +30,7 @@
 /// some 30 bytes each, which bounds the size of gossip messages.
 const SUSPECTS_MAX: usize = 128;
 
+/// A suspect request, and its sends by this instance.
 #[derive(Debug)]
 struct Entry {
     suspect: SuspectRequest,
@@ -200,7 +201,9 @@
     state: Mutex<State>,
     /// Number of entries; read without the lock, so that requests take no lock while there are none.
     entry_count: AtomicUsize,
+    /// Wakes [`Quarantine::next_updates`].
     updates_pending: Notify,
+    /// Wakes [`Quarantine::next_quarantined`].
     quarantine_pending: Notify,
 }
 
@@ -271,6 +274,7 @@
         }))
     }
 
+    /// Counts a send as no longer in flight.
     pub(super) fn end_send(&self, admitted_send: &AdmittedSend) {
         let mut state = self.0.state.lock();
         for (scope, known) in FingerprintScope::ALL.into_iter().zip(admitted_send.known_crashes) {
@@ -281,6 +285,7 @@
         }
     }
 
+    /// Records that a server crashed before its response to a send was complete.
     pub(super) fn record_crash(&self, admitted_send: &AdmittedSend, server_hash: u32) {
         let quarantined =
             self.update(|state| state.record_crash(admitted_send, server_hash, now_us()));
@@ -293,6 +298,7 @@
         }
     }
 
+    /// Records that a send got a complete response.
     pub(super) fn record_response(&self, admitted_send: &AdmittedSend) {
         if self.is_empty() {
             return;
@@ -396,6 +402,7 @@
     }
 }
 
+/// `learned` tells whether the crashes were recorded `here` or the quarantine was `told` by another instance.
 fn log_quarantined(fingerprint: Fingerprint, learned: &str) {
     let name = fingerprint.to_string();
     warn!(
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -26,9 +26,11 @@
 /// Servers restart before their store entries can expire.
 const DOWNTIME: Duration = Duration::from_millis(300);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+/// Time for instances to start serving requests.
 const WAIT: Duration = Duration::from_secs(10);
 /// Time for which requests may still be rejected after an outage of a whole service.
 const RECOVERY_MAX: Duration = Duration::from_secs(15);
+/// Part of a request head that makes servers crash.
 const POISON: &str = "poison";
 
 /// Three instances and twelve servers of one service, all of which the same request crashes.
@@ -40,7 +42,8 @@
 }
 
 impl CrashFixture {
-    async fn start(service: &str, midway: bool) -> Self {
+    /// With `mid_response`, servers crash halfway through a large response.
+    async fn start(service: &str, mid_response: bool) -> Self {
         let bed = RoutedBed::start(&ZONES).await;
         bed.store.put(CONFIG_KEY, &two_routes(1));
         let mut servers = Vec::new();
@@ -48,11 +51,7 @@
             let id = format!("s{number}");
             let server = RawServer::spawn(&id).await;
             server.work(Duration::from_millis(20));
-            server.crash_on(CrashRule {
-                head_part: POISON.into(),
-                down: DOWNTIME,
-                mid_response: midway,
-            });
+            server.crash_on(CrashRule { head_part: POISON.into(), down: DOWNTIME, mid_response });
             let entry = server.entry(service, ZONES[number % ZONES.len()], 4, "ready");
             bed.store.put(&format!("servers/{id}"), &entry);
             servers.push(server);
@@ -65,6 +64,7 @@
         fixture
     }
 
+    /// Waits until an instance serves a harmless request.
     async fn wait_until_served(&mut self, at: usize, service: &str) {
         let line = if service == "parts" { "GET /look/fine" } else { "POST /order/fine" };
         let until = Instant::now() + WAIT;
--- a/tests/key_revocation.rs
+++ b/tests/key_revocation.rs
@@ -19,6 +19,7 @@
 /// Number of seeds; `SORRELWICK_SCHEDULES` overrides it.
 const DEFAULT_SEED_COUNT: u64 = 30;
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for the fleet to reach its steady state.
 const SETTLE: Duration = Duration::from_secs(3);
 const SCHEDULE_LENGTH: Duration = Duration::from_secs(25);
 
@@ -85,7 +86,7 @@
     tokio::time::sleep(SETTLE).await;
     let began = Instant::now();
     let (mut next_loss, mut next_version) = (began, began);
-    let (mut serving, mut not_serving) = (0, 0);
+    let (mut accepting, mut not_accepting) = (0, 0);
     while began.elapsed() < SCHEDULE_LENGTH {
         let now = Instant::now();
         if now >= next_loss {
@@ -99,10 +100,10 @@
         let required = versions.required_revision(now);
         for (at, sink) in fleet.sinks.iter().enumerate() {
             if !may_accept_keys(&fleet, at) {
-                not_serving += 1;
+                not_accepting += 1;
                 continue;
             }
-            serving += 1;
+            accepting += 1;
             let known = sink.0.lock().map_or(0, |(revision, _)| revision);
             assert!(
                 known >= required,
@@ -111,7 +112,7 @@
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    (serving, not_serving)
+    (accepting, not_accepting)
 }
 
 /// Guards against a revoked key being accepted by an instance that is partitioned, rejected by the store, or
@@ -120,15 +121,15 @@
 async fn no_instance_accepts_revoked_keys_beyond_the_bound() {
     let given = std::env::var("SORRELWICK_SCHEDULES").ok();
     let seeds = given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT);
-    let (mut serving, mut not_serving) = (0, 0);
+    let (mut accepting, mut not_accepting) = (0, 0);
     for seed in 0..seeds {
-        let (one, other) = run_schedule(seed).await;
-        serving += one;
-        not_serving += other;
+        let (accepted, not_accepted) = run_schedule(seed).await;
+        accepting += accepted;
+        not_accepting += not_accepted;
     }
-    println!("{serving} checks of instances that may accept keys, {not_serving} of others");
-    assert!(not_serving > 0, "the schedules have too few faults to show anything");
-    assert!(serving > not_serving, "{serving}, {not_serving}");
+    println!("{accepting} checks of instances that may accept keys, {not_accepting} of others");
+    assert!(not_accepting > 0, "the schedules have too few faults to show anything");
+    assert!(accepting > not_accepting, "{accepting}, {not_accepting}");
 }
 
 /// Guards against taking a watch whose connection went silent as proof that nothing changed.
@@ -141,8 +142,8 @@
     assert!((0..SMALL.instances).all(|at| may_accept_keys(&fleet, at)));
     apply_losses(&fleet, &vec![Loss::Store(Fault::Hung); SMALL.instances]);
     tokio::time::sleep(REVOCATION_BOUND).await;
-    let serving = (0..SMALL.instances).filter(|at| may_accept_keys(&fleet, *at)).count();
-    assert_eq!(serving, 0);
+    let accepting = (0..SMALL.instances).filter(|at| may_accept_keys(&fleet, *at)).count();
+    assert_eq!(accepting, 0);
 }
 
 /// Guards against rejecting keys when nothing fails, and against proofs whose cost grows with the fleet.
--- a/tests/quota_schedules.rs
+++ b/tests/quota_schedules.rs
@@ -52,6 +52,7 @@
     now_ms: u64,
     /// Times at which requests were sent to a server.
     sent_at_ms: Vec<u64>,
+    /// Number of requests that callers sent to instances.
     received: u64,
     /// Probability that a message between instances is lost.
     message_loss: f64,
@@ -124,7 +125,7 @@
             incarnation: self.instances[at].incarnation,
             peer: address_of_index(at),
         };
-        let share = QuotaPlacement {
+        let placement = QuotaPlacement {
             zones: (0..ZONES).map(zone_name).collect(),
             own_zone: zone_name(zone),
             own_incarnation: self.instances[at].incarnation,
@@ -132,7 +133,7 @@
             sees_zone_majority: 2 * seen > of_zone,
         };
         let now_us = self.now_us();
-        self.instances[at].quotas.set_placement(share, now_us);
+        self.instances[at].quotas.set_placement(placement, now_us);
         self.instances[at].view_update_at_ms = u64::MAX;
     }
 
@@ -159,6 +160,7 @@
         }
     }
 
+    /// Takes a token for a request at an instance, or borrows some from the lenders.
     fn admit(&mut self, at: usize) -> bool {
         let now_us = self.now_us();
         let out_of_tokens = match self.instances[at].quotas.take(&self.workspace, now_us) {
@@ -222,14 +224,14 @@
     /// Highest number of requests that were sent in any window.
     fn max_sent_in_window(&self) -> usize {
         let mut first = 0;
-        let mut most = 0;
+        let mut max_sent = 0;
         for (last, at_ms) in self.sent_at_ms.iter().enumerate() {
             while self.sent_at_ms[first] + WINDOW_MS <= *at_ms {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max_sent = max_sent.max(last + 1 - first);
         }
-        most
+        max_sent
     }
 
     fn allowed_in_window(&self) -> f64 {
@@ -243,9 +245,9 @@
     let count = model.instances.len();
     match model.rng.random_range(0..5) {
         0 => {
-            let cut = model.rng.random_range(0..ZONES);
+            let partitioned_zone = model.rng.random_range(0..ZONES);
             for instance in &mut model.instances {
-                instance.group = usize::from(instance.zone == cut);
+                instance.group = usize::from(instance.zone == partitioned_zone);
             }
         }
         1 => {
@@ -300,11 +302,11 @@
             model.run_load(for_ms, per_s, zones);
             inject_fault(&mut model);
         }
-        let (most, allowed) = (model.max_sent_in_window(), model.allowed_in_window());
+        let (max_sent, allowed) = (model.max_sent_in_window(), model.allowed_in_window());
         assert!(
-            most as f64 <= allowed,
-            "seed {seed}: {most} of {allowed} in a window; {count} instances, {homes_per_zone} homes, \
-             {rate_per_s}/s"
+            max_sent as f64 <= allowed,
+            "seed {seed}: {max_sent} of {allowed} in a window; {count} instances, \
+             {homes_per_zone} homes, {rate_per_s}/s"
         );
     }
 }
@@ -319,15 +321,18 @@
             (0..140).for_each(|at| model.update_view(at));
             model.run_load(5_000, rate_per_s * 0.6, zones);
             let (received, sent) = (model.received, model.sent_at_ms.len());
-            let share = sent as f64 / received as f64;
+            let sent_fraction = sent as f64 / received as f64;
             println!(
-                "{rate_per_s}/s, {homes_per_zone} homes, zones {zones:?}: {share:.3} below it"
+                "{rate_per_s}/s, {homes_per_zone} homes, zones {zones:?}: {sent_fraction:.3} sent"
+            );
+            assert!(
+                sent_fraction > 0.99,
+                "{rate_per_s}/s, {homes_per_zone} homes, {zones:?}: {sent_fraction}"
             );
-            assert!(share > 0.99, "{rate_per_s}/s, {homes_per_zone} homes, {zones:?}: {share}");
             let before = model.sent_at_ms.len();
             model.run_load(20_000, rate_per_s * 3.0, zones);
             let used = (model.sent_at_ms.len() - before) as f64 / (20.0 * rate_per_s);
-            println!("  {used:.3} of the limit used");
+            println!("  {used:.3} of the quota used");
             assert!(used > 0.95, "{rate_per_s}/s, {homes_per_zone} homes, {zones:?}: {used}");
         }
     }
