--- a/src/gateway/caller_handler.rs
+++ b/src/gateway/caller_handler.rs
@@ -104,7 +104,7 @@
             parts.headers.get(&names.timeout_ms).and_then(|value| value.to_str().ok());
         let caller_timeout_ms = timeout_text.and_then(|text| text.trim().parse::<u64>().ok());
         let timeout_ms = caller_timeout_ms.unwrap_or(u64::MAX).min(route.timeout_ms);
-        let spent_us = caller_timeout_ms.map_or(0, |caller_timeout_ms| {
+        let spent_before_us = caller_timeout_ms.map_or(0, |caller_timeout_ms| {
             self.spent_time.spent_ms(&route.name, caller_timeout_ms)
         }) * 1000;
         let deadline_us = arrived_us + timeout_ms * 1000;
@@ -133,7 +133,7 @@
             health_path: self.health_path(&service),
             service,
             arrived_us,
-            spent_us,
+            spent_before_us,
             deadline_us,
         })
     }
@@ -188,7 +188,7 @@
             workspace = request.caller.as_ref().map(|caller| &*caller.workspace.name),
             service = &*request.service, version = self.config_version(),
             status = reply.status.as_u16(), code = reply.code.number(),
-            took_ms = took.as_millis(), spent_before_ms = request.spent_us / 1000,
+            took_ms = took.as_millis(), spent_before_ms = request.spent_before_us / 1000,
             allowed_ms = request.deadline_us.saturating_sub(request.arrived_us) / 1000;
             "request completed"
         );
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -41,6 +41,7 @@
 /// What a queued request receives: a slot or a refusal.
 type QueueOutcome = Result<Box<Grant>, Refusal>;
 
+/// State of the dispatcher, behind its lock.
 #[derive(Debug, Default)]
 pub(super) struct DispatcherState {
     pub(super) pools: HashMap<Arc<str>, ServicePool>,
@@ -48,17 +49,21 @@
     /// The same servers by the hash that identifies them in messages between instances.
     pub(super) by_key: HashMap<u32, Arc<Server>>,
     pub(super) starts: ServerStarts,
+    /// The server in use at each address.
     pub(super) claims: AddressClaims,
     pub(super) evacuations: Evacuations,
     /// Limits for servers that warm up, by service.
     pub(super) cold_policies: HashMap<Arc<str>, ColdPolicy>,
+    /// The homes that share the limits for servers that warm up.
     pub(super) home_set: Arc<HomeSet>,
     pub(super) peers: PeerLiveness,
+    /// Servers with connections.
     pub(super) in_use: ServersInUse,
     /// Whether any unlisted server has not been removed yet.
     pub(super) any_unlisted: bool,
     /// Incremented by each change of the list of servers.
     pub(super) list_version: u64,
+    /// Queued requests by ticket.
     waiters: HashMap<u64, oneshot::Sender<QueueOutcome>>,
 }
 
@@ -78,6 +83,7 @@
     pub(super) retry_allowance: RetryAllowance,
     /// Number of instances that share the slack of the retry budget.
     pub(super) budget_sharers: Arc<AtomicUsize>,
+    /// Ticket of the next request, by which pools identify it.
     next_ticket: Arc<AtomicU64>,
     pub(super) state: Arc<Mutex<DispatcherState>>,
     /// Slots in use.
@@ -126,7 +132,7 @@
         }
     }
 
-    fn ticket(&self) -> u64 {
+    fn allocate_ticket(&self) -> u64 {
         self.next_ticket.fetch_add(1, Ordering::Relaxed)
     }
 
@@ -158,7 +164,7 @@
         self.state.lock().list_version
     }
 
-    /// Records that a connection to a server is opened for something other than a request.
+    /// Records that connections to a server are used for something other than requests.
     pub fn record_use(&self, server: &Arc<Server>) {
         self.state.lock().in_use.record(server);
     }
@@ -170,7 +176,7 @@
         state.pools.get(service).map_or(spec.target_ms, |pool| pool.typical_ms(spec))
     }
 
-    /// Takes a slot for a hedged request, if one is free and nothing is queued for it.
+    /// Takes a slot for a hedged request, if one is free and no request is queued.
     #[must_use]
     pub fn try_acquire_spare(&self, service: &str, spec: &RequestSpec) -> Option<Grant> {
         let mut state = self.state.lock();
@@ -178,7 +184,7 @@
         if pool.queue_len() > 0 {
             return None;
         }
-        let ticket = self.ticket();
+        let ticket = self.allocate_ticket();
         let choice = pool.acquire_slot(ticket, spec, &self.zone, now_us(), &mut random_unit)?;
         self.grant_slot(&mut state, choice, ticket, spec.clone())
     }
@@ -188,11 +194,11 @@
     /// # Errors
     /// If no slot is expected to become free in time.
     pub async fn acquire(&self, service: &Arc<str>, spec: RequestSpec) -> Result<Grant, Refusal> {
-        let ticket = self.ticket();
+        let ticket = self.allocate_ticket();
         let mut undelivered = Vec::new();
         let receiver = {
             let mut state = self.state.lock();
-            state.forget_silent_peers(now_us());
+            state.remove_silent_peers(now_us());
             let pool = state.pools.entry(Arc::clone(service)).or_default();
             if pool.queue_len() == 0
                 && let Some(choice) =
@@ -362,7 +368,7 @@
     fn process_queues(&self) {
         let mut undelivered = Vec::new();
         let mut state = self.state.lock();
-        state.forget_silent_peers(now_us());
+        state.remove_silent_peers(now_us());
         for service in state.services_with_queue() {
             Self::refuse_expired(&mut state, &service);
             self.serve_waiting(&mut state, &service, &mut undelivered);
--- a/src/gateway/dispatcher_peers.rs
+++ b/src/gateway/dispatcher_peers.rs
@@ -43,7 +43,7 @@
 
 impl DispatcherState {
     /// Discards the in-flight requests of peers that timed out.
-    pub(super) fn forget_silent_peers(&mut self, now_us: u64) {
+    pub(super) fn remove_silent_peers(&mut self, now_us: u64) {
         for peer in self.peers.take_silent(now_us) {
             for tracked in self.pools.values_mut().flat_map(|pool| &mut pool.servers) {
                 tracked.remove_peer(peer, now_us);
@@ -84,7 +84,7 @@
         let mut state = self.state.lock();
         let now_us = now_us();
         state.peers.last_heard_us.insert(loads.from, now_us);
-        state.forget_silent_peers(now_us);
+        state.remove_silent_peers(now_us);
         for row in &loads.rows {
             state.record_peer_load(loads.from, *row, now_us);
         }
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -63,7 +63,7 @@
     }
 
     /// Removes servers that are neither listed nor in use, if any was unlisted.
-    fn forget_unlisted(&mut self) {
+    fn remove_unlisted(&mut self) {
         if !self.any_unlisted {
             return;
         }
@@ -95,7 +95,7 @@
 
     /// Discards the state of a server that started again. Within the same service the pool replaces
     /// that state itself; the pool of another service would keep it.
-    fn forget_previous_start(&mut self, before: &Server, row: &ServerRow) {
+    fn discard_previous_start(&mut self, before: &Server, row: &ServerRow) {
         info!(
             event = "server-started-anew", server = &*row.id, service = &*before.row.service,
             before_ms = before.row.started_ms;
@@ -133,7 +133,7 @@
         if before.as_ref().is_none_or(|before| !before.row.same_start(row)) {
             if let Some(before) = before {
                 state.release_address(&before.row);
-                state.forget_previous_start(&before, row);
+                state.discard_previous_start(&before, row);
                 state.by_key.remove(&before.key);
             }
             let server = Arc::new(Server::new(row.clone()));
@@ -143,7 +143,7 @@
         state.list_version += 1;
         let service = Arc::clone(&row.service);
         let evacuated = state.evacuations.contains(&row.zone);
-        let leaving = state.starts.is_draining(row);
+        let draining = state.starts.is_draining(row);
         if state.pools.get(&service).is_none_or(|pool| pool.servers.is_empty()) {
             state.update_start_limits(&service);
         }
@@ -152,7 +152,7 @@
         if evacuated {
             tracked.evacuate();
         }
-        if leaving {
+        if draining {
             tracked.mark_draining();
         }
         state.claim_address(row);
@@ -171,9 +171,9 @@
             .collect()
     }
 
-    /// The servers of this subset, with the preferred servers of each service first.
+    /// Of each service, the servers of this subset, to which requests are assigned first.
     #[must_use]
-    pub fn near_servers(&self, subset: &ServerSubset) -> Vec<Arc<Server>> {
+    pub fn servers_in_subset(&self, subset: &ServerSubset) -> Vec<Arc<Server>> {
         let state = self.state.lock();
         let pools = state.pools.values();
         let ids = pools.flat_map(|pool| {
@@ -212,7 +212,7 @@
             self.apply_row(&mut state, &row, &mut undelivered);
         }
         state.in_use.close_expired();
-        state.forget_silent_peers(now_us());
-        state.forget_unlisted();
+        state.remove_silent_peers(now_us());
+        state.remove_unlisted();
     }
 }
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -21,8 +21,8 @@
     clippy::cast_sign_loss,
     reason = "a share of an integer"
 )]
-fn connection_share(rule: &ServiceConfig, share: f64) -> u32 {
-    (f64::from(rule.connections_max) * share).max(1.0) as u32
+fn connection_share(config: &ServiceConfig, share: f64) -> u32 {
+    (f64::from(config.connections_max) * share).max(1.0) as u32
 }
 
 impl DispatcherState {
@@ -75,7 +75,7 @@
         let mut state = self.state.lock();
         let DispatcherState { pools, servers, .. } = &mut *state;
         let own_max = |service: &str| {
-            services.get(service).map_or(u32::MAX, |rule| connection_share(rule, share))
+            services.get(service).map_or(u32::MAX, |config| connection_share(config, share))
         };
         for (service, pool) in pools.iter_mut() {
             // One connection is reserved for health checks.
@@ -88,17 +88,17 @@
     }
 
     /// Replaces the limits for servers that warm up, by service.
-    pub fn set_cold_policies(&self, rules: HashMap<Arc<str>, ColdPolicy>) {
+    pub fn set_cold_policies(&self, policies: HashMap<Arc<str>, ColdPolicy>) {
         let mut state = self.state.lock();
-        state.cold_policies = rules;
+        state.cold_policies = policies;
         state.update_all_start_limits();
     }
 
-    /// Sets this instance's share of the limits for servers that warm up or recover.
-    pub fn set_home_set(&self, share: HomeSet) {
+    /// Sets the homes that share the limits for servers that warm up or recover.
+    pub fn set_home_set(&self, home_set: HomeSet) {
         let mut state = self.state.lock();
-        if *state.home_set != share {
-            state.home_set = Arc::new(share);
+        if *state.home_set != home_set {
+            state.home_set = Arc::new(home_set);
             state.update_all_start_limits();
         }
     }
--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -42,7 +42,7 @@
     pub health_path: Option<String>,
     pub arrived_us: u64,
     /// Estimated time that the caller spent on earlier attempts, in microseconds.
-    pub spent_us: u64,
+    pub spent_before_us: u64,
     /// The caller's deadline or the end of the route's timeout, whichever comes first.
     pub deadline_us: u64,
 }
@@ -66,7 +66,7 @@
     /// retry.
     #[must_use]
     pub const fn retry_need(&self) -> RetryNeed {
-        if self.spent_us == 0 { RetryNeed::CallerCanRetry } else { RetryNeed::LastChance }
+        if self.spent_before_us == 0 { RetryNeed::CallerCanRetry } else { RetryNeed::LastChance }
     }
 
     /// The request id as text, for logs.
@@ -91,14 +91,14 @@
     #[must_use]
     pub fn spec(&self, tried: &[Arc<str>]) -> RequestSpec {
         #[expect(clippy::cast_precision_loss, reason = "a latency target of a few seconds")]
-        let aim_ms = self.route.aim_ms as f64;
+        let target_ms = self.route.aim_ms as f64;
         RequestSpec {
             route: self.route.name.as_str().into(),
             workspace: self.caller.as_ref().map(|caller| Arc::clone(&caller.workspace.name)),
             priority: self.priority(),
-            target_ms: aim_ms,
+            target_ms,
             arrived_us: self.arrived_us,
-            spent_before_us: self.spent_us,
+            spent_before_us: self.spent_before_us,
             deadline_us: self.deadline_us,
             tried_servers: tried.iter().cloned().collect(),
         }
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -262,7 +262,7 @@
         }
         let typical_ms = self.dispatcher.typical_ms(&request.service, &request.spec(&[]));
         let elapsed_us = now_us().saturating_sub(request.arrived_us);
-        let spent_ms = (elapsed_us + request.spent_us) as f64 / 1000.0;
+        let spent_ms = (elapsed_us + request.spent_before_us) as f64 / 1000.0;
         let target_left_ms = request.route.aim_ms as f64 - spent_ms;
         let after_ms = (target_left_ms - HEDGE_LEAD_RATIO * typical_ms)
             .max(HEDGE_MIN_DELAY_RATIO * typical_ms);
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -58,7 +58,7 @@
             return;
         }
         self.list_version = list_version;
-        self.servers = dispatcher.near_servers(&subset);
+        self.servers = dispatcher.servers_in_subset(&subset);
         self.subset = Some(subset);
     }
 }
--- a/src/gateway/quota_limiter.rs
+++ b/src/gateway/quota_limiter.rs
@@ -20,11 +20,13 @@
 use crate::quota::Quotas;
 use crate::workspace::Workspace;
 
-/// Timeout for one instance to lend tokens, and for all that are asked together.
+/// Timeout for one instance to lend tokens.
 const LENDER_TIMEOUT: Duration = Duration::from_millis(50);
+/// Timeout for all instances that a request asks for tokens, one after the other.
 const BORROW_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long a request waits for this instance to discover its peers, and how often that is checked.
+/// How long a request waits for this instance to discover its peers.
 const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval between two checks whether peers have been discovered.
 const PEER_DISCOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const MILLITOKENS_PER_TOKEN: f64 = 1000.0;
 
@@ -120,7 +122,7 @@
         false
     }
 
-    /// The tokens that an instance lends.
+    /// Asks an instance for tokens and returns those that it lends, 0 if there is no response.
     async fn request_tokens(&self, lender: SocketAddr, workspace: &Workspace, wanted: f64) -> f64 {
         let workspace = workspace.name.to_string();
         let request = PeerRequest::QuotaTokens { workspace, wanted_milli: to_millitokens(wanted) };
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -49,7 +49,7 @@
     /// Latency target: a response within this time has its full value.
     pub aim_ms: u64,
     /// Maximum number of backend servers that one request is sent to.
-    #[serde(default = "attempts_default")]
+    #[serde(default = "default_attempts_max")]
     pub attempts_max: u32,
     /// Queue priority, where 0 is served first.
     #[serde(default)]
@@ -65,12 +65,12 @@
     pub(super) targets: SmallVec<[Target; 2]>,
 }
 
-const fn attempts_default() -> u32 {
+const fn default_attempts_max() -> u32 {
     1
 }
 
 /// Unlimited: if operators set no limit, only the instances' own limits apply.
-const fn connections_default() -> u32 {
+const fn default_connections_max() -> u32 {
     u32::MAX
 }
 
@@ -80,7 +80,7 @@
     pub name: Arc<str>,
     pub health_path: String,
     /// Maximum number of connections that a backend server accepts from all clients together.
-    #[serde(default = "connections_default")]
+    #[serde(default = "default_connections_max")]
     pub connections_max: u32,
     /// Duration of a backend server's warm-up, in seconds.
     #[serde(default)]
--- a/src/gateway/server_conn.rs
+++ b/src/gateway/server_conn.rs
@@ -20,9 +20,11 @@
 use super::framing::Framing;
 use crate::clock::now_us;
 
+/// Free space in the input buffer before each read.
 const READ_BYTES: usize = 16 << 10;
 /// Maximum size of a response head.
 const RESPONSE_HEAD_MAX_BYTES: usize = 64 << 10;
+/// Maximum number of headers of a response.
 const RESPONSE_HEADERS_MAX: usize = 64;
 /// Responses to other requests that are skipped before the connection is closed.
 const STALE_RESPONSES_MAX: u32 = 3;
@@ -95,8 +97,10 @@
 #[derive(Debug)]
 pub struct ServerConn {
     stream: TcpStream,
+    /// Bytes received and not consumed yet.
     input: BytesMut,
     idle_since_us: u64,
+    /// Idle timeout of the server.
     keep_alive: Duration,
     _open_guard: OpenConnGuard,
 }
--- a/src/gateway/server_starts.rs
+++ b/src/gateway/server_starts.rs
@@ -23,7 +23,8 @@
 struct LatestReport {
     started_ms: u64,
     sequence: u64,
-    heard_us: u64,
+    /// When the report arrived.
+    received_us: u64,
     /// Whether the server announced in a response that this start drains.
     announced_draining: bool,
     /// When the server was removed; `None` while it is known.
@@ -62,7 +63,7 @@
                 event = "server-outdated", code = Code::ServerOutdated.number(),
                 server = &*row.id, started_ms = row.started_ms, sequence = row.sequence,
                 known_started_ms = latest.started_ms, known_sequence = latest.sequence,
-                known_age_ms = now_us.saturating_sub(latest.heard_us) / 1000;
+                known_age_ms = now_us.saturating_sub(latest.received_us) / 1000;
                 "an outdated report is not applied"
             );
             self.held.insert(Arc::clone(&row.id), HeldRow { row, since_us: now_us });
@@ -75,12 +76,12 @@
     fn record(&mut self, row: &ServerRow, now_us: u64) {
         let ServerRow { started_ms, sequence, .. } = *row;
         self.held.remove(&row.id);
-        let leaving = self.is_draining(row);
+        let announced_draining = self.is_draining(row);
         let latest = LatestReport {
             started_ms,
             sequence,
-            heard_us: now_us,
-            announced_draining: leaving,
+            received_us: now_us,
+            announced_draining,
             gone_us: None,
         };
         self.latest.insert(Arc::clone(&row.id), latest);
--- a/src/gateway/servers_in_use.rs
+++ b/src/gateway/servers_in_use.rs
@@ -5,6 +5,7 @@
 
 use super::server::Server;
 
+/// A server with connections.
 #[derive(Debug)]
 struct UsedServer {
     server: Arc<Server>,
--- a/src/gateway/spent_time_estimator.rs
+++ b/src/gateway/spent_time_estimator.rs
@@ -40,11 +40,13 @@
 struct Histogram {
     /// Number and weight of each bin, sorted by number.
     bins: SmallVec<[(u16, f64); 16]>,
+    /// Sum of all weights.
     total: f64,
+    /// Longest timeout seen, which does not decay.
     max_ms: u64,
 }
 
-/// Timeouts of first attempts.
+/// Range of the timeouts of first attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct FirstAttempts {
     min_ms: f64,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Halves all weights and removes bins that held a single old sample.
+    /// Halves all weights and removes bins that are left with less than half a sample.
     fn decay(&mut self) {
         for (_, weight) in &mut self.bins {
             *weight /= 2.0;
@@ -94,11 +96,8 @@
     #[expect(clippy::cast_precision_loss, reason = "times of a few seconds")]
     fn first_attempts(&self) -> FirstAttempts {
         if self.total < MIN_SAMPLES {
-            let longest_ms = self.max_ms as f64;
-            return FirstAttempts {
-                min_ms: longest_ms * ASSUMED_SPREAD_RATIO,
-                mean_ms: longest_ms,
-            };
+            let max_ms = self.max_ms as f64;
+            return FirstAttempts { min_ms: max_ms * ASSUMED_SPREAD_RATIO, mean_ms: max_ms };
         }
         let max_weight = self.bins.iter().map(|(_, weight)| *weight).fold(0.0, f64::max);
         let dense = self.bins.iter().filter(|(_, weight)| *weight >= max_weight * DENSE_BIN_RATIO);
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -44,20 +44,20 @@
 /// its share would have been dozens. Returns the time from `since` to its last request.
 async fn time_to_last_request(
     bed: &Bed,
-    leaving: &Backend,
+    draining: &Backend,
     since: tokio::time::Instant,
 ) -> Duration {
     let runs = |backend: &Backend| backend.record.runs().len();
     let all = || bed.backends.iter().map(runs).sum::<usize>();
-    let mut seen = (runs(leaving), all());
+    let mut seen = (runs(draining), all());
     until("the draining server receives no more requests", async || {
-        if runs(leaving) != seen.0 {
-            seen = (runs(leaving), all());
+        if runs(draining) != seen.0 {
+            seen = (runs(draining), all());
         }
         all() - seen.1 >= OTHERS_REQUESTS_MIN
     })
     .await;
-    let last = leaving.record.runs().last().map_or(since, |run| run.at);
+    let last = draining.record.runs().last().map_or(since, |run| run.at);
     last.saturating_duration_since(since)
 }
 
@@ -72,7 +72,7 @@
     bed.operator(2).set_drain("catalogue", "b0", true).await.expect("drained");
     let took = time_to_last_request(&bed, &bed.backends[0], since).await;
     assert!(took < FEW_SECONDS, "{took:?}");
-    println!("drained by call: last new work after {took:?}");
+    println!("drained by operator: last new request after {took:?}");
     bed.operator(1).set_drain("catalogue", "b0", false).await.expect("undrained");
     let before = bed.backends[0].record.runs().len();
     until("the server receives requests again", async || {
@@ -95,7 +95,7 @@
     bed.backends[1].behaviour.draining.store(true, Ordering::Release);
     let took = time_to_last_request(&bed, &bed.backends[1], since).await;
     assert!(took < FEW_SECONDS, "{took:?}");
-    println!("told by its own answer: last new work after {took:?}");
+    println!("announced by the server: last new request after {took:?}");
     drop(load);
 }
 
@@ -122,7 +122,7 @@
     assert_eq!(
         backend.record.runs().len(),
         before,
-        "a probe that reports draining makes no requests go there"
+        "the server received requests although its probes report draining"
     );
     backend.behaviour.draining.store(false, Ordering::Release);
     until("the server receives requests again", async || backend.record.runs().len() > before)
@@ -149,7 +149,7 @@
     bed.state.set_list("backend-servers", vec![listed(true)]);
     let took = time_to_last_request(&bed, backend, since).await;
     assert!(took < FEW_SECONDS, "{took:?}");
-    println!("listed as leaving: last new work after {took:?}");
+    println!("listed as leaving: last new request after {took:?}");
     let before = backend.record.runs().len();
     bed.state.set_list("backend-servers", vec![listed(false)]);
     until("the server receives requests again", async || backend.record.runs().len() > before)
--- a/tests/spent_time_estimator.rs
+++ b/tests/spent_time_estimator.rs
@@ -13,7 +13,7 @@
 }
 
 /// Requests of callers whose timeout is 2 s, less up to the fraction `spread` of it. The fraction
-/// `returns` are retries, after a random time of up to `back_ms`.
+/// `retries` of them are retries, after a random time of up to `spent_max_ms`.
 fn requests(count: usize, spread: f64, retries: f64, spent_max_ms: u64) -> Vec<SentRequest> {
     let mut random = Pcg64::seed_from_u64(7);
     let draw = |_| {
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -73,11 +73,15 @@
         let slow =
             Call::get(&format!("/a?bytes={LARGE_BYTES}&work_us=20000"), &format!("left-{turn}"));
         let leaving = Caller::new("portal", "burnaby", &bed.caller_addresses());
-        let patience = std::time::Duration::from_millis(5 + turn);
-        let left = tokio::time::timeout(patience, leaving.call(&slow)).await.is_err();
+        let wait = std::time::Duration::from_millis(5 + turn);
+        let disconnected = tokio::time::timeout(wait, leaving.call(&slow)).await.is_err();
         let id = format!("next-{turn}");
         let told = caller.call(&Call::get("/b?bytes=500&work_us=100", &id)).await;
-        assert_eq!(told.body(), &body_for(&id, 500)[..], "after a caller left: {left}");
+        assert_eq!(
+            told.body(),
+            &body_for(&id, 500)[..],
+            "after a caller disconnected: {disconnected}"
+        );
     }
 }
 
