--- a/src/gateway/address_claims.rs
+++ b/src/gateway/address_claims.rs
@@ -19,22 +19,22 @@
     /// server.
     pub(super) fn claim(&mut self, address: SocketAddr, id: &Arc<str>) -> Option<Arc<str>> {
         let claims = self.by_address.entry(address).or_default();
-        let holder = claims.last().filter(|holder| *holder != id).cloned();
+        let owner = claims.last().filter(|owner| *owner != id).cloned();
         claims.retain(|claimant| claimant != id);
         claims.push(Arc::clone(id));
-        holder
+        owner
     }
 
     /// Removes a server's claim because its entry was removed or another server answered at the
     /// address. Returns the new owner if the ownership changed.
     pub(super) fn release(&mut self, address: SocketAddr, id: &str) -> Option<Arc<str>> {
         let claims = self.by_address.get_mut(&address)?;
-        let held = claims.last().is_some_and(|holder| **holder == *id);
+        let owned = claims.last().is_some_and(|owner| **owner == *id);
         claims.retain(|claimant| **claimant != *id);
         if claims.is_empty() {
             self.by_address.remove(&address);
             return None;
         }
-        claims.last().filter(|_| held).cloned()
+        claims.last().filter(|_| owned).cloned()
     }
 }
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -150,6 +150,7 @@
         }
     }
 
+    /// Syncs once: from the store as a watcher, otherwise from peers.
     async fn sync_once(&self) {
         if is_watcher(&self.board) {
             tokio::select! {
@@ -166,7 +167,8 @@
         self.feed != Feed::Servers || holds_server_list(&self.board)
     }
 
-    /// Whether the full mirror is needed now or, if it is loaded, was needed within [`SERVER_LIST_RETENTION`].
+    /// Whether the full mirror is needed now or, if it is loaded, was needed within
+    /// [`SERVER_LIST_RETENTION`].
     fn needed_recently(&self) -> bool {
         let now_us = now_us();
         if self.needs_full_mirror() {
@@ -203,6 +205,7 @@
         }
     }
 
+    /// Records an answer of the store, which confirms the mirror.
     fn record_store_success(&self) {
         self.mirror.record_confirmation(now_us());
         self.board.note_store(None);
@@ -212,6 +215,8 @@
         }
     }
 
+    /// Records a failed store call that began at `started_us`, and sleeps for the backoff, to which
+    /// up to a quarter is added at random.
     pub(super) async fn back_off(&self, error: &StoreError, started_us: u64) {
         self.board.note_store(Some(error.to_string()));
         let failures = self.outage.record_failure(started_us);
@@ -275,6 +280,7 @@
         }
     }
 
+    /// Watches the store for events after `revision`; returns whether there was one.
     async fn watch_store(&self, revision: u64) -> Result<bool, StoreError> {
         // After a failure the watch must return at once: a failing store would hold it for the full
         // wait.
--- a/src/gateway/follower_relays.rs
+++ b/src/gateway/follower_relays.rs
@@ -286,6 +286,7 @@
         }
     }
 
+    /// Asks one relay, and more peers if the mirror is still not fresh.
     async fn cross_check_once(&self) {
         let one = relay_addresses(&self.board).into_iter().take(1).collect();
         if !self.poll_peers(self.feed, one, REQUEST_TIMEOUT).await.fresh
--- a/src/gateway/follower_start.rs
+++ b/src/gateway/follower_start.rs
@@ -122,6 +122,7 @@
         Ok(self.read_pages(Freshness::MaybeOld).await?.0)
     }
 
+    /// Reads possibly stale data and applies it until the mirror is loaded.
     async fn apply_stale_read(&self) {
         let started_us = now_us();
         match self.read_stale().await {
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -148,7 +148,7 @@
                 ""
             );
         }
-        self.dispatcher.set_home_set(self.home_share(&inputs));
+        self.dispatcher.set_home_set(self.home_set(&inputs));
         let own = inputs.homes.contains(&self.board.incarnation);
         self.dispatcher.set_home_count(homes.len(), own);
         self.dispatcher.set_subset(own_subset(&self.board).as_ref());
@@ -166,7 +166,7 @@
     }
 
     /// The homes among which the starts of requests at overloaded servers are divided.
-    fn home_share(&self, inputs: &PlanInputs) -> HomeSet {
+    fn home_set(&self, inputs: &PlanInputs) -> HomeSet {
         let lacks_members = self.may_lack_members(inputs.homes.len() + inputs.others);
         let homes = (!lacks_members).then(|| inputs.homes.clone());
         HomeSet { homes, own: self.board.incarnation }
--- a/src/gateway/load_reporter.rs
+++ b/src/gateway/load_reporter.rs
@@ -141,6 +141,7 @@
         is_home(&self.board, HomesPlan::of(&self.board))
     }
 
+    /// Reports loads to one peer: changes soon while requests are queued, otherwise less often.
     async fn report_to(self, peer: ReportTarget, interval_factor: u32) {
         let mut reported = ReportedLoads::default();
         let mut intervals_since_report = 0;
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -166,8 +166,8 @@
         WatchGuard(&self.active_watches)
     }
 
-    /// Records that the store answered this instance at `at_us`. This confirms the mirror only while
-    /// a watch is waiting: between two watches, changes may be missed.
+    /// Records that the store answered this instance at `at_us`. This confirms the mirror only
+    /// while a watch is waiting: between two watches, changes may be missed.
     pub fn record_store_reply(&self, at_us: u64) {
         if self.active_watches.load(Ordering::Acquire) > 0 {
             self.record_confirmation(at_us);
--- a/src/gateway/mirror_sample.rs
+++ b/src/gateway/mirror_sample.rs
@@ -31,7 +31,7 @@
             && after >= changed
         {
             let wait = wait.min(FRESH_AGE_MAX.saturating_sub(self.age()));
-            // If the time is over, the reply contains no items.
+            // If the time is over, the reply contains no events.
             let _ =
                 tokio::time::timeout(wait, sample_rx.wait_for(|changed| *changed > after)).await;
         }
@@ -72,6 +72,7 @@
         any
     }
 
+    /// The sample for a zone, or no events if it is unchanged since `after`.
     fn sample_reply(&mut self, zone: u64, after: Option<u64>) -> FeedReply {
         let revision = self.revision;
         let (Some(sample), Some(revision)) = (self.sample(zone), revision) else {
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -79,9 +79,9 @@
         let view = self.board.members_view();
         let homes = homes_of_zone(&view, zone, HomesPlan::of(&self.board));
         let ttl = if view.serving() > 1 { ADDRESS_TTL } else { ADDRESS_TTL_ALONE };
-        let relied_on = self.admission.accepts_callers();
+        let accepts_callers = self.admission.accepts_callers();
         let named =
-            homes.iter().filter(|row| relied_on || row.incarnation != self.board.incarnation);
+            homes.iter().filter(|row| accepts_callers || row.incarnation != self.board.incarnation);
         (named.map(|row| row.caller).collect(), ttl.min(ttl_max))
     }
 }
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -24,7 +24,8 @@
 /// a check like any request: the check takes a slot from a request, and a late answer says nothing
 /// about the server.
 const NO_LOAD_INTERVAL_S: u32 = 2;
-/// Timeout of a health check. A server in the own zone answers within some milliseconds.
+/// Timeout of a health check. A server in the own zone answers within some milliseconds; a slower
+/// one counts as not answering.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Requests per second of the instance's capacity for each health check per second. A check takes
@@ -40,8 +41,8 @@
 /// Weight of the latest tick in the moving average of the request rate.
 const RATE_EWMA_WEIGHT: f64 = 0.1;
 
-/// The servers that this home checks, refreshed only when the server list or the home's subset of it
-/// changed.
+/// The servers that this home checks, refreshed only when the server list or the home's subset of
+/// it changed.
 #[derive(Debug, Default)]
 struct ProbedServers {
     servers: Vec<Arc<Server>>,
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -81,6 +81,7 @@
         self.board.set_evacuated_zones(self.dispatcher.evacuated_zones());
     }
 
+    /// Ends the evacuation of a zone.
     fn readmit(&self, zone: &str) {
         let Some(change) = self.dispatcher.readmit(zone) else {
             return;
@@ -93,10 +94,10 @@
         self.board.set_evacuated_zones(self.dispatcher.evacuated_zones());
     }
 
-    /// The rate rules for cold servers, by service.
-    fn cold_rules(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdPolicy> {
-        let bounds = self.board.settings.gateway.as_ref();
-        let (overage, slack) = bounds.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
+    /// The rate limits and warm-up times of cold servers, by service.
+    fn cold_policies(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdPolicy> {
+        let gateway = self.board.settings.gateway.as_ref();
+        let (overage, slack) = gateway.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
         let rule = |service: &ServiceConfig| ColdPolicy {
             limit: service.cold_per_s.map(|per_s| ColdLimit { per_s, overage, slack }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
@@ -104,6 +105,7 @@
         table.services.iter().map(|(name, service)| (Arc::clone(name), rule(service))).collect()
     }
 
+    /// Parses a version of the configuration and puts it into use if it is the newest.
     fn apply_config(&self, item: &Item) {
         let previous = self.table.load_full();
         let parsed = match self.dialect.decode_config(&item.value, previous.as_deref()) {
@@ -132,7 +134,7 @@
             faults = parsed.faults.len(), revision = item.revision;
             "configuration changed"
         );
-        self.dispatcher.set_cold_policies(self.cold_rules(&parsed.table));
+        self.dispatcher.set_cold_policies(self.cold_policies(&parsed.table));
         self.table.store(Some(Arc::new(parsed.table)));
         self.board.counters.add(Counter::ConfigMerged);
     }
@@ -194,6 +196,7 @@
         Self { dialect, dispatcher, unreadable: HashMap::new(), batch: None }
     }
 
+    /// Decodes and validates the entry of a server.
     fn decode(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
         let row = self.dialect.decode_server(id, value)?;
         row.check()?;
@@ -274,7 +277,7 @@
             info!(
                 event = "servers-changed", listed = batch.listed,
                 unlisted = batch.unlisted, revision = revision;
-                "changes of a batch that are not logged individually"
+                "summary of a large batch of changes"
             );
         }
     }
--- a/src/gateway/store_outage.rs
+++ b/src/gateway/store_outage.rs
@@ -30,8 +30,8 @@
     }
 
     /// Records a failed call; returns the number of consecutive failures before it.
-    pub(super) fn record_failure(&self, began_us: u64) -> u32 {
-        self.failed_us.store(began_us, Ordering::Release);
+    pub(super) fn record_failure(&self, started_us: u64) -> u32 {
+        self.failed_us.store(started_us, Ordering::Release);
         self.failures.fetch_add(1, Ordering::AcqRel)
     }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -259,8 +259,10 @@
 }
 
 /// Guards against a start whose cost per instance grows with the fleet: five hundred instances
-/// start at once and know three seeds. Each used to read the whole store itself, everybody asked
-/// the seeds for all members at once, and each member was gossiped to everybody nine times.
+/// start at once and know three seeds. Callers wait meanwhile, and an instance that assigns slots
+/// without knowing the others delays the answers of all. Each instance used to read the whole store
+/// itself, all asked the seeds for all members at once, and each member was gossiped to everybody
+/// nine times.
 #[tokio::test(start_paused = true)]
 async fn simultaneous_start_cost_per_instance_does_not_grow_with_fleet() {
     let (mut calls_of_half, mut calls_of_whole) = (0, 0);
@@ -415,9 +417,10 @@
 }
 
 /// Guards against a poll loop without a pause: an instance whose relay was not fresh polled all
-/// readers, found a fresh one, and started over at once, which doubled the messages of some starts.
-/// It lasts longest while backend servers come and go and the store rejects a third of the
-/// instances, including the first homes of two zones.
+/// readers, found a fresh one, and started over at once. This doubled the messages of some starts;
+/// nearly all of them were requests for an immediate answer. It lasts longest while backend servers
+/// come and go and the store rejects a third of the instances, including the first homes of two
+/// zones.
 #[tokio::test(start_paused = true)]
 async fn partial_store_rejection_does_not_cause_poll_loop() {
     let mut fleet = Fleet::start(500, 7).await;
--- a/tests/relay_schedules.rs
+++ b/tests/relay_schedules.rs
@@ -184,7 +184,8 @@
 }
 
 /// The same with five hundred instances in five zones. The cost of a change must not grow with
-/// them: whichever instances fail, only readers call the store, and each other instance asks a few peers.
+/// them: whichever instances fail, only readers call the store, and each other instance asks a few
+/// peers.
 #[tokio::test(start_paused = true)]
 async fn change_reaches_five_hundred_instances_in_time() {
     for seed in 0..seeds() / LARGE_SEED_COST {
