--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -80,7 +80,7 @@
     info!(
         event = "server-rests", server = &*tracked.row.id, service = &*tracked.row.service,
         rest_ms = duration.as_millis(), heard = source.name(), running = tracked.own_in_flight();
-        "the server refused a request and asked for a pause"
+        "the server refused a request and asks for no further requests for a time"
     );
 }
 
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -85,8 +85,8 @@
             kept
         });
         starts.remove_expired(now_us);
-        let mut tracks = pools.values().flat_map(|pool| &pool.servers);
-        self.any_unlisted = tracks.any(TrackedServer::is_unlisted);
+        let mut tracked = pools.values().flat_map(|pool| &pool.servers);
+        self.any_unlisted = tracked.any(TrackedServer::is_unlisted);
         self.list_version += 1;
         for holder in holders {
             self.set_superseded(&holder, false);
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -116,9 +116,9 @@
     pub fn total_slots(&self, services: &HashMap<Arc<str>, ServiceConfig>) -> u32 {
         let state = self.state.lock();
         let declared = state.pools.iter().filter(|(service, _)| services.contains_key(*service));
-        let tracks = declared.flat_map(|(_, pool)| &pool.servers);
-        let tracks = tracks.filter(|tracked| tracked.owns_address());
-        tracks.map(|tracked| tracked.row.slots).sum()
+        let servers = declared.flat_map(|(_, pool)| &pool.servers);
+        let servers = servers.filter(|tracked| tracked.owns_address());
+        servers.map(|tracked| tracked.row.slots).sum()
     }
 
     /// Takes one retry from the budget of a service; `false` if none is left.
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -156,7 +156,7 @@
             exact = exact.as_str(), by_caller = by_caller.as_str(),
             code = denial.code().number(), retry_after_ms = denial.retry_after_ms(),
             sends = attempts.sends, may_have_run = attempts.may_have_run;
-            "not forwarded, since the request may crash servers"
+            "request not sent to a server, because it may crash servers"
         );
         attempts.not_run(denial.code(), denial.retry_after_ms())
     }
--- a/src/gateway/server_conn.rs
+++ b/src/gateway/server_conn.rs
@@ -129,14 +129,14 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// If it cannot be opened within `within`; nothing has been sent then.
+    /// If it cannot be opened within `timeout`; nothing has been sent then.
     pub async fn open(
         address: SocketAddr,
-        within: Duration,
+        timeout: Duration,
         open: OpenConnGuard,
     ) -> std::io::Result<Self> {
         let timed_out = |_| std::io::ErrorKind::TimedOut.into();
-        let connected = tokio::time::timeout(within, TcpStream::connect(address)).await;
+        let connected = tokio::time::timeout(timeout, TcpStream::connect(address)).await;
         let stream = connected.unwrap_or_else(|elapsed| Err(timed_out(elapsed)))?;
         stream.set_nodelay(true)?;
         let input = BytesMut::new();
@@ -156,8 +156,8 @@
     #[must_use]
     pub fn is_reusable(&self) -> bool {
         let idle_us = now_us().saturating_sub(self.idle_since_us);
-        let keep = self.keep_alive * KEEP_ALIVE_USE_PERCENT / 100;
-        let fresh = u128::from(idle_us) < keep.as_micros();
+        let reuse_time = self.keep_alive * KEEP_ALIVE_USE_PERCENT / 100;
+        let fresh = u128::from(idle_us) < reuse_time.as_micros();
         let mut probe = [0_u8; 1];
         let quiet = matches!(
             self.stream.try_read(&mut probe),
--- a/src/gateway/server_conn_pool.rs
+++ b/src/gateway/server_conn_pool.rs
@@ -66,9 +66,9 @@
     /// Takes an idle connection or opens a new one.
     ///
     /// # Errors
-    /// If none can be opened within `within`, or [`ErrorKind::QuotaExceeded`] if this instance has
+    /// If none can be opened within `timeout`, or [`ErrorKind::QuotaExceeded`] if this instance has
     /// reached its share of the connections.
-    pub async fn take(&self, within: Duration) -> std::io::Result<ServerConn> {
+    pub async fn take(&self, timeout: Duration) -> std::io::Result<ServerConn> {
         if let Some(conn) = self.take_idle() {
             return Ok(conn);
         }
@@ -76,7 +76,7 @@
         let Some(open) = OpenConnGuard::try_new(&self.open, open_max) else {
             return Err(ErrorKind::QuotaExceeded.into());
         };
-        ServerConn::open(self.address, within, open).await
+        ServerConn::open(self.address, timeout, open).await
     }
 
     /// Returns a connection to the pool for the next request.
