--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -140,11 +140,11 @@
     }
 
     /// Sets the limits for cold servers, and the homes that share limited servers.
-    pub fn set_start_limits(&mut self, rule: ColdPolicy, share: &Arc<HomeSet>) {
-        self.cold_policy = rule;
-        self.home_set = Arc::clone(share);
+    pub fn set_start_limits(&mut self, policy: ColdPolicy, homes: &Arc<HomeSet>) {
+        self.cold_policy = policy;
+        self.home_set = Arc::clone(homes);
         for server in &mut self.servers {
-            server.start_limits.set_share(share.start_share(server.key), rule.limit.as_ref());
+            server.start_limits.set_share(homes.start_share(server.key), policy.limit.as_ref());
         }
     }
 
--- a/src/cold/cold_rule.rs
+++ b/src/cold/cold_policy.rs
@@ -2,7 +2,7 @@
 
 use super::ColdLimit;
 
-/// The operators' rule for the cold servers of a service.
+/// The operators' policy for the cold servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdPolicy {
     /// `None` if cold servers of the service tolerate as much as others.
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -86,8 +86,8 @@
     let mut pools: Vec<ServicePool> = Vec::new();
     for own in &homes {
         let mut pool = ServicePool::default();
-        let rule = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
-        pool.set_start_limits(rule, &Arc::new(share(&homes, *own)));
+        let policy = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
+        pool.set_start_limits(policy, &Arc::new(share(&homes, *own)));
         pool.upsert_server(row("s0", WARMUP_MS), 0);
         pools.push(pool);
     }
@@ -117,8 +117,8 @@
 #[test]
 fn unsent_requests_do_not_count_against_the_cold_limit() {
     let mut pool = ServicePool::default();
-    let rule = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
-    pool.set_start_limits(rule, &Arc::new(share(&[1], 1)));
+    let policy = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
+    pool.set_start_limits(policy, &Arc::new(share(&[1], 1)));
     pool.upsert_server(row("s0", WARMUP_MS), 0);
     for ticket in 1..100 {
         let now_us = ticket * MS;
@@ -133,8 +133,8 @@
 #[test]
 fn a_server_that_becomes_cold_after_selection_is_rejected() {
     let mut pool = ServicePool::default();
-    let rule = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
-    pool.set_start_limits(rule, &Arc::new(share(&[1, 2, 3, 4, 5, 6], 1)));
+    let policy = ColdPolicy { limit: Some(LIMIT), warmup_us: WARMUP_MS * MS };
+    pool.set_start_limits(policy, &Arc::new(share(&[1, 2, 3, 4, 5, 6], 1)));
     pool.upsert_server(row("s0", 0), 0);
     let key = server_key(&row("s0", 0));
     for ticket in 0..5 {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -64,10 +64,10 @@
         for _ in 0..200 {
             now_us += u.int_in_range(0..=3_000)?;
             if u.ratio(1, 2)? {
-                let avoid = [u.int_in_range(0..=8)?];
-                if let Some(index) = pool.acquire_slot(ServerScope::Own, &avoid, now_us) {
+                let tried = [u.int_in_range(0..=8)?];
+                if let Some(index) = pool.acquire_slot(ServerScope::Own, &tried, now_us) {
                     let load = &pool.loads()[index];
-                    assert!(load.is_keeper && !load.closed && index != avoid[0]);
+                    assert!(load.is_keeper && !load.closed && index != tried[0]);
                     assert!(load.in_flight <= load.slots);
                     held.push(index);
                 }
