--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -157,7 +157,7 @@
 
     /// Runs a request on the backend servers or at a co-home, with retries.
     async fn run_locally(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
-        let mut avoid: SmallVec<[usize; 4]> = SmallVec::new();
+        let mut tried: SmallVec<[usize; 4]> = SmallVec::new();
         let mut attempts = 0;
         let mut may_have_run = false;
         state.runtime.slot_queue.record_request();
@@ -166,7 +166,7 @@
             if let Some(denial) = self.board.quarantine.denial(&proxy_request.fingerprints) {
                 return self.deny(proxy_request, denial).after_earlier_attempts(may_have_run);
             }
-            let answer = match self.choose_target(state, proxy_request, &avoid).await {
+            let answer = match self.choose_target(state, proxy_request, &tried).await {
                 Target::Rejected(answer) => return answer.after_earlier_attempts(may_have_run),
                 Target::CoHome(home) => {
                     match self.forward(&home, proxy_request, Stage::Spill).await {
@@ -176,7 +176,7 @@
                     }
                 }
                 Target::Local(slot) => {
-                    avoid.push(slot.index);
+                    tried.push(slot.index);
                     self.attempt_hedged(state, proxy_request, slot).await
                 }
             };
@@ -194,11 +194,11 @@
         &self,
         state: &ServiceState,
         proxy_request: &ProxyRequest,
-        avoid: &[usize],
+        tried: &[usize],
     ) -> Target {
         let slot_queue = &state.runtime.slot_queue;
         let scope = if state.is_home { ServerScope::Own } else { ServerScope::All };
-        if let Some(slot) = slot_queue.try_acquire(scope, avoid) {
+        if let Some(slot) = slot_queue.try_acquire(scope, tried) {
             return Target::Local(slot);
         }
         if let Some(home) =
@@ -210,7 +210,7 @@
         let scope = if slot_queue.has_usable_server(scope) { scope } else { ServerScope::All };
         self.board.counters.add(Counter::Queued);
         self.board.queue_formed.notify_one();
-        self.wait_for_target(state, proxy_request, avoid, scope).await
+        self.wait_for_target(state, proxy_request, tried, scope).await
     }
 
     /// Waits until a slot is free here or a co-home reports free slots.
@@ -218,14 +218,14 @@
         &self,
         state: &ServiceState,
         proxy_request: &ProxyRequest,
-        avoid: &[usize],
+        tried: &[usize],
         scope: ServerScope,
     ) -> Target {
         let mut position = QueuePosition::Back;
         loop {
             let (offer, max_wait) = match state.runtime.slot_queue.enqueue(
                 scope,
-                avoid,
+                tried,
                 position,
                 proxy_request.remaining_us(),
             ) {
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -125,13 +125,13 @@
 
     /// Takes a slot if one is free and no request is waiting.
     #[must_use]
-    pub fn try_acquire(&self, scope: ServerScope, avoid: &[usize]) -> Option<Slot> {
+    pub fn try_acquire(&self, scope: ServerScope, tried: &[usize]) -> Option<Slot> {
         let now = now_us();
         let mut state = self.state.lock();
         if state.waiting.iter().any(|waiter| !waiter.sender.is_closed()) {
             return None;
         }
-        let index = state.pool.acquire_slot(scope, avoid, now)?;
+        let index = state.pool.acquire_slot(scope, tried, now)?;
         Some(self.new_slot(&state, index, now))
     }
 
@@ -149,8 +149,8 @@
             return None;
         }
         let (sender, offer) = oneshot::channel();
-        let avoid = SmallVec::from_slice(&[first_index]);
-        state.waiting.push_front(Waiter { scope, avoid, sender });
+        let tried = SmallVec::from_slice(&[first_index]);
+        state.waiting.push_front(Waiter { scope, tried, sender });
         self.dispatch_slots(state);
         Some(offer)
     }
@@ -179,7 +179,7 @@
     pub fn enqueue(
         &self,
         scope: ServerScope,
-        avoid: &[usize],
+        tried: &[usize],
         position: QueuePosition,
         remaining_us: u64,
     ) -> EnqueueResult {
@@ -188,7 +188,7 @@
         let view = QueueView {
             waiting: state.waiting.len(),
             waiting_max: state.queue_max,
-            slots: state.pool.usable_slots(scope, avoid, now_us()),
+            slots: state.pool.usable_slots(scope, tried, now_us()),
             median_service_us: state.pool.median_service_us(),
             remaining_us,
         };
@@ -197,7 +197,7 @@
             refusal => return EnqueueResult::Rejected(refusal),
         };
         let (sender, offer) = oneshot::channel();
-        let waiter = Waiter { scope, avoid: avoid.into(), sender };
+        let waiter = Waiter { scope, tried: tried.into(), sender };
         match position {
             QueuePosition::Back => state.waiting.push_back(waiter),
             QueuePosition::Front => state.waiting.push_front(waiter),
@@ -334,7 +334,7 @@
             }
             let SlotQueueState { pool, waiting, .. } = &mut *state;
             let Some(index) =
-                pool.acquire_slot(waiting[position].scope, &waiting[position].avoid, now)
+                pool.acquire_slot(waiting[position].scope, &waiting[position].tried, now)
             else {
                 position += 1;
                 continue;
--- a/src/route/slot_queue_state.rs
+++ b/src/route/slot_queue_state.rs
@@ -48,7 +48,7 @@
     /// The servers whose slots it may get.
     pub scope: ServerScope,
     /// Indices of the servers that earlier attempts of the request used.
-    pub avoid: SmallVec<[usize; 4]>,
+    pub tried: SmallVec<[usize; 4]>,
     pub sender: oneshot::Sender<Offer>,
 }
 
