--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -22,8 +22,8 @@
 use crate::measure::run_prober;
 use crate::measure::run_roster;
 use crate::measure::run_shard;
+use crate::member::run_failure_detector;
 use crate::member::run_joiner;
-use crate::member::run_swim;
 use crate::operator::OperatorListener;
 use crate::peer::Links;
 use crate::peer::PeerListener;
@@ -101,7 +101,7 @@
         let secret: Arc<str> = links.secret().into();
         let mut tasks = JoinSet::new();
         tasks.spawn(run_placement(Arc::clone(&board)));
-        tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_failure_detector(Arc::clone(&board), links.clone()));
         tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), store.clone(), links.clone()));
         tasks.spawn(run_watcher(Arc::clone(&board), store.clone(), links.clone()));
@@ -111,7 +111,7 @@
         tasks.spawn(run_roster(Arc::clone(&board), store, links.clone()));
         tasks.spawn(run_queues(router.clone()));
         tasks.spawn(tidy(Arc::clone(&board)));
-        board.note(EventKind::Started);
+        board.record_event(EventKind::Started);
         Ok(Self {
             _peers: PeerListener::spawn(peers, secret, answers),
             _operators: OperatorListener::spawn(operators, router.clone()),
--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -45,8 +45,8 @@
 use crate::listener::HttpListener;
 use crate::member::MemberState;
 use crate::member::announce;
+use crate::member::run_failure_detector;
 use crate::member::run_joiner;
-use crate::member::run_swim;
 use crate::peer::Feed;
 use crate::peer::Links;
 use crate::peer::PeerListener;
@@ -220,7 +220,7 @@
         tasks.spawn(keeper.run_writer());
         let registry = Registry { dialect: dialect.clone(), store, board: Arc::clone(&board) };
         tasks.spawn(registry.clone().run());
-        tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_failure_detector(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), registry, links.clone()));
         tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         tasks.spawn(dispatcher.clone().run());
@@ -278,7 +278,7 @@
             ReadinessHandler { dialect: dialect.clone(), board: Arc::clone(&board), table };
         let addresses = AddressHandler { dialect, board: Arc::clone(&board), admission };
         let secret: Arc<str> = links.secret().into();
-        board.note(EventKind::Started);
+        board.record_event(EventKind::Started);
         Ok(Self {
             callers: HttpListener::spawn(sockets.callers, callers, connections_max),
             tasks,
@@ -302,8 +302,8 @@
     /// on for callers that keep an old answer; then closes connections as they become idle.
     pub async fn stop(mut self) {
         self.board.set_phase(Phase::Leaving);
-        self.board.note(EventKind::Stopping);
-        self.board.members.lock().set_own(MemberState::Leaving, None, now_ms());
+        self.board.record_event(EventKind::Stopping);
+        self.board.members.lock().set_own_state(MemberState::Leaving, None, now_ms());
         self.board.publish_members();
         let serve_on = self.grace * SERVE_ON_PERCENT / 100;
         let started = tokio::time::Instant::now();
@@ -316,7 +316,7 @@
         while self.board.requests_in_flight() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(STOP_TURN).await;
         }
-        self.board.members.lock().set_own(MemberState::Left, None, now_ms());
+        self.board.members.lock().set_own_state(MemberState::Left, None, now_ms());
         self.board.publish_members();
         // Who misses this finds out by itself; the process must end within the grace.
         let _ = tokio::time::timeout(LAST_WORD, announce(&self.board, &self.links)).await;
--- a/src/app/gateway_peers.rs
+++ b/src/app/gateway_peers.rs
@@ -16,16 +16,16 @@
 use crate::gateway::OperatorSink;
 use crate::gateway::QuotaLimiter;
 use crate::gateway::ServerSink;
-use crate::member::answer_member;
-use crate::member::answer_ping_for;
+use crate::member::handle_indirect_ping;
+use crate::member::handle_member_request;
 use crate::peer::Feed;
-use crate::peer::FeedTold;
+use crate::peer::FeedResponse;
+use crate::peer::ForwardHead;
+use crate::peer::ForwardReplyHead;
 use crate::peer::Links;
-use crate::peer::PassHead;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::peer::PeerService;
-use crate::peer::ReplyHead;
 use crate::route::Answer;
 use crate::route::AnswerBody;
 
@@ -59,15 +59,15 @@
 impl<D: Dialect> PeerService for GatewayPeers<D> {
     async fn control(&self, request: PeerRequest) -> PeerReply {
         match request {
-            PeerRequest::Member(request) => answer_member(&self.board, request),
-            PeerRequest::PingFor { target } => {
-                answer_ping_for(&self.board, &self.links, target).await
+            PeerRequest::Member(request) => handle_member_request(&self.board, request),
+            PeerRequest::IndirectPing { target } => {
+                handle_indirect_ping(&self.board, &self.links, target).await
             }
             PeerRequest::ServerLoads(loads) => {
                 self.dispatcher.record_peer_loads(&loads);
                 PeerReply::Done
             }
-            PeerRequest::Suspects { rows, all } => {
+            PeerRequest::Suspects { records: rows, complete: all } => {
                 PeerReply::Suspects(self.board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::Feed { feed, after, hold_ms } => {
@@ -80,9 +80,9 @@
                     }
                 };
                 let zone_demand_per_s = self.board.zone_demand_per_s();
-                PeerReply::Feed(FeedTold { zone_demand_per_s, ..told })
+                PeerReply::Feed(FeedResponse { zone_demand_per_s, ..told })
             }
-            PeerRequest::QuotaTokens { workspace, wanted_milli } => {
+            PeerRequest::QuotaTokens { workspace, wanted_millitokens: wanted_milli } => {
                 PeerReply::QuotaTokens(self.quota_gate.lend(&workspace, wanted_milli))
             }
             _ => PeerReply::Failed(Code::PeerFrame.number()),
@@ -90,7 +90,7 @@
     }
 
     /// Requests by routes are never passed between instances.
-    async fn pass(&self, _: PassHead, _: Bytes) -> (ReplyHead, AnswerBody) {
+    async fn forward(&self, _: ForwardHead, _: Bytes) -> (ForwardReplyHead, AnswerBody) {
         let answer = Answer::not_run(Code::PeerFrame, 0);
         (answer.reply_head(0), answer.body)
     }
@@ -99,7 +99,7 @@
         0
     }
 
-    fn refused(&self, from: SocketAddr, why: &str) {
+    fn connection_refused(&self, from: SocketAddr, why: &str) {
         self.board.counters.add(Counter::PeersRefused);
         warn!("{} from {from}: {why}", Code::PeerUnauthenticated);
     }
--- a/src/app/peer_answers.rs
+++ b/src/app/peer_answers.rs
@@ -14,16 +14,16 @@
 use crate::measure::TokenBuckets;
 use crate::measure::apply_platform_list;
 use crate::measure::grant_tokens;
-use crate::member::answer_member;
-use crate::member::answer_ping_for;
+use crate::member::handle_indirect_ping;
+use crate::member::handle_member_request;
 use crate::outcome::OwnerSnapshot;
+use crate::peer::ForwardHead;
+use crate::peer::ForwardReplyHead;
 use crate::peer::LoadNote;
-use crate::peer::PassHead;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::peer::PeerService;
-use crate::peer::ReplyHead;
-use crate::peer::parts;
+use crate::peer::split_rows;
 use crate::route::AnswerBody;
 use crate::route::CloseReason;
 use crate::route::ProxyRequest;
@@ -49,7 +49,7 @@
 
     fn load(&self, note: &LoadNote) -> PeerReply {
         let services = self.router.board.services();
-        PeerReply::Free(
+        PeerReply::FreeSlots(
             services
                 .get(&note.service)
                 .map_or(0, |state| handle_load_note(&self.router.board, state, note)),
@@ -62,7 +62,7 @@
             return PeerReply::Done;
         };
         if state.runtime.slot_queue.set_closed(server, CloseReason::SelfReported, leaving) {
-            board.note(EventKind::server_seen(service, server, leaving));
+            board.record_event(EventKind::server_leaving_changed(service, server, leaving));
         }
         PeerReply::Done
     }
@@ -72,11 +72,11 @@
         let from = part.incarnation;
         let told_born_ms = now_ms().saturating_sub(part.uptime_ms);
         // The earlier of both is nearer to the truth: this message may have waited.
-        let heard_born_ms = board.members.lock().born_ms(from).unwrap_or(told_born_ms);
+        let heard_born_ms = board.members.lock().started_ms(from).unwrap_or(told_born_ms);
         let rows = part.rows.len();
         board.outcomes.adopt(part, told_born_ms.min(heard_born_ms), last);
         if last {
-            board.note(EventKind::Adopted { rows, from });
+            board.record_event(EventKind::Adopted { rows, from });
         }
         PeerReply::Done
     }
@@ -86,9 +86,9 @@
     async fn control(&self, request: PeerRequest) -> PeerReply {
         let board = &self.router.board;
         match request {
-            PeerRequest::Member(request) => answer_member(board, request),
-            PeerRequest::PingFor { target } => {
-                answer_ping_for(board, &self.router.links, target).await
+            PeerRequest::Member(request) => handle_member_request(board, request),
+            PeerRequest::IndirectPing { target } => {
+                handle_indirect_ping(board, &self.router.links, target).await
             }
             PeerRequest::Digest { digest } => self.digest(digest),
             PeerRequest::Changes(rows) => {
@@ -97,21 +97,21 @@
             }
             // What does not fit this answer is asked for again by the next repair.
             PeerRequest::Fetch(names) => {
-                let rows = board.catalog.lock().pick(&names);
-                PeerReply::Changes(parts(&rows).into_iter().next().unwrap_or_default())
+                let rows = board.catalog.lock().get_many(&names);
+                PeerReply::Changes(split_rows(&rows).into_iter().next().unwrap_or_default())
             }
             PeerRequest::Load(note) => self.load(&note),
-            PeerRequest::Leaving { service, server, leaving } => {
+            PeerRequest::ServerLeaving { service, server, leaving } => {
                 self.leaving(&service, &server, leaving)
             }
-            PeerRequest::Listed(leaving) => {
+            PeerRequest::ServersLeaving(leaving) => {
                 apply_platform_list(board, &leaving.into_iter().collect());
                 PeerReply::Done
             }
             PeerRequest::Grant(asked) => {
                 PeerReply::Granted(grant_tokens(board, &self.shard, &self.buckets, &asked))
             }
-            PeerRequest::Suspects { rows, all } => {
+            PeerRequest::Suspects { records: rows, complete: all } => {
                 PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::HandOver { part, last } => self.adopt(part, last),
@@ -122,10 +122,10 @@
         }
     }
 
-    async fn pass(&self, head: PassHead, body: Bytes) -> (ReplyHead, AnswerBody) {
+    async fn forward(&self, head: ForwardHead, body: Bytes) -> (ForwardReplyHead, AnswerBody) {
         let board = &self.router.board;
         let service = head.service.clone();
-        let in_flight = board.in_flight();
+        let in_flight = board.start_request();
         let answer = self.router.handle(ProxyRequest::from_peer(head, body)).await;
         drop(in_flight);
         let services = board.services();
@@ -139,7 +139,7 @@
         self.router.board.settings.requests.body_limit_bytes
     }
 
-    fn refused(&self, from: SocketAddr, why: &str) {
+    fn connection_refused(&self, from: SocketAddr, why: &str) {
         self.router.board.counters.add(Counter::PeersRefused);
         warn!("{} from {from}: {why}", Code::PeerUnauthenticated);
     }
--- a/src/app/stop.rs
+++ b/src/app/stop.rs
@@ -15,9 +15,9 @@
 use crate::outcome::HandoverRow;
 use crate::outcome::OwnerSnapshot;
 use crate::peer::Links;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerRequest;
-use crate::peer::parts;
+use crate::peer::split_rows;
 use crate::route::CallerListener;
 
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -29,8 +29,8 @@
 /// more; connections closed once idle; passed work done; outcomes handed over; gone.
 pub async fn stop(board: &Blackboard, links: &Links, listener: CallerListener) {
     board.set_phase(Phase::Leaving);
-    board.note(EventKind::Stopping);
-    board.members.lock().set_own(MemberState::Leaving, None, now_ms());
+    board.record_event(EventKind::Stopping);
+    board.members.lock().set_own_state(MemberState::Leaving, None, now_ms());
     board.publish_members();
     announce(board, links).await;
     let keep_ms = board.settings.requests.address_keep_ms + KEEP_MARGIN_MS;
@@ -40,7 +40,7 @@
         tokio::time::sleep(TURN).await;
     }
     let successor = hand_over(board, links).await;
-    board.members.lock().set_own(MemberState::Left, successor, now_ms());
+    board.members.lock().set_own_state(MemberState::Left, successor, now_ms());
     board.publish_members();
     announce(board, links).await;
     board.set_phase(Phase::Stopped);
@@ -56,7 +56,7 @@
         .rows
         .iter()
         .filter(|row| row.incarnation != board.incarnation && row.state == MemberState::Alive);
-    let born_ms = |incarnation| board.members.lock().born_ms(incarnation).unwrap_or(u64::MAX);
+    let born_ms = |incarnation| board.members.lock().started_ms(incarnation).unwrap_or(u64::MAX);
     let preference =
         |row: &&Arc<MemberRow>| (row.zone == *own_zone, Reverse(born_ms(row.incarnation)));
     let successor = takers.max_by_key(preference)?;
@@ -67,7 +67,7 @@
             return None;
         }
     }
-    board.note(EventKind::HandedOver { rows: count, to: successor.incarnation });
+    board.record_event(EventKind::HandedOver { rows: count, to: successor.incarnation });
     Some(successor.incarnation)
 }
 
@@ -77,7 +77,7 @@
     // A row whose answer fits no message goes without it: what counts is that the key ran.
     let rows: Vec<HandoverRow> =
         record.rows.iter().map(HandoverRow::without_oversized_answer).collect();
-    let parts = parts(&rows).into_iter().map(|rows| (rows, false));
+    let parts = split_rows(&rows).into_iter().map(|rows| (rows, false));
     for (rows, last) in parts.chain([(Vec::new(), true)]) {
         let uptime_ms = record.uptime_ms + now_ms().saturating_sub(closed_ms);
         let part = OwnerSnapshot { uptime_ms, rows, ..*record };
--- a/src/balance/tracked_server.rs
+++ b/src/balance/tracked_server.rs
@@ -256,8 +256,8 @@
             self.peers.push(PeerLoad { peer: from, in_flight: row.in_flight });
         }
         self.update_saturation(now_us);
-        if row.pace_percent > 0 {
-            self.slowdown = f64::from(row.pace_percent) / 100.0;
+        if row.slowdown_percent > 0 {
+            self.slowdown = f64::from(row.slowdown_percent) / 100.0;
             self.slowdown_at_us = now_us;
         }
     }
--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -36,7 +36,7 @@
 
 /// Members that are noted one by one when they change at once; more of them come from a comparison
 /// with another instance, where one line tells as much.
-const MEMBERS_NOTED_MAX: usize = 8;
+const MEMBERS_LOGGED_MAX: usize = 8;
 
 /// Where the process is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,9 +80,9 @@
 
 /// Counts a caller's request until its answer is there.
 #[derive(Debug)]
-pub struct InFlight(Arc<AtomicUsize>);
+pub struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -135,8 +135,8 @@
     }
 
     /// Records a change of state in the time line and the log.
-    pub fn note(&self, kind: EventKind) {
-        let (name, detail) = kind.text();
+    pub fn record_event(&self, kind: EventKind) {
+        let (name, detail) = kind.name_and_detail();
         info!(event = name, instance = self.settings.instance.name.as_str(); "{name} {detail}");
         self.events.push(kind);
     }
@@ -150,23 +150,23 @@
     /// Makes changes of the member table visible to the request path, and notes them.
     pub fn publish_members(&self) {
         let mut view = self.view.write();
-        let changes = self.members.lock().take_changes(now_ms());
-        if changes.is_empty() {
+        let subscribe_changes = self.members.lock().take_changes(now_ms());
+        if subscribe_changes.is_empty() {
             return;
         }
-        self.note_members(&view, &changes);
+        self.record_member_changes(&view, &subscribe_changes);
         let view_now = Arc::make_mut(&mut view);
-        for change in changes {
+        for change in subscribe_changes {
             view_now.apply(change);
         }
         drop(view);
-        self.touch();
+        self.notify_changed();
     }
 
     /// Notes the members whose state changed; many at once in one line.
-    fn note_members(&self, before: &MembersView, changes: &[MemberChange]) {
+    fn record_member_changes(&self, before: &MembersView, changes: &[MemberChange]) {
         let states = changes.iter().filter_map(|change| {
-            let MemberChange::Believed(row) = change else {
+            let MemberChange::Updated(row) = change else {
                 return None;
             };
             let known = before.row(row.incarnation).map(|row| row.state);
@@ -175,13 +175,13 @@
         let states: Vec<&MemberRow> = states.collect();
         let dead = states.iter().filter(|row| row.state == MemberState::Dead).count();
         self.counters.add_many(super::Counter::MembersLost, dead as u64);
-        if states.len() > MEMBERS_NOTED_MAX {
+        if states.len() > MEMBERS_LOGGED_MAX {
             let known = before.rows.len();
-            return self.note(EventKind::Members { changed: states.len(), dead, known });
+            return self.record_event(EventKind::Members { changed: states.len(), dead, known });
         }
         for row in states {
             let (name, incarnation) = (row.name.clone(), row.incarnation);
-            self.note(EventKind::Member { name, incarnation, state: row.state.name() });
+            self.record_event(EventKind::Member { name, incarnation, state: row.state.name() });
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Tells the placement controller that its inputs changed.
-    pub fn touch(&self) {
+    pub fn notify_changed(&self) {
         self.changed.send_modify(|turn| *turn += 1);
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Takes note of how a call to the store ended; only a change of state is an event.
-    pub fn note_store(&self, fault: Option<String>) {
+    pub fn record_store_result(&self, fault: Option<String>) {
         self.counters.add(super::Counter::StoreCalls);
         let up = fault.is_none();
         if !up {
@@ -224,8 +224,8 @@
             return;
         }
         match fault {
-            Some(why) => self.note(EventKind::StoreLost { why }),
-            None => self.note(EventKind::StoreBack),
+            Some(why) => self.record_event(EventKind::StoreLost { why }),
+            None => self.record_event(EventKind::StoreBack),
         }
     }
 
@@ -274,9 +274,9 @@
 
     /// Counts a caller's request until the returned value is dropped.
     #[must_use]
-    pub fn in_flight(&self) -> InFlight {
+    pub fn start_request(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        InFlight(Arc::clone(&self.in_flight))
+        InFlightGuard(Arc::clone(&self.in_flight))
     }
 
     /// Callers' requests without answer yet.
--- a/src/board/events.rs
+++ b/src/board/events.rs
@@ -59,7 +59,7 @@
 impl EventKind {
     /// A backend server was seen leaving, or seen back.
     #[must_use]
-    pub fn server_seen(service: &str, server: &str, leaving: bool) -> Self {
+    pub fn server_leaving_changed(service: &str, server: &str, leaving: bool) -> Self {
         let (service, server) = (service.to_owned(), server.to_owned());
         if leaving {
             Self::ServerLeaving { service, server }
@@ -70,7 +70,7 @@
 
     /// The kind's name and its detail, as operators read them.
     #[must_use]
-    pub fn text(&self) -> (&'static str, String) {
+    pub fn name_and_detail(&self) -> (&'static str, String) {
         match self {
             Self::Started => ("started", String::new()),
             Self::Stopping => ("stopping", String::new()),
--- a/src/board/latencies.rs
+++ b/src/board/latencies.rs
@@ -30,7 +30,7 @@
 }
 
 impl Latencies {
-    fn of(&self, latency: Latency) -> &OnceLock<Histogram<f64>> {
+    fn histogram(&self, latency: Latency) -> &OnceLock<Histogram<f64>> {
         match latency {
             Latency::Request => &self.request,
             Latency::Send => &self.send,
@@ -48,13 +48,13 @@
         for (latency, name, help) in named {
             let histogram = meter.f64_histogram(name).with_unit("s").with_description(help);
             let histogram = histogram.with_boundaries(BOUNDS_S.to_vec()).build();
-            self.of(latency).get_or_init(|| histogram);
+            self.histogram(latency).get_or_init(|| histogram);
         }
     }
 
     /// Takes a sample, told apart by how it ended.
     pub fn record(&self, latency: Latency, took: Duration, outcome: &'static str) {
-        if let Some(histogram) = self.of(latency).get() {
+        if let Some(histogram) = self.histogram(latency).get() {
             histogram.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
         }
     }
--- a/src/board/members_view.rs
+++ b/src/board/members_view.rs
@@ -22,13 +22,13 @@
     /// The instances of each zone that take work, in the order of [`rank`]; no zone without any.
     by_zone: BTreeMap<String, Vec<Arc<MemberRow>>>,
     /// Members that run, leaving ones included.
-    serving: usize,
+    running_count: usize,
 }
 
 /// The order in which instances are given what few of them do: those that answer, then the largest,
 /// then by name; the same in every instance's view.
 #[must_use]
-pub fn rank(a: &MemberRow, b: &MemberRow) -> Ordering {
+pub fn compare_rank(a: &MemberRow, b: &MemberRow) -> Ordering {
     let suspect = |row: &MemberRow| row.state == MemberState::Suspect;
     let by_state = suspect(a).cmp(&suspect(b));
     let by_size = b.capacity_per_s.cmp(&a.capacity_per_s);
@@ -39,10 +39,10 @@
 impl MembersView {
     /// A view of these rows.
     #[must_use]
-    pub fn of(rows: &[Arc<MemberRow>]) -> Self {
+    pub fn from_rows(rows: &[Arc<MemberRow>]) -> Self {
         let mut view = Self::default();
         for row in rows {
-            view.put(Arc::clone(row));
+            view.insert(Arc::clone(row));
         }
         view
     }
@@ -50,37 +50,37 @@
     /// Takes a change in.
     pub fn apply(&mut self, change: MemberChange) {
         match change {
-            MemberChange::Believed(row) => self.put(Arc::new(row)),
-            MemberChange::Forgotten(incarnation) => self.remove(incarnation),
+            MemberChange::Updated(row) => self.insert(Arc::new(row)),
+            MemberChange::Removed(incarnation) => self.remove(incarnation),
         }
     }
 
-    fn place(&self, incarnation: u64) -> Result<usize, usize> {
+    fn position(&self, incarnation: u64) -> Result<usize, usize> {
         self.rows.binary_search_by_key(&incarnation, |row| row.incarnation)
     }
 
-    fn put(&mut self, row: Arc<MemberRow>) {
+    fn insert(&mut self, row: Arc<MemberRow>) {
         self.remove(row.incarnation);
-        self.serving += usize::from(row.state.may_answer());
-        if row.state.takes_work() {
+        self.running_count += usize::from(row.state.may_answer());
+        if row.state.accepts_work() {
             let ranked = self.by_zone.entry(row.zone.clone()).or_default();
-            let at = ranked.binary_search_by(|other| rank(other, &row));
+            let at = ranked.binary_search_by(|other| compare_rank(other, &row));
             ranked.insert(at.unwrap_or_else(|place| place), Arc::clone(&row));
         }
-        let at = self.place(row.incarnation).unwrap_or_else(|place| place);
+        let at = self.position(row.incarnation).unwrap_or_else(|place| place);
         self.rows.insert(at, row);
     }
 
     fn remove(&mut self, incarnation: u64) {
-        let Ok(at) = self.place(incarnation) else {
+        let Ok(at) = self.position(incarnation) else {
             return;
         };
         let row = self.rows.remove(at);
-        self.serving -= usize::from(row.state.may_answer());
+        self.running_count -= usize::from(row.state.may_answer());
         let Some(ranked) = self.by_zone.get_mut(&row.zone) else {
             return;
         };
-        if let Ok(at) = ranked.binary_search_by(|other| rank(other, &row)) {
+        if let Ok(at) = ranked.binary_search_by(|other| compare_rank(other, &row)) {
             ranked.remove(at);
         }
         if ranked.is_empty() {
@@ -91,7 +91,7 @@
     /// The row of a member.
     #[must_use]
     pub fn row(&self, incarnation: u64) -> Option<&Arc<MemberRow>> {
-        self.place(incarnation).ok().map(|at| &self.rows[at])
+        self.position(incarnation).ok().map(|at| &self.rows[at])
     }
 
     /// The zones that have instances which take work.
@@ -107,11 +107,11 @@
 
     /// Up to `most` instances of other zones that take work, in the order of [`rank`].
     #[must_use]
-    pub fn ranked_elsewhere(&self, zone: &str, most: usize) -> Vec<&Arc<MemberRow>> {
+    pub fn ranked_in_other_zones(&self, zone: &str, most: usize) -> Vec<&Arc<MemberRow>> {
         let others = self.by_zone.iter().filter(|(other, _)| *other != zone);
         let first = others.flat_map(|(_, ranked)| ranked.iter().take(most));
         let mut first: Vec<&Arc<MemberRow>> = first.collect();
-        first.sort_by(|a, b| rank(a, b));
+        first.sort_by(|a, b| compare_rank(a, b));
         first.truncate(most);
         first
     }
@@ -119,7 +119,7 @@
     /// Who answers for the keys of `incarnation`: itself while it may answer, then its successor,
     /// and so on: a successor that left handed on what it had taken over.
     #[must_use]
-    pub fn answering_for(&self, incarnation: u64) -> Option<Arc<MemberRow>> {
+    pub fn owner_for(&self, incarnation: u64) -> Option<Arc<MemberRow>> {
         let mut row = self.row(incarnation)?;
         for _ in 0..SUCCESSORS_MAX {
             let successor = row.successor.filter(|_| row.state == MemberState::Left);
@@ -133,7 +133,7 @@
 
     /// Members that run, leaving ones included.
     #[must_use]
-    pub const fn serving(&self) -> usize {
-        self.serving
+    pub const fn running_count(&self) -> usize {
+        self.running_count
     }
 }
--- a/src/board/mod.rs
+++ b/src/board/mod.rs
@@ -7,7 +7,7 @@
 mod members_view;
 
 pub use blackboard::Blackboard;
-pub use blackboard::InFlight;
+pub use blackboard::InFlightGuard;
 pub use blackboard::Phase;
 pub use blackboard::ServiceMap;
 pub use counters::Counter;
@@ -18,4 +18,4 @@
 pub use latencies::Latencies;
 pub use latencies::Latency;
 pub use members_view::MembersView;
-pub use members_view::rank;
+pub use members_view::compare_rank;
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -16,10 +16,10 @@
 use crate::store::StoreError;
 
 /// Reads that resolve a lost answer before the commit is told to be unknown.
-const READ_BACKS: u32 = 5;
+const READ_BACK_ATTEMPTS: u32 = 5;
 const READ_BACK_PAUSE: Duration = Duration::from_millis(100);
 /// Turns of an edit that has no expected revision and may be made on whatever is there.
-const TURNS_MAX: u32 = 8;
+const ATTEMPTS_MAX: u32 = 8;
 
 /// What an operator wants of one service.
 #[derive(Clone, Debug)]
@@ -62,12 +62,12 @@
     store: S,
 }
 
-struct Current {
+struct StoredService {
     index: u64,
     row: Option<Versioned>,
 }
 
-impl Current {
+impl StoredService {
     fn revision(&self) -> u64 {
         self.row.as_ref().map_or(0, |row| row.revision)
     }
@@ -120,13 +120,13 @@
         Self { store }
     }
 
-    async fn read(&self, name: &str) -> Result<Current, StoreError> {
+    async fn read(&self, name: &str) -> Result<StoredService, StoreError> {
         let entry = self.store.get(&format!("{SERVICES_PREFIX}{name}")).await?;
         let Some(entry) = entry else {
-            return Ok(Current { index: 0, row: None });
+            return Ok(StoredService { index: 0, row: None });
         };
         let row = decode_entry(&entry).map(|(_, row)| row);
-        Ok(Current { index: entry.index, row })
+        Ok(StoredService { index: entry.index, row })
     }
 
     /// Commits `edit` as the change `change_id`; the same id may be sent again after a fault.
@@ -140,7 +140,7 @@
         edit: &Edit,
         change_id: Uuid,
     ) -> Result<Versioned, EditError> {
-        for _ in 0..TURNS_MAX {
+        for _ in 0..ATTEMPTS_MAX {
             let current = self.read(name).await.map_err(|err| unreachable(&err))?;
             if let Some(row) = &current.row
                 && row.contains(change_id)
@@ -161,7 +161,7 @@
         name: &str,
         edit: &Edit,
         change_id: Uuid,
-        current: &Current,
+        current: &StoredService,
     ) -> Result<Option<Versioned>, EditError> {
         let expected = edit.expected().unwrap_or_else(|| current.revision());
         // A deleted service counts as not there, also for who never saw its tombstone.
@@ -181,7 +181,7 @@
             Ok(true) => Ok(Some(row)),
             // The next turn reads what stands and tells a conflict from a race to be run again.
             Ok(false) => Ok(None),
-            Err(StoreError::AnswerLost(why)) => self.resolve(name, row, &why).await,
+            Err(StoreError::ResponseLost(why)) => self.resolve_lost_response(name, row, &why).await,
             Err(err) => Err(unreachable(&err).into()),
         }
     }
@@ -189,13 +189,13 @@
     /// The write's answer was lost. What stands tells: our change id in it, that it took effect;
     /// another change in its place, that it did not and never will. The revision before it
     /// proves nothing, since the write may still be on its way.
-    async fn resolve(
+    async fn resolve_lost_response(
         &self,
         name: &str,
         row: Versioned,
         why: &str,
     ) -> Result<Option<Versioned>, EditError> {
-        for _ in 0..READ_BACKS {
+        for _ in 0..READ_BACK_ATTEMPTS {
             tokio::time::sleep(READ_BACK_PAUSE).await;
             let Ok(current) = self.read(name).await else {
                 continue;
@@ -212,7 +212,7 @@
     }
 }
 
-fn conflict(expected: u64, current: &Current) -> EditError {
+fn conflict(expected: u64, current: &StoredService) -> EditError {
     let detail = format!("expected revision {expected}, current is {}", current.revision());
     EditError {
         coded: Coded::new(Code::Conflict, detail),
--- a/src/catalog/merge.rs
+++ b/src/catalog/merge.rs
@@ -55,7 +55,7 @@
 
     /// The names that a peer with `summary` has newer than this instance.
     #[must_use]
-    pub fn older_than(&self, summary: &[(String, u64)]) -> Vec<String> {
+    pub fn stale_names(&self, summary: &[(String, u64)]) -> Vec<String> {
         let newer = summary.iter().filter(|(name, revision)| {
             self.rows.get(name).is_none_or(|row| row.revision < *revision)
         });
@@ -64,7 +64,7 @@
 
     /// The rows that this instance has newer than a peer with `summary`.
     #[must_use]
-    pub fn newer_than(&self, summary: &[(String, u64)]) -> ServiceRows {
+    pub fn rows_newer_than(&self, summary: &[(String, u64)]) -> ServiceRows {
         let theirs: BTreeMap<&str, u64> =
             summary.iter().map(|(name, revision)| (name.as_str(), *revision)).collect();
         let newer = self.rows.iter().filter(|(name, row)| {
@@ -75,7 +75,7 @@
 
     /// These rows, as far as they are there.
     #[must_use]
-    pub fn pick(&self, names: &[String]) -> ServiceRows {
+    pub fn get_many(&self, names: &[String]) -> ServiceRows {
         let rows = names.iter().filter_map(|name| Some((name, self.rows.get(name)?)));
         rows.map(|(name, row)| (name.clone(), row.clone())).collect()
     }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -15,5 +15,5 @@
 pub use spread::run_repair;
 pub use watcher::SERVICES_PREFIX;
 pub use watcher::decode_entry;
+pub use watcher::is_watcher;
 pub use watcher::run_watcher;
-pub use watcher::watches;
--- a/src/catalog/spread.rs
+++ b/src/catalog/spread.rs
@@ -11,10 +11,10 @@
 use crate::board::EventKind;
 use crate::member::MemberRow;
 use crate::peer::Links;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
-use crate::peer::parts;
+use crate::peer::split_rows;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Names in one message.
@@ -24,25 +24,28 @@
 
 /// Takes rows in, puts them in force and returns those that were news.
 pub fn merge_rows(board: &Blackboard, rows: ServiceRows) -> ServiceRows {
-    let mut news = ServiceRows::new();
+    let mut updated = ServiceRows::new();
     let mut catalog = board.catalog.lock();
     for (name, row) in rows {
         if catalog.merge(&name, row.clone()) {
-            news.push((name, row));
+            updated.push((name, row));
         }
     }
     drop(catalog);
-    for (name, row) in &news {
+    for (name, row) in &updated {
         board.counters.add(Counter::ConfigMerged);
-        board.note(EventKind::ConfigInForce { service: name.clone(), revision: row.revision });
+        board.record_event(EventKind::ConfigInForce {
+            service: name.clone(),
+            revision: row.revision,
+        });
     }
-    if !news.is_empty() {
-        board.touch();
+    if !updated.is_empty() {
+        board.notify_changed();
     }
-    news
+    updated
 }
 
-fn others(board: &Blackboard) -> Vec<Arc<MemberRow>> {
+fn other_instances(board: &Blackboard) -> Vec<Arc<MemberRow>> {
     let view = board.members_view();
     let others = view
         .rows
@@ -59,10 +62,10 @@
     if rows.is_empty() {
         return;
     }
-    let parts = parts(rows);
+    let parts = split_rows(rows);
     let own_zone = &board.settings.instance.zone;
     let mut told_zones: Vec<String> = Vec::new();
-    for row in others(board) {
+    for row in other_instances(board) {
         if row.zone != *own_zone {
             if told_zones.contains(&row.zone) {
                 continue;
@@ -89,7 +92,7 @@
     };
     let (missing, newer) = {
         let catalog = board.catalog.lock();
-        (catalog.older_than(&summary), catalog.newer_than(&summary))
+        (catalog.stale_names(&summary), catalog.rows_newer_than(&summary))
     };
     for names in missing.chunks(NAMES_PER_MESSAGE) {
         let request = PeerRequest::Fetch(names.to_vec());
@@ -97,7 +100,7 @@
             merge_rows(board, rows);
         }
     }
-    for part in parts(&newer) {
+    for part in split_rows(&newer) {
         let request = PeerRequest::Changes(part);
         let _ = links.call(peer.peer, &request, CALL_TIMEOUT).await;
     }
@@ -108,7 +111,7 @@
     loop {
         let jitter_ms = rand::rng().random_range(0..REPAIR_INTERVAL_MS / 2);
         tokio::time::sleep(Duration::from_millis(REPAIR_INTERVAL_MS - jitter_ms)).await;
-        let peers = others(&board);
+        let peers = other_instances(&board);
         if peers.is_empty() {
             continue;
         }
--- a/src/catalog/watcher.rs
+++ b/src/catalog/watcher.rs
@@ -19,8 +19,8 @@
 /// Where the services are in the store.
 pub const SERVICES_PREFIX: &str = "sorrelwick/services/";
 /// Pause after a failed watch, so that a store that is down is not called in a tight loop.
-const FAULT_PAUSE_MS: u64 = 300;
-const TURN_PAUSE: Duration = Duration::from_millis(500);
+const WATCH_RETRY_MS: u64 = 300;
+const NOT_WATCHER_PAUSE: Duration = Duration::from_millis(500);
 
 /// A service's row as it is in the store; `None` for one that cannot be read.
 #[must_use]
@@ -35,7 +35,7 @@
 /// Each counts the live members of its zone for itself. Where two disagree, one more or one
 /// fewer watches for a while, and the repair by digests covers what a zone misses meanwhile.
 #[must_use]
-pub fn watches(board: &Blackboard) -> bool {
+pub fn is_watcher(board: &Blackboard) -> bool {
     let Some(platform) = &board.settings.platform else {
         return true;
     };
@@ -43,11 +43,11 @@
     let zone = &board.settings.instance.zone;
     let rank = |incarnation: u64| xxh3_64_with_seed(zone.as_bytes(), incarnation);
     let own = rank(board.incarnation);
-    let in_zone = view.rows.iter().filter(|row| row.zone == *zone && row.state.takes_work());
+    let in_zone = view.rows.iter().filter(|row| row.zone == *zone && row.state.accepts_work());
     in_zone.filter(|row| rank(row.incarnation) > own).count() < platform.watchers_per_zone
 }
 
-async fn pause(ms: u64) {
+async fn sleep_with_jitter(ms: u64) {
     let jitter_ms = rand::rng().random_range(0..=ms);
     tokio::time::sleep(Duration::from_millis(ms + jitter_ms)).await;
 }
@@ -57,16 +57,16 @@
     let wait_ms = board.settings.platform.as_ref().map_or(10_000, |p| p.watch_wait_ms);
     let mut index = 0;
     loop {
-        if !watches(&board) {
+        if !is_watcher(&board) {
             index = 0;
-            tokio::time::sleep(TURN_PAUSE).await;
+            tokio::time::sleep(NOT_WATCHER_PAUSE).await;
             continue;
         }
         let listing = store.watch(SERVICES_PREFIX, index, Duration::from_millis(wait_ms)).await;
-        board.note_store(listing.as_ref().err().map(ToString::to_string));
+        board.record_store_result(listing.as_ref().err().map(ToString::to_string));
         let Ok(listing) = listing else {
             index = 0;
-            pause(FAULT_PAUSE_MS).await;
+            sleep_with_jitter(WATCH_RETRY_MS).await;
             continue;
         };
         // An index that went back means another store, or a restored one: list it anew.
@@ -75,7 +75,7 @@
         if rows.len() < listing.entries.len() {
             warn!("{} services in the store cannot be read", listing.entries.len() - rows.len());
         }
-        let news = merge_rows(&board, rows);
-        push_rows(&board, &links, &news);
+        let updated = merge_rows(&board, rows);
+        push_rows(&board, &links, &updated);
     }
 }
--- a/src/gateway/caller_handler.rs
+++ b/src/gateway/caller_handler.rs
@@ -250,7 +250,7 @@
     async fn handle(&self, request: Request<Incoming>) -> Response<ReplyBody> {
         let board = &self.forwarder.board;
         board.counters.add(Counter::Requests);
-        let in_flight = board.in_flight();
+        let in_flight = board.start_request();
         let reply = self.respond(request).await;
         drop(in_flight);
         board.counters.add(match reply.code {
--- a/src/gateway/dispatcher_peers.rs
+++ b/src/gateway/dispatcher_peers.rs
@@ -53,7 +53,7 @@
 
     fn record_peer_load(&mut self, from: u64, row: ServerLoadRow, now_us: u64) {
         // The peer may know a server that is not known here yet, or no longer.
-        let Some(server) = self.by_key.get(&row.server).cloned() else {
+        let Some(server) = self.by_key.get(&row.server_hash).cloned() else {
             return;
         };
         if let Some(tracked) = self.tracked_server(&server) {
@@ -73,9 +73,13 @@
         let in_use: Vec<_> = state.in_use.servers().cloned().collect();
         let rows = in_use.iter().filter_map(|server| {
             let (in_flight, pace_percent) = state.tracked_server(server)?.advertised_load(now_us);
-            Some(ServerLoadRow { server: server.key, in_flight, pace_percent })
+            Some(ServerLoadRow {
+                server_hash: server.key,
+                in_flight,
+                slowdown_percent: pace_percent,
+            })
         });
-        rows.filter(|row| row.in_flight > 0 || row.pace_percent > 0).collect()
+        rows.filter(|row| row.in_flight > 0 || row.slowdown_percent > 0).collect()
     }
 
     /// Records changes in the in-flight requests of a peer.
--- a/src/gateway/feed_source.rs
+++ b/src/gateway/feed_source.rs
@@ -6,8 +6,8 @@
 use crate::clock::boot_us;
 use crate::peer::Feed;
 use crate::peer::FeedReply;
-use crate::peer::FeedTold;
-use crate::peer::PeerCalls;
+use crate::peer::FeedResponse;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
@@ -30,8 +30,8 @@
     /// when the request arrived, which is no earlier than `asked_us`, so the proof is never dated
     /// too late.
     #[must_use]
-    pub fn of(response: FeedTold, asked_us: u64) -> Self {
-        let FeedTold { reply, age_ms, proof_after_ms, zone_demand_per_s } = response;
+    pub fn of(response: FeedResponse, asked_us: u64) -> Self {
+        let FeedResponse { reply, age_ms, proof_after_ms, zone_demand_per_s } = response;
         let proved_us = proof_after_ms
             .and_then(|after_ms| asked_us.checked_add_signed(after_ms.saturating_mul(1000)));
         Self { reply, age: Duration::from_millis(age_ms), proved_us, zone_demand_per_s }
@@ -52,7 +52,7 @@
     ) -> impl Future<Output = Option<FeedAnswer>> + Send;
 }
 
-impl<L: PeerCalls> FeedSource for L {
+impl<L: PeerClient> FeedSource for L {
     async fn ask(
         &self,
         peer: SocketAddr,
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -38,7 +38,7 @@
 use crate::store::Item;
 use crate::store::ItemEvent;
 use crate::store::StoreError;
-use crate::store::Watched;
+use crate::store::WatchResult;
 
 /// How long a watch waits in the store for a change; each watch is one paid call. If the connection
 /// goes silent, changes are hidden for at most this long; cross-checks with other watchers cover
@@ -68,7 +68,7 @@
 
 /// The error of a watch that was abandoned because the store failed a health check.
 fn watch_interrupted() -> StoreError {
-    StoreError::AnswerLost("no answer to a check while a watch waited".into())
+    StoreError::ResponseLost("no answer to a check while a watch waited".into())
 }
 
 /// Keeps one mirror in sync.
@@ -208,7 +208,7 @@
     /// Records an answer of the store, which confirms the mirror.
     fn record_store_success(&self) {
         self.mirror.record_confirmation(now_us());
-        self.board.note_store(None);
+        self.board.record_store_result(None);
         let failures = self.outage.record_success();
         if failures > 0 {
             info!(event = "follow-resumed", prefix = self.prefix, failures = failures; "");
@@ -218,7 +218,7 @@
     /// Records a failed store call that began at `started_us`, and sleeps for the backoff, to which
     /// up to a quarter is added at random.
     pub(super) async fn back_off(&self, error: &StoreError, started_us: u64) {
-        self.board.note_store(Some(error.to_string()));
+        self.board.record_store_result(Some(error.to_string()));
         let failures = self.outage.record_failure(started_us);
         if failures == 0 {
             let why = error.to_string();
@@ -226,7 +226,7 @@
         }
         let pause_ms = match error {
             StoreError::Unreachable(_) => UNREACHABLE_BACKOFF_MS,
-            StoreError::AnswerLost(_) | StoreError::Refused(_) => {
+            StoreError::ResponseLost(_) | StoreError::Refused(_) => {
                 (REFUSED_BACKOFF_MS << failures.min(6)).min(REFUSED_BACKOFF_MAX_MS)
             }
         };
@@ -240,7 +240,7 @@
     /// costs a tenth of a call.
     async fn poll_store(&self) -> Result<bool, StoreError> {
         if self.outage.is_ongoing() {
-            self.store.alive().await?;
+            self.store.check_alive().await?;
         }
         match self.mirror.revision() {
             Some(revision) if !self.snapshot_needed.load(Ordering::Acquire) => {
@@ -270,7 +270,7 @@
         let mut read_at = None;
         loop {
             let after = items.last().map(|item| item.key.clone());
-            let page = self.store.page(self.prefix, after.as_deref(), freshness).await?;
+            let page = self.store.list_page(self.prefix, after.as_deref(), freshness).await?;
             let at = *read_at.get_or_insert(page.revision);
             let last = !page.more || page.items.is_empty();
             items.extend(page.items.into_iter().map(|item| self.mirror.redacted(item)));
@@ -297,13 +297,13 @@
 
     /// Applies the result of a watch from `revision` that was sent at `asked_us`; returns whether
     /// there was a change.
-    pub(super) fn apply_watched(&self, watched: Watched, revision: u64, asked_us: u64) -> bool {
+    pub(super) fn apply_watched(&self, watched: WatchResult, revision: u64, asked_us: u64) -> bool {
         match watched {
-            Watched::HistoryLost => {
+            WatchResult::HistoryLost => {
                 self.snapshot_needed.store(true, Ordering::Release);
                 false
             }
-            Watched::Events { events, revision: upto } => {
+            WatchResult::Events { events, revision: upto } => {
                 let events = events.into_iter().map(|event| self.mirror.redacted_event(event));
                 let events: Vec<ItemEvent> = events.collect();
                 self.mirror.apply(&events, upto.max(revision), self.outage.expiry_grace());
--- a/src/gateway/follower_relays.rs
+++ b/src/gateway/follower_relays.rs
@@ -74,7 +74,7 @@
             return;
         }
         let mut changes = self.board.changes();
-        while self.board.members_view().serving() <= 1 {
+        while self.board.members_view().running_count() <= 1 {
             // An error means that the board was dropped, which outlives all controllers.
             if changes.changed().await.is_err() {
                 return;
--- a/src/gateway/follower_start.rs
+++ b/src/gateway/follower_start.rs
@@ -103,7 +103,7 @@
         if first_start || self.mirror.revision().is_some() || !self.needs_full_mirror() {
             return;
         }
-        if self.board.members_view().serving() > 1 {
+        if self.board.members_view().running_count() > 1 {
             let _ = tokio::time::timeout(JOINED_PEER_COPY_TIMEOUT, self.load_from_peers()).await;
         }
         tokio::select! {
@@ -116,10 +116,10 @@
     /// full read, and reading all pages would cost in proportion to the number of servers.
     async fn read_stale(&self) -> Result<Vec<Item>, StoreError> {
         if self.feed == Feed::Servers {
-            let page = self.store.page(self.prefix, None, Freshness::MaybeOld).await?;
+            let page = self.store.list_page(self.prefix, None, Freshness::Stale).await?;
             return Ok(page.items.into_iter().map(|item| self.mirror.redacted(item)).collect());
         }
-        Ok(self.read_pages(Freshness::MaybeOld).await?.0)
+        Ok(self.read_pages(Freshness::Stale).await?.0)
     }
 
     /// Reads possibly stale data and applies it until the mirror is loaded.
@@ -129,7 +129,7 @@
             Ok(items) => {
                 info!(event = "old-reading", prefix = self.prefix, items = items.len(); "");
                 self.mirror.apply_provisional(&items);
-                self.board.note_store(None);
+                self.board.record_store_result(None);
             }
             Err(error) => self.back_off(&error, started_us).await,
         }
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -90,7 +90,7 @@
         }
         let view = self.board.members_view();
         let settings = &self.board.settings;
-        let lacks_members = self.may_lack_members(view.serving());
+        let lacks_members = self.may_lack_members(view.running_count());
         let homes =
             if lacks_members { Vec::new() } else { all_homes(&view, HomesPlan::of(&self.board)) };
         let home = |row: &Arc<MemberRow>| QuotaHome {
@@ -119,7 +119,7 @@
         let homes = all_homes(&view, HomesPlan::of(&self.board));
         let inputs = PlanInputs {
             homes: homes.iter().map(|row| row.incarnation).collect(),
-            others: view.serving().saturating_sub(homes.len()),
+            others: view.running_count().saturating_sub(homes.len()),
             config_version: self.table.load().as_ref().map(|table| table.version),
             list_version: self.dispatcher.list_version(),
         };
--- a/src/gateway/homes.rs
+++ b/src/gateway/homes.rs
@@ -53,7 +53,7 @@
     let mut homes = Homes::new();
     let mut carried_per_s = 0_u32;
     // Evaluated only if the zone has too few instances.
-    let elsewhere = std::iter::once_with(|| view.ranked_elsewhere(zone, HOMES_MAX)).flatten();
+    let elsewhere = std::iter::once_with(|| view.ranked_in_other_zones(zone, HOMES_MAX)).flatten();
     for row in view.ranked(zone).iter().chain(elsewhere) {
         if plan.is_met(homes.len(), carried_per_s) {
             break;
--- a/src/gateway/load_reporter.rs
+++ b/src/gateway/load_reporter.rs
@@ -21,7 +21,7 @@
 use crate::board::Blackboard;
 use crate::clock::now_us;
 use crate::member::MemberRow;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerRequest;
 use crate::peer::ServerLoadRow;
 use crate::peer::ServerLoads;
@@ -69,7 +69,7 @@
 fn strip_for_other_zone(loads: &mut Vec<ServerLoadRow>) {
     loads.retain(|row| row.in_flight > 0);
     for row in loads {
-        row.pace_percent = 0;
+        row.slowdown_percent = 0;
     }
 }
 
@@ -81,7 +81,7 @@
     pub dispatcher: Dispatcher,
 }
 
-impl<L: PeerCalls> LoadReporter<L> {
+impl<L: PeerClient> LoadReporter<L> {
     /// Runs until the process ends.
     pub async fn run(self) {
         let mut reporters: HashMap<ReportTarget, TaskGuard> = HashMap::new();
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -17,7 +17,7 @@
 use super::mirror_sample::Sample;
 use crate::clock::boot_us;
 use crate::peer::FeedReply;
-use crate::peer::FeedTold;
+use crate::peer::FeedResponse;
 use crate::peer::Packed;
 use crate::store::Item;
 use crate::store::ItemEvent;
@@ -289,7 +289,7 @@
     }
 
     /// Returns the changes after revision `after`, and their age; waits up to `wait` for some.
-    pub async fn serve(&self, after: Option<u64>, wait: Duration) -> FeedTold {
+    pub async fn serve(&self, after: Option<u64>, wait: Duration) -> FeedResponse {
         let asked_us = boot_us();
         let mut revision_rx = self.revision.subscribe();
         // A peer that already has data must learn in time when this mirror stops being fresh.
@@ -306,13 +306,13 @@
         &self,
         asked_us: u64,
         reply: impl FnOnce(&mut MirrorState<K>) -> FeedReply,
-    ) -> FeedTold {
+    ) -> FeedResponse {
         // The ages are read before the content, which may then only be newer than they say.
         let age_ms = u64::try_from(self.age().as_millis()).unwrap_or(u64::MAX);
         let proved_us = self.age.proved_us();
         let proof_after_ms = proved_us.map(|proved_us| ms_between(asked_us, proved_us));
         let reply = reply(&mut self.state.lock());
-        FeedTold { reply, age_ms, proof_after_ms, zone_demand_per_s: 0 }
+        FeedResponse { reply, age_ms, proof_after_ms, zone_demand_per_s: 0 }
     }
 }
 
--- a/src/gateway/mirror_sample.rs
+++ b/src/gateway/mirror_sample.rs
@@ -8,7 +8,7 @@
 use super::mirror::Sink;
 use crate::clock::boot_us;
 use crate::peer::FeedReply;
-use crate::peer::FeedTold;
+use crate::peer::FeedResponse;
 use crate::peer::Packed;
 use crate::store::Item;
 
@@ -23,7 +23,12 @@
 impl<K: Sink> Mirror<K> {
     /// Returns the sample for a zone if it has changed since revision `after`; waits up to `wait`
     /// for a change.
-    pub async fn serve_sample(&self, zone: u64, after: Option<u64>, wait: Duration) -> FeedTold {
+    pub async fn serve_sample(
+        &self,
+        zone: u64,
+        after: Option<u64>,
+        wait: Duration,
+    ) -> FeedResponse {
         let asked_us = boot_us();
         let mut sample_rx = self.sample_revision.subscribe();
         let changed = self.state.lock().sample(zone).map(|sample| sample.changed_at);
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -78,7 +78,7 @@
         let ttl_max = settings.map_or(ADDRESS_TTL, GatewaySettings::address_keep_max);
         let view = self.board.members_view();
         let homes = homes_of_zone(&view, zone, HomesPlan::of(&self.board));
-        let ttl = if view.serving() > 1 { ADDRESS_TTL } else { ADDRESS_TTL_ALONE };
+        let ttl = if view.running_count() > 1 { ADDRESS_TTL } else { ADDRESS_TTL_ALONE };
         let accepts_callers = self.admission.accepts_callers();
         let named =
             homes.iter().filter(|row| accepts_callers || row.incarnation != self.board.incarnation);
--- a/src/gateway/proof_schedule.rs
+++ b/src/gateway/proof_schedule.rs
@@ -83,10 +83,10 @@
         schedule.asked_us.store(asked_us, Ordering::Release);
         match self.store.events(self.prefix, revision, Duration::ZERO).await {
             Ok(watched) => {
-                self.board.note_store(None);
+                self.board.record_store_result(None);
                 self.apply_watched(watched, revision, asked_us);
             }
-            Err(error) => self.board.note_store(Some(error.to_string())),
+            Err(error) => self.board.record_store_result(Some(error.to_string())),
         }
     }
 }
--- a/src/gateway/quarantine_store.rs
+++ b/src/gateway/quarantine_store.rs
@@ -51,7 +51,7 @@
         for _ in 0..WRITE_ATTEMPTS_MAX {
             match self.write(rows).await {
                 Ok(()) => return,
-                Err(error) => self.board.note_store(Some(error.to_string())),
+                Err(error) => self.board.record_store_result(Some(error.to_string())),
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
@@ -84,7 +84,7 @@
                     info!(event = "suspects-read", rows = rows.len(); "from the store");
                     return;
                 }
-                Err(error) => self.board.note_store(Some(error.to_string())),
+                Err(error) => self.board.record_store_result(Some(error.to_string())),
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
@@ -95,7 +95,7 @@
         let mut rows = Vec::new();
         let mut after: Option<String> = None;
         loop {
-            let page = self.store.page(prefix, after.as_deref(), Freshness::Latest).await?;
+            let page = self.store.list_page(prefix, after.as_deref(), Freshness::Latest).await?;
             for item in &page.items {
                 rows.extend(decode_rows(&item.key, &item.value));
             }
--- a/src/gateway/quota_limiter.rs
+++ b/src/gateway/quota_limiter.rs
@@ -13,7 +13,7 @@
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::clock::now_us;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::quota::OutOfTokens;
@@ -61,7 +61,7 @@
     (tokens * MILLITOKENS_PER_TOKEN).clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-impl<L: PeerCalls> QuotaLimiter<L> {
+impl<L: PeerClient> QuotaLimiter<L> {
     /// Takes a token for a request; none is needed without a quota.
     ///
     /// # Errors
@@ -125,7 +125,8 @@
     /// Asks an instance for tokens and returns those that it lends, 0 if there is no response.
     async fn request_tokens(&self, lender: SocketAddr, workspace: &Workspace, wanted: f64) -> f64 {
         let workspace = workspace.name.to_string();
-        let request = PeerRequest::QuotaTokens { workspace, wanted_milli: to_millitokens(wanted) };
+        let request =
+            PeerRequest::QuotaTokens { workspace, wanted_millitokens: to_millitokens(wanted) };
         // If there is no response, the next lender is asked.
         match self.links.call(lender, &request, LENDER_TIMEOUT).await {
             Ok(PeerReply::QuotaTokens(milli)) => f64::from(milli) / MILLITOKENS_PER_TOKEN,
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -12,8 +12,8 @@
 use crate::board::Blackboard;
 use crate::store::EventStore;
 use crate::store::Freshness;
-use crate::store::Listed;
 use crate::store::Roster;
+use crate::store::RosterEntry;
 use crate::store::StoreError;
 
 /// How often this instance checks whether it is the first of its zone; also the time that homes
@@ -61,7 +61,7 @@
             match self.register().await {
                 Ok(lease) => self.renew_until_expired(lease).await,
                 Err(error) => {
-                    self.board.note_store(Some(error.to_string()));
+                    self.board.record_store_result(Some(error.to_string()));
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
             }
@@ -82,21 +82,21 @@
 }
 
 impl<D: Dialect, S: EventStore> Roster for Registry<D, S> {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
         // The seeds are enough as long as another instance is known.
-        if self.board.members_view().serving() > 1 {
+        if self.board.members_view().running_count() > 1 {
             return Ok(Vec::new());
         }
         let prefix = self.dialect.store_keys().instances_prefix;
-        let page = self.store.page(prefix, None, Freshness::Latest).await?;
+        let page = self.store.list_page(prefix, None, Freshness::Latest).await?;
         let listed = page.items.iter().filter_map(|item| {
             let address: SocketAddr = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
-            Some(Listed { id: item.key.clone(), address, zone: String::new(), leaving: false })
+            Some(RosterEntry { id: item.key.clone(), address, zone: String::new(), leaving: false })
         });
         Ok(listed.collect())
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         Ok(Vec::new())
     }
 }
--- a/src/gateway/reported_loads.rs
+++ b/src/gateway/reported_loads.rs
@@ -23,20 +23,22 @@
     /// that became outdated is not sent; the peer expires it.
     pub(super) fn changes(&self, now: &[ServerLoadRow]) -> Vec<ServerLoadRow> {
         let changed = now.iter().filter(|row| {
-            let reported = self.by_server.get(&row.server);
+            let reported = self.by_server.get(&row.server_hash);
             let (in_flight, pace) = reported
                 .map_or((Some(0), 0), |reported| (reported.in_flight, reported.pace_percent));
-            in_flight != Some(row.in_flight) || row.pace_percent > 0 && row.pace_percent != pace
+            in_flight != Some(row.in_flight)
+                || row.slowdown_percent > 0 && row.slowdown_percent != pace
         });
         let mut rows: Vec<ServerLoadRow> = changed.copied().collect();
-        let now: HashMap<u32, u16> = now.iter().map(|row| (row.server, row.in_flight)).collect();
+        let now: HashMap<u32, u16> =
+            now.iter().map(|row| (row.server_hash, row.in_flight)).collect();
         let ended = self.by_server.iter().filter(|(server, reported)| {
             reported.in_flight != Some(0) && !now.contains_key(server)
         });
         rows.extend(ended.map(|(server, _)| ServerLoadRow {
-            server: *server,
+            server_hash: *server,
             in_flight: 0,
-            pace_percent: 0,
+            slowdown_percent: 0,
         }));
         rows
     }
@@ -45,8 +47,8 @@
     pub(super) fn record_delivered(&mut self, rows: &[ServerLoadRow]) {
         for row in rows {
             let reported =
-                ReportedLoad { in_flight: Some(row.in_flight), pace_percent: row.pace_percent };
-            self.by_server.insert(row.server, reported);
+                ReportedLoad { in_flight: Some(row.in_flight), pace_percent: row.slowdown_percent };
+            self.by_server.insert(row.server_hash, reported);
         }
         self.by_server
             .retain(|_, reported| reported.in_flight != Some(0) || reported.pace_percent != 0);
--- a/src/gateway/store_check.rs
+++ b/src/gateway/store_check.rs
@@ -30,7 +30,7 @@
             continue;
         }
         let started_us = now_us();
-        let alive = tokio::time::timeout(CHECK_TIMEOUT, store.alive()).await;
+        let alive = tokio::time::timeout(CHECK_TIMEOUT, store.check_alive()).await;
         if matches!(alive, Ok(Ok(()))) {
             first.record_store_reply(started_us);
             second.record_store_reply(started_us);
--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -19,7 +19,7 @@
 use crate::clock::now_ms;
 use crate::member::MemberRow;
 use crate::peer::GrantRequest;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::route::BACKEND_STATE;
@@ -85,7 +85,7 @@
     let slot_queue = &state.runtime.slot_queue;
     let closed = leaving || !status.is_success();
     if slot_queue.set_closed(id, CloseReason::SelfReported, closed) {
-        router.board.note(EventKind::server_seen(&state.spec.name, id, closed));
+        router.board.record_event(EventKind::server_leaving_changed(&state.spec.name, id, closed));
         router.notify_co_homes(state, id, closed);
     }
 }
@@ -163,7 +163,7 @@
     let others = view
         .rows
         .iter()
-        .filter(|row| row.incarnation != board.incarnation && row.state.takes_work());
+        .filter(|row| row.incarnation != board.incarnation && row.state.accepts_work());
     for grantor in others {
         request_grant(router, &names, grantor, buckets).await;
     }
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -11,9 +11,9 @@
 
 use crate::board::Blackboard;
 use crate::board::EventKind;
-use crate::catalog::watches;
+use crate::catalog::is_watcher;
 use crate::peer::Links;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerRequest;
 use crate::route::CloseReason;
 use crate::store::Roster;
@@ -29,11 +29,11 @@
     let mut polls = 0;
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
-        if !watches(&board) {
+        if !is_watcher(&board) {
             continue;
         }
         let listed = roster.backend_servers().await;
-        board.note_store(listed.as_ref().err().map(ToString::to_string));
+        board.record_store_result(listed.as_ref().err().map(ToString::to_string));
         let Ok(listed) = listed else {
             continue;
         };
@@ -51,7 +51,7 @@
 
 /// Sends the addresses of the leaving servers to the other instances of this zone.
 fn send_to_zone(board: &Blackboard, links: &Links, leaving: &BTreeSet<SocketAddr>) {
-    let request = PeerRequest::Listed(leaving.iter().copied().collect());
+    let request = PeerRequest::ServersLeaving(leaving.iter().copied().collect());
     let view = board.members_view();
     let zone = &board.settings.instance.zone;
     let others = view.rows.iter().filter(|row| {
@@ -76,7 +76,7 @@
                 continue;
             }
             let (service, id) = (name.clone(), server.id.clone());
-            board.note(if is_leaving {
+            board.record_event(if is_leaving {
                 EventKind::ServerLeaving { service, server: id }
             } else {
                 // The platform saw the server leave and return, which overrides the server's own
--- a/src/measure/shard.rs
+++ b/src/measure/shard.rs
@@ -82,7 +82,7 @@
 ) -> Option<Lease> {
     let requested_ms = now_ms();
     let lease = store.lease_open(Duration::from_millis(ttl_ms)).await;
-    board.note_store(lease.as_ref().err().map(ToString::to_string));
+    board.record_store_result(lease.as_ref().err().map(ToString::to_string));
     let lease = lease.ok()?;
     let shards = board.settings.measuring.shards;
     let first = rand::rng().random_range(0..shards);
@@ -91,11 +91,11 @@
         let number = (first + attempt) % shards;
         let path = format!("{ROOT}/{number}");
         let acquired = store.acquire(&path, value.as_bytes(), &lease).await;
-        board.note_store(acquired.as_ref().err().map(ToString::to_string));
+        board.record_store_result(acquired.as_ref().err().map(ToString::to_string));
         match acquired {
             Ok(true) => {
                 shard.hold(number, requested_ms + usable_ms(ttl_ms));
-                board.note(EventKind::ShardTaken { shard: number });
+                board.record_event(EventKind::ShardTaken { shard: number });
                 return Some(lease);
             }
             Ok(false) => {}
@@ -119,7 +119,7 @@
         tokio::time::sleep(Duration::from_millis(ttl_ms / RENEW_DIVISOR)).await;
         let requested_ms = now_ms();
         let renewed = store.lease_renew(lease).await;
-        board.note_store(renewed.as_ref().err().map(ToString::to_string));
+        board.record_store_result(renewed.as_ref().err().map(ToString::to_string));
         let number = shard.current(requested_ms);
         match (renewed, number) {
             (Ok(true), Some(number)) => shard.hold(number, requested_ms + usable_ms(ttl_ms)),
@@ -146,7 +146,7 @@
         if let Some(lease) = acquire_shard(&board, &store, &shard, ttl_ms).await {
             renew_until_lost(&board, &store, &shard, &lease, ttl_ms).await;
             if let Some(number) = shard.release() {
-                board.note(EventKind::ShardLost { shard: number });
+                board.record_event(EventKind::ShardLost { shard: number });
             }
             buckets.clear();
             let _ = store.lease_close(&lease).await;
--- a/src/member/comparison.rs
+++ b/src/member/comparison.rs
@@ -15,37 +15,37 @@
 use super::row::fingerprint;
 use crate::board::Blackboard;
 use crate::clock::now_ms;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
 /// A comparison of 5,000 members takes some 25 KB; a tenth of this over the slowest links.
-const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Answers the first question of a comparison: the parts that differ, and what is believed there.
-pub(super) fn answer_compare(board: &Blackboard, theirs: &MembersDigest) -> PeerReply {
+pub(super) fn handle_compare(board: &Blackboard, theirs: &MembersDigest) -> PeerReply {
     let members = board.members.lock();
-    let parts = members.digest().differing(theirs);
-    let fingerprints = members.fingerprints(&parts);
-    PeerReply::Differing { parts, fingerprints }
+    let parts = members.digest().differing_buckets(theirs);
+    let fingerprints = members.fingerprints_in_buckets(&parts);
+    PeerReply::Differing { buckets: parts, fingerprints }
 }
 
 /// Answers the second one: takes rows in, and returns those asked for, and those that are known
 /// better here.
-pub(super) fn answer_exchange(board: &Blackboard, wanted: &[u32], rows: &[MemberRow]) -> PeerReply {
+pub(super) fn handle_exchange(board: &Blackboard, wanted: &[u32], rows: &[MemberRow]) -> PeerReply {
     let mut members = board.members.lock();
-    let mut reply = members.rows_of(wanted, now_ms());
-    reply.extend(take_in(&mut members, rows));
+    let mut reply = members.rows_with_fingerprints(wanted, now_ms());
+    reply.extend(merge_rows(&mut members, rows));
     drop(members);
     board.publish_members();
     PeerReply::Members(reply)
 }
 
 /// Takes rows in; returns the own ones that override some of them.
-fn take_in(members: &mut MemberTable, rows: &[MemberRow]) -> Vec<MemberRow> {
+fn merge_rows(members: &mut MemberTable, rows: &[MemberRow]) -> Vec<MemberRow> {
     let now_ms = now_ms();
     for row in rows {
-        members.merge_compared(row, now_ms);
+        members.merge_synced(row, now_ms);
     }
     let known_better = rows.iter().filter_map(|row| {
         let own = members.row(row.incarnation, now_ms)?;
@@ -55,49 +55,49 @@
 }
 
 /// What this instance asks for, and tells, after the other named what it believes of some parts.
-fn to_exchange(
+fn rows_to_exchange(
     members: &MemberTable,
     parts: &[usize],
     theirs: &[u32],
 ) -> (Vec<u32>, Vec<MemberRow>) {
     let theirs: HashSet<u32> = theirs.iter().copied().collect();
-    let own: HashSet<u32> = members.fingerprints(parts).into_iter().collect();
+    let own: HashSet<u32> = members.fingerprints_in_buckets(parts).into_iter().collect();
     let wanted = theirs.difference(&own).copied().collect();
-    let rows = members.rows_of_parts(parts, now_ms()).into_iter();
+    let rows = members.rows_in_buckets(parts, now_ms()).into_iter();
     let told = rows.filter(|row| fingerprint(row).is_some_and(|own| !theirs.contains(&own)));
     (wanted, told.collect())
 }
 
 /// Compares tables with another instance; returns how many rows that brought, `None` without an
 /// answer.
-pub async fn compare<L: PeerCalls>(
+pub async fn sync_members<L: PeerClient>(
     board: &Blackboard,
     links: &L,
     peer: SocketAddr,
 ) -> Option<usize> {
     let digest = board.members.lock().digest().clone();
     let reply = links
-        .call(peer, &PeerRequest::Member(MemberRequest::Compare(digest)), CALL_TIMEOUT)
+        .call(peer, &PeerRequest::Member(MemberRequest::Compare(digest)), SYNC_TIMEOUT)
         .await
         .ok()?;
-    let PeerReply::Differing { parts, fingerprints } = reply else {
+    let PeerReply::Differing { buckets: parts, fingerprints } = reply else {
         return None;
     };
-    let (wanted, rows) = to_exchange(&board.members.lock(), &parts, &fingerprints);
+    let (wanted, rows) = rows_to_exchange(&board.members.lock(), &parts, &fingerprints);
     if wanted.is_empty() && rows.is_empty() {
         return Some(0);
     }
     let request = PeerRequest::Member(MemberRequest::Exchange { wanted, rows });
-    let Ok(PeerReply::Members(rows)) = links.call(peer, &request, CALL_TIMEOUT).await else {
+    let Ok(PeerReply::Members(rows)) = links.call(peer, &request, SYNC_TIMEOUT).await else {
         return None;
     };
-    let known_better = take_in(&mut board.members.lock(), &rows);
+    let known_better = merge_rows(&mut board.members.lock(), &rows);
     board.publish_members();
     if !known_better.is_empty() {
         let exchange = MemberRequest::Exchange { wanted: Vec::new(), rows: known_better };
         let request = PeerRequest::Member(exchange);
         // Lost, the next comparison finds the same again.
-        let _ = links.call(peer, &request, CALL_TIMEOUT).await;
+        let _ = links.call(peer, &request, SYNC_TIMEOUT).await;
     }
     Some(rows.len())
 }
--- a/src/member/digest.rs
+++ b/src/member/digest.rs
@@ -8,52 +8,54 @@
 
 /// Parts of the members that are compared one by one. Of 500 members one that differs costs the
 /// rows of eight, of 5,000 those of eighty.
-pub const DIGEST_PARTS: usize = 64;
+pub const DIGEST_BUCKETS: usize = 64;
 
 /// One number for each part of the members, by their incarnations; equal where the parts are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersDigest {
-    parts: Vec<u32>,
+    buckets: Vec<u32>,
 }
 
 impl Default for MembersDigest {
     fn default() -> Self {
-        Self { parts: vec![0; DIGEST_PARTS] }
+        Self { buckets: vec![0; DIGEST_BUCKETS] }
     }
 }
 
 /// The part that a member belongs to. Incarnations are random, so parts are of like size.
 #[must_use]
 #[expect(clippy::cast_possible_truncation, reason = "below the number of parts")]
-pub const fn part_of(incarnation: u64) -> usize {
-    (incarnation % DIGEST_PARTS as u64) as usize
+pub const fn bucket_of(incarnation: u64) -> usize {
+    (incarnation % DIGEST_BUCKETS as u64) as usize
 }
 
 impl MembersDigest {
     /// Takes a row in.
     pub(super) fn add(&mut self, row: &MemberRow) {
-        let part = &mut self.parts[part_of(row.incarnation)];
+        let part = &mut self.buckets[bucket_of(row.incarnation)];
         *part = part.wrapping_add(fingerprint(row).unwrap_or(0));
     }
 
     /// Takes a row out.
     pub(super) fn remove(&mut self, row: &MemberRow) {
-        let part = &mut self.parts[part_of(row.incarnation)];
+        let part = &mut self.buckets[bucket_of(row.incarnation)];
         *part = part.wrapping_sub(fingerprint(row).unwrap_or(0));
     }
 
     /// The parts in which two digests differ. One of another length, from a faulty peer, differs in
     /// all of them.
     #[must_use]
-    pub fn differing(&self, other: &Self) -> Vec<usize> {
-        (0..DIGEST_PARTS).filter(|part| self.parts.get(*part) != other.parts.get(*part)).collect()
+    pub fn differing_buckets(&self, other: &Self) -> Vec<usize> {
+        (0..DIGEST_BUCKETS)
+            .filter(|part| self.buckets.get(*part) != other.buckets.get(*part))
+            .collect()
     }
 
     /// All parts in one number, to compare on each ping.
     #[must_use]
-    pub fn summary(&self) -> u64 {
-        let seed = self.parts.len() as u64;
+    pub fn hash(&self) -> u64 {
+        let seed = self.buckets.len() as u64;
         let mix = |sum: u64, part: &u32| sum.wrapping_mul(31).wrapping_add(u64::from(*part));
-        self.parts.iter().fold(seed, mix)
+        self.buckets.iter().fold(seed, mix)
     }
 }
--- a/src/member/joiner.rs
+++ b/src/member/joiner.rs
@@ -12,32 +12,32 @@
 
 use super::MemberRequest;
 use super::MemberRow;
-use super::compare;
+use super::sync_members;
 use crate::board::Blackboard;
 use crate::clock::now_ms;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::store::Roster;
 
 /// An address whose machine is away does not even refuse: others must not wait for it.
-const CALL_TIMEOUT: Duration = Duration::from_millis(500);
+const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval while no other instance is known, and the time that one address is given before the next
 /// one is asked. After a loss of power of all, each instance gives out the slots of all servers
 /// without knowing of the others until it has found one; a call that is refused costs next to
 /// nothing.
-const ALONE_MS: u64 = 40;
+const ALONE_INTERVAL_MS: u64 = 40;
 /// Turns while alone between two looks into the platform's list, each of which is paid for.
-const ALONE_LIST_TURNS: u64 = 16;
-const SMALL_FLEET: u64 = 20;
+const ALONE_ROUNDS_PER_LISTING: u64 = 16;
+const INSTANCES_PER_LISTING: u64 = 20;
 /// Comparisons after a join, at most, and the pause between two: of 500 instances that start within
 /// 0.3 s all then know the same homes within a second.
-const CATCH_UP_ROUNDS: u32 = 5;
+const CATCH_UP_ROUNDS_MAX: u32 = 5;
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 /// A comparison that brings no more than this leaves the rest to rumours.
-const CAUGHT_UP_ROWS: usize = 6;
+const CAUGHT_UP_ROWS_MAX: usize = 6;
 /// Addresses asked in one turn.
-const ASKED_MAX: usize = 3;
+const JOIN_REQUESTS_MAX: usize = 3;
 
 /// Joins the others by one address after the other.
 #[derive(Clone, Debug)]
@@ -46,13 +46,13 @@
     links: L,
     /// Addresses that were asked and have not answered yet: of hundreds of instances that start
     /// together each asks the same few, and one that is slow to answer must not be asked again.
-    asked: Arc<Mutex<HashSet<SocketAddr>>>,
+    pending_joins: Arc<Mutex<HashSet<SocketAddr>>>,
 }
 
-impl<L: PeerCalls> Joiner<L> {
+impl<L: PeerClient> Joiner<L> {
     /// Whether no other instance is known.
-    fn alone(&self) -> bool {
-        self.board.members_view().serving() <= 1
+    fn is_alone(&self) -> bool {
+        self.board.members_view().running_count() <= 1
     }
 
     /// Addresses of instances that may be there and are not known, in random order.
@@ -62,11 +62,11 @@
         // Each call to the platform has its price; the seeds are tried first.
         if found.is_empty() || list_due {
             let listed = roster.instances().await;
-            self.board.note_store(listed.as_ref().err().map(ToString::to_string));
+            self.board.record_store_result(listed.as_ref().err().map(ToString::to_string));
             found.extend(listed.unwrap_or_default().iter().map(|row| row.address));
         }
         let members = self.board.members.lock();
-        let unknown = found.into_iter().filter(|address| !members.answers_at(*address));
+        let unknown = found.into_iter().filter(|address| !members.may_answer_at(*address));
         let mut unknown: Vec<SocketAddr> = unknown.collect();
         drop(members);
         for at in (1..unknown.len()).rev() {
@@ -77,28 +77,28 @@
 
     /// Asks one address, which tells whether it answered; `None` where its answer is still awaited
     /// from before.
-    fn ask(&self, address: SocketAddr) -> Option<JoinHandle<bool>> {
-        if !self.asked.lock().insert(address) {
+    fn start_join(&self, address: SocketAddr) -> Option<JoinHandle<bool>> {
+        if !self.pending_joins.lock().insert(address) {
             return None;
         }
         let joiner = self.clone();
         Some(tokio::spawn(async move {
-            let answered = joiner.join_by(address).await;
-            joiner.asked.lock().remove(&address);
+            let answered = joiner.join_via(address).await;
+            joiner.pending_joins.lock().remove(&address);
             answered
         }))
     }
 
-    async fn join_by(&self, address: SocketAddr) -> bool {
+    async fn join_via(&self, address: SocketAddr) -> bool {
         let own = self.board.members.lock().own_row(now_ms());
         let reply = self
             .links
-            .call(address, &PeerRequest::Member(MemberRequest::Join(own)), CALL_TIMEOUT)
+            .call(address, &PeerRequest::Member(MemberRequest::Join(own)), JOIN_TIMEOUT)
             .await;
         let Ok(PeerReply::Members(rows)) = reply else {
             return false;
         };
-        self.take_in(&rows);
+        self.merge_rows(&rows);
         tokio::spawn(self.clone().catch_up(address));
         true
     }
@@ -109,12 +109,12 @@
     /// moment in which instances name different homes to callers spoils requests. Not with the one
     /// that was asked: it is the same for the whole fleet.
     async fn catch_up(self, asked: SocketAddr) {
-        for _ in 0..CATCH_UP_ROUNDS {
-            let Some(other) = self.any_other(asked) else {
+        for _ in 0..CATCH_UP_ROUNDS_MAX {
+            let Some(other) = self.random_peer(asked) else {
                 return;
             };
-            let brought = compare(&self.board, &self.links, other).await;
-            if brought.is_some_and(|rows| rows <= CAUGHT_UP_ROWS) {
+            let brought = sync_members(&self.board, &self.links, other).await;
+            if brought.is_some_and(|rows| rows <= CAUGHT_UP_ROWS_MAX) {
                 return;
             }
             tokio::time::sleep(CATCH_UP_PAUSE).await;
@@ -122,7 +122,7 @@
     }
 
     /// Some other instance that may answer, by chance.
-    fn any_other(&self, asked: SocketAddr) -> Option<SocketAddr> {
+    fn random_peer(&self, asked: SocketAddr) -> Option<SocketAddr> {
         let view = self.board.members_view();
         let from = rand::rng().random_range(0..view.rows.len().max(1));
         let (before, after) = view.rows.split_at(from);
@@ -132,11 +132,11 @@
         after.iter().chain(before).find(fits).map(|row| row.peer)
     }
 
-    fn take_in(&self, rows: &[MemberRow]) {
+    fn merge_rows(&self, rows: &[MemberRow]) {
         let now_ms = now_ms();
         let mut members = self.board.members.lock();
         for row in rows {
-            members.merge_compared(row, now_ms);
+            members.merge_synced(row, now_ms);
         }
         drop(members);
         self.board.publish_members();
@@ -144,10 +144,11 @@
 
     /// Asks for the others, each address after a moment without an answer of the one before; tells
     /// whether one answered in time.
-    async fn turn(&self, unknown: Vec<SocketAddr>) -> bool {
-        let asked = unknown.into_iter().filter_map(|address| self.ask(address));
-        for mut answer in asked.take(ASKED_MAX) {
-            let answered = tokio::time::timeout(Duration::from_millis(ALONE_MS), &mut answer).await;
+    async fn join_round(&self, unknown: Vec<SocketAddr>) -> bool {
+        let asked = unknown.into_iter().filter_map(|address| self.start_join(address));
+        for mut answer in asked.take(JOIN_REQUESTS_MAX) {
+            let answered =
+                tokio::time::timeout(Duration::from_millis(ALONE_INTERVAL_MS), &mut answer).await;
             if matches!(answered, Ok(Ok(true))) {
                 return true;
             }
@@ -157,26 +158,29 @@
 }
 
 /// Joins, and goes on looking: two groups that formed while parted find each other again.
-pub async fn run_joiner<R: Roster, L: PeerCalls>(board: Arc<Blackboard>, roster: R, links: L) {
+pub async fn run_joiner<R: Roster, L: PeerClient>(board: Arc<Blackboard>, roster: R, links: L) {
     let interval_ms = board.settings.peers.list_interval_ms;
-    let joiner = Joiner { board, links, asked: Arc::default() };
+    let joiner = Joiner { board, links, pending_joins: Arc::default() };
     let mut turn = 0;
-    let mut pause_ms = ALONE_MS;
+    let mut pause_ms = ALONE_INTERVAL_MS;
     loop {
         // The whole fleet together asks the platform about as often as a small one does; it
         // takes one instance to find another group, and both become one.
-        let known = joiner.board.members_view().serving() as u64;
-        let list_turns =
-            if joiner.alone() { ALONE_LIST_TURNS } else { known.div_ceil(SMALL_FLEET) };
-        let list_due = turn % list_turns == list_turns - 1;
+        let known = joiner.board.members_view().running_count() as u64;
+        let rounds_per_listing = if joiner.is_alone() {
+            ALONE_ROUNDS_PER_LISTING
+        } else {
+            known.div_ceil(INSTANCES_PER_LISTING)
+        };
+        let list_due = turn % rounds_per_listing == rounds_per_listing - 1;
         let unknown = joiner.unknown_addresses(&roster, list_due).await;
         turn += 1;
         let settled = unknown.is_empty();
-        let answered = joiner.turn(unknown).await;
+        let answered = joiner.join_round(unknown).await;
         // That others joined this one says nothing of whom they know: it may be one of several
         // that a starting fleet gathers around.
-        pause_ms = match (answered || settled, joiner.alone()) {
-            (_, true) => ALONE_MS,
+        pause_ms = match (answered || settled, joiner.is_alone()) {
+            (_, true) => ALONE_INTERVAL_MS,
             (true, false) => interval_ms,
             (false, false) => (pause_ms * 2).min(interval_ms),
         };
--- a/src/member/local_health.rs
+++ b/src/member/local_health.rs
@@ -2,15 +2,15 @@
 
 /// A turn that comes this much later than due means that this instance was held up: a machine whose
 /// part of a core is used up stands still for most of a tenth of a second.
-const LATE_MS: u64 = 100;
+const LATE_THRESHOLD_MS: u64 = 100;
 /// Late turns in a row that are told apart.
 const SCORE_MAX: u64 = 8;
 
 /// Whether something that was due after `due_ms` and came after `passed_ms` shows that this instance was
 /// held up.
 #[must_use]
-pub const fn held_up(passed_ms: u64, due_ms: u64) -> bool {
-    passed_ms > due_ms + LATE_MS
+pub const fn is_late(passed_ms: u64, due_ms: u64) -> bool {
+    passed_ms > due_ms + LATE_THRESHOLD_MS
 }
 
 /// The lateness of this instance's own turns.
@@ -32,8 +32,8 @@
 
     /// Takes in a turn that was due after `due_ms` and came after `passed_ms`; returns how much of that
     /// time counts against nobody.
-    pub fn turn(&mut self, passed_ms: u64, due_ms: u64) -> u64 {
-        if held_up(passed_ms, due_ms) {
+    pub fn record_tick(&mut self, passed_ms: u64, due_ms: u64) -> u64 {
+        if is_late(passed_ms, due_ms) {
             self.score = (self.score + 1).min(SCORE_MAX);
             return passed_ms;
         }
--- a/src/member/news.rs
+++ b/src/member/news.rs
@@ -8,39 +8,39 @@
 /// Members that wait at most. More come at once only when many instances start or stop; then
 /// comparing whole tables costs less, and rumours would fill every ping for minutes: 470 members told
 /// nine times each by each of 470 instances are 180 MB.
-const WAITING_MAX: usize = 8;
+const QUEUE_MAX: usize = 8;
 
 /// How often each member's row is still to be told.
 #[derive(Clone, Debug, Default)]
-pub(super) struct News {
-    by_member: HashMap<u64, u32>,
+pub(super) struct GossipQueue {
+    sends_left: HashMap<u64, u32>,
     /// The same, those told least last.
-    in_order: BTreeSet<(u32, u64)>,
+    by_sends_left: BTreeSet<(u32, u64)>,
 }
 
-impl News {
+impl GossipQueue {
     /// A row is to be told so often from now on. Of too many, those that were told most are left to
     /// comparisons.
     pub(super) fn set(&mut self, incarnation: u64, tells: u32) {
-        if let Some(before) = self.by_member.remove(&incarnation) {
-            self.in_order.remove(&(before, incarnation));
+        if let Some(before) = self.sends_left.remove(&incarnation) {
+            self.by_sends_left.remove(&(before, incarnation));
         }
         if tells == 0 {
             return;
         }
-        self.by_member.insert(incarnation, tells);
-        self.in_order.insert((tells, incarnation));
-        if self.in_order.len() > WAITING_MAX
-            && let Some((_, most_told)) = self.in_order.pop_first()
+        self.sends_left.insert(incarnation, tells);
+        self.by_sends_left.insert((tells, incarnation));
+        if self.by_sends_left.len() > QUEUE_MAX
+            && let Some((_, most_told)) = self.by_sends_left.pop_first()
         {
-            self.by_member.remove(&most_told);
+            self.sends_left.remove(&most_told);
         }
     }
 
     /// Up to `most` members to tell of now, those told least first.
     pub(super) fn take(&mut self, most: usize) -> SmallVec<[u64; 8]> {
         let next: SmallVec<[(u32, u64); 8]> =
-            self.in_order.iter().rev().take(most).copied().collect();
+            self.by_sends_left.iter().rev().take(most).copied().collect();
         for (tells, incarnation) in &next {
             self.set(*incarnation, tells - 1);
         }
--- a/src/member/ring.rs
+++ b/src/member/ring.rs
@@ -14,7 +14,7 @@
 
 impl Ring {
     /// Takes note of whether a member answers.
-    pub(super) fn set(&mut self, incarnation: u64, answers: bool) {
+    pub(super) fn set_present(&mut self, incarnation: u64, answers: bool) {
         match (self.members.binary_search(&incarnation), answers) {
             (Err(at), true) => self.members.insert(at, incarnation),
             (Ok(at), false) => {
--- a/src/member/row.rs
+++ b/src/member/row.rs
@@ -22,7 +22,7 @@
 impl MemberState {
     /// Whether new work may be sent there.
     #[must_use]
-    pub const fn takes_work(self) -> bool {
+    pub const fn accepts_work(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
--- a/src/member/swim.rs
+++ b/src/member/swim.rs
@@ -10,72 +10,78 @@
 
 use super::MemberRequest;
 use super::MemberRow;
-use super::Suspicion;
-use super::answers::RUMOURS_MAX;
-use super::answers::merge_all;
-use super::compare;
-use super::held_up;
+use super::SuspicionTimer;
+use super::answers::GOSSIP_ROWS_MAX;
+use super::answers::merge_gossip;
+use super::is_late;
+use super::sync_members;
 use crate::board::Blackboard;
 use crate::clock::now_ms;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::quarantine::exchange_suspects;
 
 /// Least time between two comparisons that this instance begins, the greatest is twice as long: in
 /// a fleet where members change all the while, each instance spends some 300 bytes a second on them.
-const COMPARE_PAUSE_MS: u64 = 600;
+const SYNC_INTERVAL_MIN_MS: u64 = 600;
 /// Least time between two exchanges of suspects that this instance begins. After a loss of power
 /// instances keep different parts of what became suspect, and would exchange them with each ping.
-const EXCHANGE_PAUSE_MS: u64 = 400;
+const SUSPECTS_EXCHANGE_INTERVAL_MIN_MS: u64 = 400;
 /// Members that are asked to ping for us.
-const HELPERS: usize = 2;
+const INDIRECT_PINGS: usize = 2;
 
 /// Where another instance believes the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Agreement {
+struct PeerAgreement {
     members: bool,
     /// The requests under which servers ended.
-    suspects: bool,
+    suspect_requests: bool,
 }
 
 /// Asks for a sign of life; `None` without one.
-async fn ping<L: PeerCalls>(
+async fn ping<L: PeerClient>(
     board: &Blackboard,
     links: &L,
     target: &MemberRow,
-) -> Option<Agreement> {
+) -> Option<PeerAgreement> {
     let within = Duration::from_millis(board.settings.peers.ping_timeout_ms);
     let request = {
         let mut members = board.members.lock();
         PeerRequest::Member(MemberRequest::Ping {
             from: members.own_row(now_ms()),
             stamp: board.events.clock.stamp(),
-            summary: members.digest().summary(),
-            rumours: members.rumours(RUMOURS_MAX, now_ms()),
+            summary: members.digest().hash(),
+            rumours: members.take_gossip(GOSSIP_ROWS_MAX, now_ms()),
         })
     };
     let reply = links.call(target.peer, &request, within).await;
-    let Ok(PeerReply::Ack { stamp, summary, suspects, rumours }) = reply else {
+    let Ok(PeerReply::Ack {
+        stamp,
+        digest_hash: summary,
+        suspects_digest: suspects,
+        gossip: rumours,
+    }) = reply
+    else {
         return None;
     };
     board.events.clock.observe(stamp);
-    merge_all(board, &rumours);
+    merge_gossip(board, &rumours);
     // Another process on the same address is no sign of life of the target.
     if !rumours.iter().any(|row| row.incarnation == target.incarnation) {
         return None;
     }
-    let members = board.members.lock().digest().summary() == summary;
-    Some(Agreement { members, suspects: board.quarantine.digest() == suspects })
+    let members = board.members.lock().digest().hash() == summary;
+    Some(PeerAgreement { members, suspect_requests: board.quarantine.digest() == suspects })
 }
 
-async fn ping_by_helpers<L: PeerCalls>(board: &Blackboard, links: &L, target: &MemberRow) -> bool {
+async fn indirect_ping<L: PeerClient>(board: &Blackboard, links: &L, target: &MemberRow) -> bool {
     let within = Duration::from_millis(board.settings.peers.ping_timeout_ms * 2);
-    let helpers = board.members.lock().helpers(target.incarnation, HELPERS);
+    let helpers = board.members.lock().indirect_pingers(target.incarnation, INDIRECT_PINGS);
     let mut asked = tokio::task::JoinSet::new();
     for helper in helpers {
         let links = links.clone();
-        let request = PeerRequest::PingFor { target: target.peer };
+        let request = PeerRequest::IndirectPing { target: target.peer };
         asked.spawn(async move { links.call(helper.peer, &request, within).await });
     }
     while let Some(reply) = asked.join_next().await {
@@ -88,30 +94,30 @@
 
 /// Pings members in turn, and compares tables with those that believe something else.
 #[derive(Clone, Debug)]
-struct Detector<L> {
+struct FailureDetector<L> {
     board: Arc<Blackboard>,
     links: L,
     /// When the next comparison may begin.
-    next_comparison_ms: Arc<AtomicU64>,
-    next_exchange_ms: Arc<AtomicU64>,
+    next_sync_ms: Arc<AtomicU64>,
+    next_suspects_exchange_ms: Arc<AtomicU64>,
 }
 
-impl<L: PeerCalls> Detector<L> {
-    async fn check(self, target: MemberRow) {
+impl<L: PeerClient> FailureDetector<L> {
+    async fn check_member(self, target: MemberRow) {
         let began_ms = now_ms();
         match ping(&self.board, &self.links, &target).await {
             Some(agreement) => {
-                if !agreement.suspects {
-                    self.exchange_in_turn(target.peer).await;
+                if !agreement.suspect_requests {
+                    self.exchange_suspects_if_due(target.peer).await;
                 }
                 if !agreement.members {
-                    self.compare_in_turn(target.peer).await;
+                    self.sync_members_if_due(target.peer).await;
                 }
             }
             // What was not read in time may be there.
-            None if held_up(now_ms() - began_ms, self.board.settings.peers.ping_timeout_ms) => {}
+            None if is_late(now_ms() - began_ms, self.board.settings.peers.ping_timeout_ms) => {}
             None => {
-                if !ping_by_helpers(&self.board, &self.links, &target).await
+                if !indirect_ping(&self.board, &self.links, &target).await
                     && self.board.members.lock().suspect(target.incarnation, now_ms())
                 {
                     self.board.publish_members();
@@ -121,45 +127,46 @@
     }
 
     /// Exchanges what is known of suspects, unless that was done a moment ago.
-    async fn exchange_in_turn(&self, peer: SocketAddr) {
+    async fn exchange_suspects_if_due(&self, peer: SocketAddr) {
         let now = now_ms();
-        if now < self.next_exchange_ms.load(Ordering::Acquire) {
+        if now < self.next_suspects_exchange_ms.load(Ordering::Acquire) {
             return;
         }
-        self.next_exchange_ms.store(now + EXCHANGE_PAUSE_MS, Ordering::Release);
+        self.next_suspects_exchange_ms
+            .store(now + SUSPECTS_EXCHANGE_INTERVAL_MIN_MS, Ordering::Release);
         exchange_suspects(&self.board, &self.links, peer).await;
     }
 
     /// Compares tables, unless that was done a moment ago.
-    async fn compare_in_turn(&self, peer: SocketAddr) {
+    async fn sync_members_if_due(&self, peer: SocketAddr) {
         let now = now_ms();
-        if now < self.next_comparison_ms.load(Ordering::Acquire) {
+        if now < self.next_sync_ms.load(Ordering::Acquire) {
             return;
         }
-        let pause_ms = rand::rng().random_range(COMPARE_PAUSE_MS..=2 * COMPARE_PAUSE_MS);
-        self.next_comparison_ms.store(now + pause_ms, Ordering::Release);
-        let brought = compare(&self.board, &self.links, peer).await;
-        if brought.is_some_and(|rows| rows > RUMOURS_MAX) {
+        let pause_ms = rand::rng().random_range(SYNC_INTERVAL_MIN_MS..=2 * SYNC_INTERVAL_MIN_MS);
+        self.next_sync_ms.store(now + pause_ms, Ordering::Release);
+        let brought = sync_members(&self.board, &self.links, peer).await;
+        if brought.is_some_and(|rows| rows > GOSSIP_ROWS_MAX) {
             // The fleet starts: who learned much has much to tell, and little of it is known.
-            let soon = now_ms() + COMPARE_PAUSE_MS / 4;
-            self.next_comparison_ms.store(soon, Ordering::Release);
+            let soon = now_ms() + SYNC_INTERVAL_MIN_MS / 4;
+            self.next_sync_ms.store(soon, Ordering::Release);
         }
     }
 }
 
 /// Declares suspects dead in time, until the process ends.
-async fn judge_suspects<L: PeerCalls>(detector: &Detector<L>) {
-    let Detector { board, links, .. } = detector;
-    let mut suspicion = Suspicion::new(board.settings.peers.suspect_timeout_ms, now_ms());
+async fn expire_suspects<L: PeerClient>(detector: &FailureDetector<L>) {
+    let FailureDetector { board, links, .. } = detector;
+    let mut suspicion = SuspicionTimer::new(board.settings.peers.suspect_timeout_ms, now_ms());
     loop {
-        tokio::time::sleep(suspicion.due()).await;
-        let dead = suspicion.turn(&mut board.members.lock(), now_ms());
+        tokio::time::sleep(suspicion.tick_interval()).await;
+        let dead = suspicion.tick(&mut board.members.lock(), now_ms());
         if !dead.is_empty() {
             board.publish_members();
         }
         for peer in dead {
-            if !board.members.lock().answers_at(peer) {
-                links.forget(peer);
+            if !board.members.lock().may_answer_at(peer) {
+                links.drop_link(peer);
             }
         }
     }
@@ -169,26 +176,26 @@
 ///
 /// A pause of this process is not taken for the silence of the others: each ping is judged by
 /// its own timeout, and a suspect by the time in which this instance could hear it.
-pub async fn run_swim<L: PeerCalls>(board: Arc<Blackboard>, links: L) {
+pub async fn run_failure_detector<L: PeerClient>(board: Arc<Blackboard>, links: L) {
     let interval_ms = board.settings.peers.ping_interval_ms;
-    let mut turns = tokio::time::interval(Duration::from_millis(interval_ms));
-    turns.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let detector = Detector {
+    let mut ticks = tokio::time::interval(Duration::from_millis(interval_ms));
+    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let detector = FailureDetector {
         board,
         links,
-        next_comparison_ms: Arc::default(),
-        next_exchange_ms: Arc::default(),
+        next_sync_ms: Arc::default(),
+        next_suspects_exchange_ms: Arc::default(),
     };
-    let ping_in_turn = async {
-        let Detector { board, links, .. } = &detector;
+    let ping_loop = async {
+        let FailureDetector { board, links, .. } = &detector;
         loop {
-            turns.tick().await;
-            let target = board.members.lock().next_target();
+            ticks.tick().await;
+            let target = board.members.lock().next_ping_target();
             if let Some(target) = target {
-                tokio::spawn(detector.clone().check(target));
+                tokio::spawn(detector.clone().check_member(target));
             }
             links.close_idle();
         }
     };
-    tokio::join!(ping_in_turn, judge_suspects(&detector));
+    tokio::join!(ping_loop, expire_suspects(&detector));
 }
--- a/src/operator/answers.rs
+++ b/src/operator/answers.rs
@@ -170,7 +170,7 @@
         let board = &self.router.board;
         let events = board.events.after(request.into_inner().after_stamp);
         let events = events.iter().map(|event| {
-            let (kind, detail) = event.kind.text();
+            let (kind, detail) = event.kind.name_and_detail();
             let instance = board.settings.instance.name.clone();
             wire::Event { stamp: event.stamp, instance, kind: kind.into(), detail }
         });
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -38,12 +38,12 @@
     mac.finalize().into_bytes().into()
 }
 
-fn refused(why: impl std::fmt::Display) -> Coded {
+fn auth_error(why: impl std::fmt::Display) -> Coded {
     Coded::new(Code::PeerUnauthenticated, why.to_string())
 }
 
-fn check(expected: &Proof, given: &Proof) -> Result<(), Coded> {
-    if bool::from(expected.ct_eq(given)) { Ok(()) } else { Err(refused("wrong secret")) }
+fn verify(expected: &Proof, given: &Proof) -> Result<(), Coded> {
+    if bool::from(expected.ct_eq(given)) { Ok(()) } else { Err(auth_error("wrong secret")) }
 }
 
 /// The accepting end.
@@ -52,18 +52,18 @@
 /// `PeerUnauthenticated`; the connection is then closed without another byte.
 pub async fn accept(stream: &mut TcpStream, secret: &str) -> Result<(), Coded> {
     let own = fresh_nonce();
-    stream.write_all(&own).await.map_err(refused)?;
+    stream.write_all(&own).await.map_err(auth_error)?;
     let mut magic = [0; MAGIC.len()];
-    stream.read_exact(&mut magic).await.map_err(refused)?;
+    stream.read_exact(&mut magic).await.map_err(auth_error)?;
     if magic != MAGIC {
-        return Err(refused("another protocol or version"));
+        return Err(auth_error("another protocol or version"));
     }
     let mut theirs = [0; NONCE_BYTES];
-    stream.read_exact(&mut theirs).await.map_err(refused)?;
+    stream.read_exact(&mut theirs).await.map_err(auth_error)?;
     let mut given = [0; PROOF_BYTES];
-    stream.read_exact(&mut given).await.map_err(refused)?;
-    check(&proof(secret, "connect", &own, &theirs), &given)?;
-    stream.write_all(&proof(secret, "accept", &theirs, &own)).await.map_err(refused)
+    stream.read_exact(&mut given).await.map_err(auth_error)?;
+    verify(&proof(secret, "connect", &own, &theirs), &given)?;
+    stream.write_all(&proof(secret, "accept", &theirs, &own)).await.map_err(auth_error)
 }
 
 /// The connecting end.
@@ -72,14 +72,14 @@
 /// `PeerUnauthenticated` when either end does not know the secret.
 pub async fn connect(stream: &mut TcpStream, secret: &str) -> Result<(), Coded> {
     let mut theirs = [0; NONCE_BYTES];
-    stream.read_exact(&mut theirs).await.map_err(refused)?;
+    stream.read_exact(&mut theirs).await.map_err(auth_error)?;
     let own = fresh_nonce();
     let mut hello = Vec::with_capacity(MAGIC.len() + NONCE_BYTES + PROOF_BYTES);
     hello.extend_from_slice(&MAGIC);
     hello.extend_from_slice(&own);
     hello.extend_from_slice(&proof(secret, "connect", &theirs, &own));
-    stream.write_all(&hello).await.map_err(refused)?;
+    stream.write_all(&hello).await.map_err(auth_error)?;
     let mut given = [0; PROOF_BYTES];
-    stream.read_exact(&mut given).await.map_err(refused)?;
-    check(&proof(secret, "accept", &own, &theirs), &given)
+    stream.read_exact(&mut given).await.map_err(auth_error)?;
+    verify(&proof(secret, "accept", &own, &theirs), &given)
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -61,7 +61,7 @@
 
 /// The bytes of a message as they were before compression, up to one more than may be there: a
 /// forged one that would grow without end is cut.
-fn expand(compressed: &[u8]) -> Result<Vec<u8>, Coded> {
+fn decompress(compressed: &[u8]) -> Result<Vec<u8>, Coded> {
     let mut plain = Vec::new();
     let mut bounded = DeflateDecoder::new(compressed).take(FRAME_MAX_BYTES as u64 + 1);
     let read = bounded.read_to_end(&mut plain);
@@ -78,7 +78,7 @@
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Coded> {
     match bytes.split_first() {
         Some((&PLAIN, plain)) => decode_plain(plain),
-        Some((&COMPRESSED, compressed)) => decode_plain(&expand(compressed)?),
+        Some((&COMPRESSED, compressed)) => decode_plain(&decompress(compressed)?),
         _ => Err(Coded::new(Code::PeerFrame, "neither plain nor compressed")),
     }
 }
@@ -97,24 +97,24 @@
 }
 
 /// Bytes of rows in one message; far below the limit, which the rest of a message needs too.
-const PART_MAX_BYTES: usize = 1 << 20;
+const ROWS_MAX_BYTES: usize = 1 << 20;
 
 /// Splits rows so that each part fits a message. A row that fits none is in no part; the caller
 /// keeps rows below that size.
 #[must_use]
-pub fn parts<T: Serialize + Clone>(rows: &[T]) -> Vec<Vec<T>> {
+pub fn split_rows<T: Serialize + Clone>(rows: &[T]) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
-    let mut room = 0;
+    let mut free_bytes = 0;
     for row in rows {
         let size = encode_value(row, 0).len();
-        if size > PART_MAX_BYTES {
+        if size > ROWS_MAX_BYTES {
             continue;
         }
-        if size > room {
+        if size > free_bytes {
             parts.push(Vec::new());
-            room = PART_MAX_BYTES;
+            free_bytes = ROWS_MAX_BYTES;
         }
-        room -= size;
+        free_bytes -= size;
         if let Some(part) = parts.last_mut() {
             part.push(row.clone());
         }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -16,10 +16,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
 
-use super::PassHead;
-use super::PassReply;
+use super::ForwardHead;
+use super::ForwardReply;
+use super::ForwardReplyHead;
 use super::PeerReply;
-use super::ReplyHead;
 use super::auth;
 use super::decode;
 use super::encode;
@@ -28,7 +28,7 @@
 use crate::errors::Code;
 
 /// Length prefix of a message that is followed by a body.
-const PREFIX_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 const WINDOW_BYTES: u32 = 1 << 20;
 
 /// Why a peer's answer is missing.
@@ -37,14 +37,14 @@
     /// No byte of the message left this instance.
     NotSent,
     /// The message was handed over, its answer did not come.
-    Lost,
+    ResponseLost,
     /// The peer answered that it does not serve this message.
     Refused(u16),
 }
 
 /// Calls without an answer in a row after which the connection is given up: connections go silent
 /// without being closed, and a new one to the same peer works.
-const UNANSWERED_MAX: u32 = 2;
+const TIMEOUTS_MAX: u32 = 2;
 
 /// A link to one peer address.
 #[derive(Debug)]
@@ -52,12 +52,12 @@
     address: SocketAddr,
     sender: Mutex<Option<SendRequest<Bytes>>>,
     /// Calls without an answer in a row.
-    unanswered: AtomicU32,
+    consecutive_timeouts: AtomicU32,
     /// When the last call began.
-    used_us: AtomicU64,
+    last_used_us: AtomicU64,
 }
 
-async fn open(address: SocketAddr, secret: &str) -> Option<SendRequest<Bytes>> {
+async fn connect(address: SocketAddr, secret: &str) -> Option<SendRequest<Bytes>> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
     auth::connect(&mut stream, secret).await.ok()?;
@@ -76,22 +76,22 @@
         Self {
             address,
             sender: Mutex::const_new(None),
-            unanswered: AtomicU32::new(0),
-            used_us: AtomicU64::new(now_us()),
+            consecutive_timeouts: AtomicU32::new(0),
+            last_used_us: AtomicU64::new(now_us()),
         }
     }
 
     /// Time since the last call began.
-    pub(super) fn idle(&self) -> Duration {
-        Duration::from_micros(now_us().saturating_sub(self.used_us.load(Ordering::Relaxed)))
+    pub(super) fn idle_time(&self) -> Duration {
+        Duration::from_micros(now_us().saturating_sub(self.last_used_us.load(Ordering::Relaxed)))
     }
 
     /// Takes note of a call that was not answered in time.
-    fn note_unanswered(&self) {
-        if self.unanswered.fetch_add(1, Ordering::AcqRel) + 1 < UNANSWERED_MAX {
+    fn record_timeout(&self) {
+        if self.consecutive_timeouts.fetch_add(1, Ordering::AcqRel) + 1 < TIMEOUTS_MAX {
             return;
         }
-        self.unanswered.store(0, Ordering::Release);
+        self.consecutive_timeouts.store(0, Ordering::Release);
         // Whoever holds it opens a new connection already.
         if let Ok(mut sender) = self.sender.try_lock() {
             sender.take();
@@ -106,14 +106,14 @@
             *held = Some(ready.clone());
             return Ok(ready);
         }
-        let sender = open(self.address, secret).await.ok_or(PeerError::NotSent)?;
+        let sender = connect(self.address, secret).await.ok_or(PeerError::NotSent)?;
         let ready = sender.ready().await.map_err(|_| PeerError::NotSent)?;
         *held = Some(ready.clone());
         Ok(ready)
     }
 
     /// Sends bytes on a new stream and returns the answer's body once its head is there.
-    async fn exchange(
+    async fn send_request(
         &self,
         secret: &str,
         path: &str,
@@ -126,8 +126,8 @@
         let request = request.map_err(|_| PeerError::NotSent)?;
         let sent = sender.send_request(request, false);
         let (response, mut stream) = sent.map_err(|_| PeerError::NotSent)?;
-        stream.send_data(body, true).map_err(|_| PeerError::Lost)?;
-        let response = response.await.map_err(|_| PeerError::Lost)?;
+        stream.send_data(body, true).map_err(|_| PeerError::ResponseLost)?;
+        let response = response.await.map_err(|_| PeerError::ResponseLost)?;
         if response.status() != StatusCode::OK {
             return Err(PeerError::Refused(Code::PeerFrame.number()));
         }
@@ -142,44 +142,45 @@
         within: Duration,
     ) -> Result<PeerReply, PeerError> {
         let exchange = async {
-            let mut answer = self.exchange(secret, "/control", request, within).await?;
-            let bytes = read_all(&mut answer).await.ok_or(PeerError::Lost)?;
-            decode::<PeerReply>(&bytes).map_err(|_| PeerError::Lost)
+            let mut answer = self.send_request(secret, "/control", request, within).await?;
+            let bytes = read_message(&mut answer).await.ok_or(PeerError::ResponseLost)?;
+            decode::<PeerReply>(&bytes).map_err(|_| PeerError::ResponseLost)
         };
-        self.used_us.store(now_us(), Ordering::Relaxed);
+        self.last_used_us.store(now_us(), Ordering::Relaxed);
         let Ok(done) = tokio::time::timeout(within, exchange).await else {
-            self.note_unanswered();
-            return Err(PeerError::Lost);
+            self.record_timeout();
+            return Err(PeerError::ResponseLost);
         };
-        self.unanswered.store(0, Ordering::Release);
+        self.consecutive_timeouts.store(0, Ordering::Release);
         match done {
             Ok(PeerReply::Failed(code)) => Err(PeerError::Refused(code)),
             done => done,
         }
     }
 
-    pub(super) async fn pass(
+    pub(super) async fn forward(
         &self,
         secret: &str,
-        head: &PassHead,
+        head: &ForwardHead,
         body: &Bytes,
         open_within: Duration,
-    ) -> Result<PassReply, PeerError> {
-        self.used_us.store(now_us(), Ordering::Relaxed);
+    ) -> Result<ForwardReply, PeerError> {
+        self.last_used_us.store(now_us(), Ordering::Relaxed);
         let encoded = encode(head);
-        let mut frame = BytesMut::with_capacity(PREFIX_BYTES + encoded.len() + body.len());
-        frame.extend_from_slice(&prefix(encoded.len()));
+        let mut frame = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + encoded.len() + body.len());
+        frame.extend_from_slice(&length_prefix(encoded.len()));
         frame.extend_from_slice(&encoded);
         frame.extend_from_slice(body);
-        let mut rest = self.exchange(secret, "/pass", frame.freeze(), open_within).await?;
-        let (head, first) = read_head::<ReplyHead>(&mut rest).await.ok_or(PeerError::Lost)?;
-        Ok(PassReply { head, first, rest })
+        let mut rest = self.send_request(secret, "/pass", frame.freeze(), open_within).await?;
+        let (head, first) =
+            read_prefixed::<ForwardReplyHead>(&mut rest).await.ok_or(PeerError::ResponseLost)?;
+        Ok(ForwardReply { head, first, rest })
     }
 }
 
 /// The length prefix of a message of `len` bytes.
 #[expect(clippy::cast_possible_truncation, reason = "messages are at most 4 MiB")]
-pub(super) const fn prefix(len: usize) -> [u8; PREFIX_BYTES] {
+pub(super) const fn length_prefix(len: usize) -> [u8; LENGTH_PREFIX_BYTES] {
     (len as u32).to_be_bytes()
 }
 
@@ -193,7 +194,7 @@
 }
 
 /// A whole control message; `None` when it is cut short or too large.
-pub(super) async fn read_all(stream: &mut RecvStream) -> Option<Bytes> {
+pub(super) async fn read_message(stream: &mut RecvStream) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
     while let Some(chunk) = read_chunk(stream).await {
         bytes.extend_from_slice(&chunk.ok()?);
@@ -205,18 +206,18 @@
 }
 
 /// A length-prefixed message and the bytes that came behind it.
-pub(super) async fn read_head<T: serde::de::DeserializeOwned>(
+pub(super) async fn read_prefixed<T: serde::de::DeserializeOwned>(
     stream: &mut RecvStream,
 ) -> Option<(T, Bytes)> {
     let mut bytes = BytesMut::new();
     loop {
-        if let Some(len) = bytes.first_chunk::<PREFIX_BYTES>() {
+        if let Some(len) = bytes.first_chunk::<LENGTH_PREFIX_BYTES>() {
             let len = u32::from_be_bytes(*len) as usize;
             if len > FRAME_MAX_BYTES {
                 return None;
             }
-            if bytes.len() >= PREFIX_BYTES + len {
-                bytes.advance(PREFIX_BYTES);
+            if bytes.len() >= LENGTH_PREFIX_BYTES + len {
+                bytes.advance(LENGTH_PREFIX_BYTES);
                 let head = bytes.split_to(len);
                 return Some((decode(&head).ok()?, bytes.freeze()));
             }
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -10,9 +10,9 @@
 use bytes::Bytes;
 use parking_lot::Mutex;
 
-use super::PassHead;
-use super::PassReply;
-use super::PeerCalls;
+use super::ForwardHead;
+use super::ForwardReply;
+use super::PeerClient;
 use super::PeerError;
 use super::PeerReply;
 use super::PeerRequest;
@@ -20,10 +20,10 @@
 use super::link::Link;
 
 /// A peer that cannot be connected within this counts as unreachable.
-const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Members are pinged in turn, those of 500 instances every 2.3 s: links that are used go on.
 const IDLE_MAX: Duration = Duration::from_secs(5);
-const SECRET_ALONE: &str = "alone";
+const DEFAULT_SECRET: &str = "alone";
 
 /// Opens links on demand and shares them; clones share.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     /// Links that prove themselves by `secret`.
     #[must_use]
     pub fn new(secret: &str) -> Self {
-        let secret = if secret.is_empty() { SECRET_ALONE } else { secret };
+        let secret = if secret.is_empty() { DEFAULT_SECRET } else { secret };
         Self { secret: secret.into(), by_address: Arc::default(), control_bytes: Arc::default() }
     }
 
@@ -63,17 +63,17 @@
     ///
     /// # Errors
     /// Tells whether the request may have arrived.
-    pub async fn pass(
+    pub async fn forward(
         &self,
         address: SocketAddr,
-        head: &PassHead,
+        head: &ForwardHead,
         body: &Bytes,
-    ) -> Result<PassReply, PeerError> {
-        self.link(address).pass(&self.secret, head, body, OPEN_TIMEOUT).await
+    ) -> Result<ForwardReply, PeerError> {
+        self.link(address).forward(&self.secret, head, body, CONNECT_TIMEOUT).await
     }
 }
 
-impl PeerCalls for Links {
+impl PeerClient for Links {
     async fn call(
         &self,
         address: SocketAddr,
@@ -87,10 +87,10 @@
 
     /// Each link holds some 30 KB on both ends.
     fn close_idle(&self) {
-        self.by_address.lock().retain(|_, link| link.idle() < IDLE_MAX);
+        self.by_address.lock().retain(|_, link| link.idle_time() < IDLE_MAX);
     }
 
-    fn forget(&self, address: SocketAddr) {
+    fn drop_link(&self, address: SocketAddr) {
         self.by_address.lock().remove(&address);
     }
 }
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -17,17 +17,17 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-use super::PassHead;
+use super::ForwardHead;
+use super::ForwardReplyHead;
 use super::PeerReply;
 use super::PeerRequest;
-use super::ReplyHead;
 use super::auth;
 use super::decode;
 use super::encode;
-use super::link::prefix;
-use super::link::read_all;
+use super::link::length_prefix;
 use super::link::read_chunk;
-use super::link::read_head;
+use super::link::read_message;
+use super::link::read_prefixed;
 use crate::route::AnswerBody;
 use crate::task::TaskGuard;
 
@@ -42,17 +42,17 @@
     fn control(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
 
     /// Runs a passed request.
-    fn pass(
+    fn forward(
         &self,
-        head: PassHead,
+        head: ForwardHead,
         body: Bytes,
-    ) -> impl Future<Output = (ReplyHead, AnswerBody)> + Send;
+    ) -> impl Future<Output = (ForwardReplyHead, AnswerBody)> + Send;
 
     /// Most bytes that the body of a passed request may have.
     fn body_limit_bytes(&self) -> usize;
 
     /// Takes note of a connection that was refused.
-    fn refused(&self, from: SocketAddr, why: &str);
+    fn connection_refused(&self, from: SocketAddr, why: &str);
 }
 
 /// A listener that runs until it is dropped; connections accepted go on.
@@ -77,7 +77,7 @@
             continue;
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            service.refused(from, "too many connections");
+            service.connection_refused(from, "too many connections");
             continue;
         };
         let secret = Arc::clone(&secret);
@@ -99,8 +99,8 @@
     let proved = tokio::time::timeout(AUTH_TIMEOUT, auth::accept(&mut stream, secret)).await;
     match proved {
         Ok(Ok(())) => {}
-        Ok(Err(err)) => return service.refused(from, &err.to_string()),
-        Err(_) => return service.refused(from, "no proof in time"),
+        Ok(Err(err)) => return service.connection_refused(from, &err.to_string()),
+        Err(_) => return service.connection_refused(from, "no proof in time"),
     }
     let mut builder = h2::server::Builder::new();
     builder.initial_window_size(WINDOW_BYTES).initial_connection_window_size(4 * WINDOW_BYTES);
@@ -122,7 +122,7 @@
     let mut body = request.into_body();
     let served = match path.as_str() {
         "/control" => serve_control(&mut body, &mut respond, &service).await,
-        "/pass" => serve_pass(body, &mut respond, &service).await,
+        "/pass" => serve_forward(body, &mut respond, &service).await,
         _ => None,
     };
     if served.is_none() {
@@ -142,19 +142,19 @@
     respond: &mut SendResponse<Bytes>,
     service: &S,
 ) -> Option<()> {
-    let bytes = read_all(body).await?;
+    let bytes = read_message(body).await?;
     let request: PeerRequest = decode(&bytes).ok()?;
     let reply = service.control(request).await;
     let mut stream = send_ok(respond)?;
     stream.send_data(Bytes::from(encode(&reply)), true).ok()
 }
 
-async fn serve_pass<S: PeerService>(
+async fn serve_forward<S: PeerService>(
     mut body: RecvStream,
     respond: &mut SendResponse<Bytes>,
     service: &S,
 ) -> Option<()> {
-    let (head, first): (PassHead, Bytes) = read_head(&mut body).await?;
+    let (head, first): (ForwardHead, Bytes) = read_prefixed(&mut body).await?;
     let mut whole = BytesMut::from(first);
     while let Some(chunk) = read_chunk(&mut body).await {
         whole.extend_from_slice(&chunk.ok()?);
@@ -164,7 +164,7 @@
     }
     // When the passing instance resets the stream, its caller has left or another attempt
     // answered first; dropping the work frees the slot.
-    let work = service.pass(head, whole.freeze());
+    let work = service.forward(head, whole.freeze());
     let (head, body) = tokio::select! {
         done = work => done,
         _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return Some(()),
@@ -172,7 +172,7 @@
     let mut stream = send_ok(respond)?;
     let encoded = encode(&head);
     let mut frame = BytesMut::with_capacity(4 + encoded.len());
-    frame.extend_from_slice(&prefix(encoded.len()));
+    frame.extend_from_slice(&length_prefix(encoded.len()));
     frame.extend_from_slice(&encoded);
     stream.send_data(frame.freeze(), false).ok()?;
     send_body(&mut stream, body).await;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -20,8 +20,8 @@
 pub struct LoadNote {
     pub service: String,
     pub from: u64,
-    pub free: u32,
-    pub waiting: u32,
+    pub free_slots: u32,
+    pub queued: u32,
 }
 
 /// A home asks another instance for its share of measuring budgets.
@@ -36,10 +36,10 @@
 pub struct ServerLoadRow {
     /// Hash of the server's id and start; two of some thousand servers share one less than once in
     /// a million, and then only look fuller than they are.
-    pub server: u32,
+    pub server_hash: u32,
     pub in_flight: u16,
     /// How long work takes there now, 100 as usual; 0 where the sender does not know it.
-    pub pace_percent: u16,
+    pub slowdown_percent: u16,
 }
 
 /// What changed in the loads of one instance since it was last heard.
@@ -80,7 +80,7 @@
 
 /// The answer to a question for a part of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FeedTold {
+pub struct FeedResponse {
     pub reply: FeedReply,
     /// How long ago the answering instance was last certain that nothing is missing.
     pub age_ms: u64,
@@ -97,7 +97,7 @@
 pub enum PeerRequest {
     Member(MemberRequest),
     /// Asks for a ping of another instance, which the sender could not reach.
-    PingFor {
+    IndirectPing {
         target: SocketAddr,
     },
     /// Asks for the summary of the configuration unless it has this digest.
@@ -110,13 +110,13 @@
     Fetch(Vec<String>),
     Load(LoadNote),
     /// A backend server that was seen leaving (`true`) or seen back (`false`).
-    Leaving {
+    ServerLeaving {
         service: String,
         server: String,
         leaving: bool,
     },
     /// Backend servers that the platform lists as leaving, all of them.
-    Listed(Vec<SocketAddr>),
+    ServersLeaving(Vec<SocketAddr>),
     Grant(GrantRequest),
     ServerLoads(ServerLoads),
     /// Asks for what changed after a revision; held for up to `hold_ms` while nothing did.
@@ -128,13 +128,13 @@
     /// Requests under which servers ended; the other answers with those of them that it knows
     /// otherwise, and where these are `all` that the sender knows, with any others too.
     Suspects {
-        rows: Vec<SuspectRecord>,
-        all: bool,
+        records: Vec<SuspectRecord>,
+        complete: bool,
     },
     /// Asks for tokens of a workspace's quota, in thousandths.
     QuotaTokens {
         workspace: String,
-        wanted_milli: u32,
+        wanted_millitokens: u32,
     },
     /// Outcomes of an instance that stops; the receiver answers for its keys from now on.
     HandOver {
@@ -151,15 +151,15 @@
     Ack {
         stamp: u64,
         /// Of what the answering instance believes of all members.
-        summary: u64,
+        digest_hash: u64,
         /// Of the requests under which servers ended.
-        suspects: u64,
-        rumours: Vec<MemberRow>,
+        suspects_digest: u64,
+        gossip: Vec<MemberRow>,
     },
     /// The parts of the members in which the digests differ, and the fingerprints of what the
     /// answering instance believes there.
     Differing {
-        parts: Vec<usize>,
+        buckets: Vec<usize>,
         fingerprints: Vec<u32>,
     },
     Reached(bool),
@@ -170,8 +170,8 @@
     /// Probes a second granted for each service asked, for the asker's `grant_ms` from asking.
     Granted(Vec<u32>),
     /// Slots that the answering home has free.
-    Free(u32),
-    Feed(FeedTold),
+    FreeSlots(u32),
+    Feed(FeedResponse),
     /// Tokens that the answering instance has given away, in thousandths.
     QuotaTokens(u32),
     /// The request was not served; a result code.
--- a/src/peer/pass.rs
+++ b/src/peer/pass.rs
@@ -25,7 +25,7 @@
 
 /// A passed request without its body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassHead {
+pub struct ForwardHead {
     pub service: String,
     /// Of the request as its caller sent it.
     pub fingerprints: Fingerprints,
@@ -38,12 +38,12 @@
     pub idempotent: bool,
     pub stage: Stage,
     /// Time until the deadline; a length, as clocks differ.
-    pub left_us: u64,
+    pub remaining_us: u64,
 }
 
 /// The first part of the answer to a passed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplyHead {
+pub struct ForwardReplyHead {
     pub outcome: Outcome,
     pub code: u16,
     pub retry_after_ms: u64,
@@ -52,18 +52,18 @@
     /// Length of the body where it is known beforehand.
     pub body_bytes: Option<u64>,
     /// Slots that the answering home has free.
-    pub free: u32,
+    pub free_slots: u32,
 }
 
 /// The answer to a passed request; the body ends with an error when it was cut short.
 #[derive(Debug)]
-pub struct PassReply {
-    pub head: ReplyHead,
+pub struct ForwardReply {
+    pub head: ForwardReplyHead,
     /// Body bytes that came with the head.
     pub first: Bytes,
     pub rest: RecvStream,
 }
 
-impl Message for PassHead {}
+impl Message for ForwardHead {}
 
-impl Message for ReplyHead {}
+impl Message for ForwardReplyHead {}
--- a/src/peer/peer_calls.rs
+++ b/src/peer/peer_calls.rs
@@ -8,7 +8,7 @@
 use super::PeerRequest;
 
 /// Calls to other instances; links do so, and tests with hundreds of instances in one process.
-pub trait PeerCalls: Clone + Send + Sync + 'static {
+pub trait PeerClient: Clone + Send + Sync + 'static {
     /// Sends a control message and waits for its answer.
     ///
     /// # Errors
@@ -24,5 +24,5 @@
     fn close_idle(&self);
 
     /// Drops the link to a peer that is gone.
-    fn forget(&self, address: SocketAddr);
+    fn drop_link(&self, address: SocketAddr);
 }
--- a/src/quarantine/suspect_gossip.rs
+++ b/src/quarantine/suspect_gossip.rs
@@ -6,8 +6,8 @@
 
 use super::SuspectRecord;
 use crate::board::Blackboard;
-use crate::member::told_at_once;
-use crate::peer::PeerCalls;
+use crate::member::announce_targets;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
@@ -18,10 +18,10 @@
 
 /// Sends new records to the instances that callers are directed to, until the process ends. The others
 /// fetch them from an instance that they ping, when the digests differ.
-pub async fn run_suspect_gossip<L: PeerCalls>(board: Arc<Blackboard>, links: L) {
+pub async fn run_suspect_gossip<L: PeerClient>(board: Arc<Blackboard>, links: L) {
     loop {
         let updates = board.quarantine.next_updates().await;
-        for peer in told_at_once(&board) {
+        for peer in announce_targets(&board) {
             let (board, links, updates) = (Arc::clone(&board), links.clone(), updates.clone());
             tokio::spawn(async move { send_records(&board, &links, peer, updates, false).await });
         }
@@ -31,14 +31,14 @@
 
 /// Sends records, and merges those that the peer knows differently. `all` means that they are all that
 /// this instance has.
-async fn send_records<L: PeerCalls>(
+async fn send_records<L: PeerClient>(
     board: &Blackboard,
     links: &L,
     peer: SocketAddr,
     rows: Vec<SuspectRecord>,
     all: bool,
 ) {
-    let request = PeerRequest::Suspects { rows, all };
+    let request = PeerRequest::Suspects { records: rows, complete: all };
     // A lost update is made up for when the digests in a ping differ.
     if let Ok(PeerReply::Suspects(differing)) = links.call(peer, &request, CALL_TIMEOUT).await {
         board.quarantine.merge(&differing);
@@ -46,6 +46,6 @@
 }
 
 /// Exchanges all records with another instance.
-pub async fn exchange_suspects<L: PeerCalls>(board: &Blackboard, links: &L, peer: SocketAddr) {
+pub async fn exchange_suspects<L: PeerClient>(board: &Blackboard, links: &L, peer: SocketAddr) {
     send_records(board, links, peer, board.quarantine.records(), true).await;
 }
--- a/src/route/answer.rs
+++ b/src/route/answer.rs
@@ -26,9 +26,9 @@
 use crate::errors::Code;
 use crate::outcome::RecordedAnswer;
 use crate::outcome::RecordedOutcome;
-use crate::peer::PassReply;
+use crate::peer::ForwardReply;
+use crate::peer::ForwardReplyHead;
 use crate::peer::PeerError;
-use crate::peer::ReplyHead;
 use crate::quarantine::PendingSend;
 
 /// Whether a request ran; the caller reads it in the `sorrelwick-outcome` header.
@@ -312,15 +312,15 @@
     /// The head of this answer for the instance that forwarded the request; `free` is the number
     /// of slots that this instance has free.
     #[must_use]
-    pub fn reply_head(&self, free: u32) -> ReplyHead {
-        ReplyHead {
+    pub fn reply_head(&self, free: u32) -> ForwardReplyHead {
+        ForwardReplyHead {
             outcome: self.outcome,
             code: self.code.number(),
             retry_after_ms: self.retry_after_ms,
             status: self.status.as_u16(),
             headers: fields::end_to_end_headers(&self.headers),
             body_bytes: self.body.size_hint().exact(),
-            free,
+            free_slots: free,
         }
     }
 
@@ -329,15 +329,16 @@
     ///
     /// # Errors
     /// `Lost` if the body is cut short while it is buffered.
-    pub async fn from_peer(reply: PassReply, buffer_bytes: usize) -> Result<Self, PeerError> {
+    pub async fn from_peer(reply: ForwardReply, buffer_bytes: usize) -> Result<Self, PeerError> {
         let head = reply.head;
         let small = head.body_bytes.filter(|bytes| *bytes <= buffer_bytes as u64);
         let streamed = AnswerBody::Peer { first: reply.first, rest: reply.rest };
         let body = match small {
             Some(expected) => {
-                let buffered = streamed.collect().await.map_err(|_| PeerError::Lost)?.to_bytes();
+                let buffered =
+                    streamed.collect().await.map_err(|_| PeerError::ResponseLost)?.to_bytes();
                 if buffered.len() as u64 != expected {
-                    return Err(PeerError::Lost);
+                    return Err(PeerError::ResponseLost);
                 }
                 AnswerBody::Buffered(buffered)
             }
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -100,7 +100,7 @@
     if request.uri().path() == fields::ADDRESSES_PATH {
         return answer_addresses(router, &request);
     }
-    let in_flight = router.board.in_flight();
+    let in_flight = router.board.start_request();
     let answer = match read_request(router, request).await {
         Ok(proxy_request) => router.handle(proxy_request).await,
         Err(answer) => answer,
@@ -222,7 +222,7 @@
         let placement = Placement::decide(&state.spec, &view.rows, board.incarnation, zone);
         listed.extend(placement.homes);
     }
-    let others = view.rows.iter().filter(|row| row.state.takes_work());
+    let others = view.rows.iter().filter(|row| row.state.accepts_work());
     let mut others: Vec<&Arc<MemberRow>> = others.collect();
     others.sort_by_key(|row| (row.zone != zone, row.incarnation ^ board.incarnation));
     for row in others {
@@ -236,7 +236,7 @@
 
 fn address_entry(router: &Router, row: &MemberRow) -> AddressEntry {
     let board = &router.board;
-    let started_ms = board.members.lock().born_ms(row.incarnation).unwrap_or_else(now_ms);
+    let started_ms = board.members.lock().started_ms(row.incarnation).unwrap_or_else(now_ms);
     let epoch = board.outcomes.epoch_since(started_ms, now_ms());
     let prefix = KeyPrefix { incarnation: row.incarnation, epoch };
     AddressEntry {
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -76,7 +76,7 @@
             return owner_unreachable();
         }
         let view = self.board.members_view();
-        let Some(owner) = view.answering_for(incarnation) else {
+        let Some(owner) = view.owner_for(incarnation) else {
             self.board.counters.add(Counter::OwnerUnreachable);
             return owner_unreachable();
         };
@@ -124,7 +124,7 @@
         let state = Arc::clone(state);
         let (sender, receiver) = oneshot::channel();
         // Counted separately, so that a planned stop waits for it even if its caller has left.
-        let in_flight = self.board.in_flight();
+        let in_flight = self.board.start_request();
         tokio::spawn(async move {
             let answer = router.run(&state, &proxy_request).await;
             match answer.to_record() {
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -31,7 +31,7 @@
     #[must_use]
     pub fn decide(service: &Service, members: &[Arc<MemberRow>], own: u64, zone: &str) -> Self {
         let available: Vec<&Arc<MemberRow>> =
-            members.iter().filter(|row| row.state.takes_work()).collect();
+            members.iter().filter(|row| row.state.accepts_work()).collect();
         let candidates: Vec<HomeCandidate<'_>> = available
             .iter()
             .map(|row| HomeCandidate { incarnation: row.incarnation, zone: &row.zone })
@@ -84,7 +84,7 @@
         || ServiceRuntime::new(board.settings.requests.queue_max, board.incarnation),
         |state| state.runtime.clone(),
     );
-    let serving_instances = u32::try_from(members.serving()).unwrap_or(u32::MAX);
+    let serving_instances = u32::try_from(members.running_count()).unwrap_or(u32::MAX);
     runtime.slot_queue.apply(&spec, &placement.is_keeper, serving_instances);
     let is_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
     ServiceState { revision, spec: Arc::new(spec), homes: placement.homes, is_home, runtime }
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -8,7 +8,7 @@
 use super::fields;
 use crate::clock::now_us;
 use crate::outcome::IdempotencyKey;
-use crate::peer::PassHead;
+use crate::peer::ForwardHead;
 use crate::peer::Stage;
 use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
@@ -67,8 +67,8 @@
 
     /// The head of this request for forwarding to another instance.
     #[must_use]
-    pub fn pass_head(&self, stage: Stage) -> PassHead {
-        PassHead {
+    pub fn pass_head(&self, stage: Stage) -> ForwardHead {
+        ForwardHead {
             service: self.service.clone(),
             fingerprints: self.fingerprints,
             method: self.method.clone(),
@@ -77,13 +77,13 @@
             key: self.key.as_ref().map(|key| key.text.clone()),
             idempotent: self.idempotent,
             stage,
-            left_us: self.remaining_us(),
+            remaining_us: self.remaining_us(),
         }
     }
 
     /// A request that another instance forwarded here.
     #[must_use]
-    pub fn from_peer(head: PassHead, body: Bytes) -> Self {
+    pub fn from_peer(head: ForwardHead, body: Bytes) -> Self {
         let key = head.key.as_deref().and_then(|text| IdempotencyKey::parse(text).ok());
         Self {
             service: head.service,
@@ -95,7 +95,7 @@
             key,
             idempotent: head.idempotent,
             stage: head.stage,
-            deadline_us: now_us().saturating_add(head.left_us),
+            deadline_us: now_us().saturating_add(head.remaining_us),
         }
     }
 }
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -12,7 +12,7 @@
 use crate::clock::now_ms;
 use crate::member::MemberRow;
 use crate::peer::LoadNote;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
@@ -52,9 +52,14 @@
 /// Sends the load of this instance to a co-home and records the free slots in its reply.
 async fn send_load(router: Router, name: String, home: MemberRow, free: u32, waiting: u32) {
     let from = router.board.incarnation;
-    let note = PeerRequest::Load(LoadNote { service: name.clone(), from, free, waiting });
+    let note = PeerRequest::Load(LoadNote {
+        service: name.clone(),
+        from,
+        free_slots: free,
+        queued: waiting,
+    });
     let reply = router.links.call(home.peer, &note, SEND_TIMEOUT).await;
-    if let Ok(PeerReply::Free(free)) = reply
+    if let Ok(PeerReply::FreeSlots(free)) = reply
         && let Some(state) = router.board.services().get(&name)
     {
         state.runtime.record_free_slots(home.incarnation, free);
@@ -85,13 +90,13 @@
 #[must_use]
 pub fn handle_load_note(board: &Blackboard, state: &ServiceState, note: &LoadNote) -> u32 {
     let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
-    if note.waiting > 0 {
+    if note.queued > 0 {
         state.runtime.record_queue(note.from);
         board.queue_formed.notify_one();
     }
-    state.runtime.record_free_slots(note.from, note.free);
+    state.runtime.record_free_slots(note.from, note.free_slots);
     if waiting > 0 {
-        state.runtime.slot_queue.redirect_waiters(note.free);
+        state.runtime.slot_queue.redirect_waiters(note.free_slots);
     }
     free
 }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -68,7 +68,7 @@
         let router = self.clone();
         let state = Arc::clone(state);
         // Counted separately, so that a planned stop waits for it even if its caller has left.
-        let in_flight = self.board.in_flight();
+        let in_flight = self.board.start_request();
         let work = tokio::spawn(async move {
             let answer = router.run(&state, &proxy_request).await;
             drop(in_flight);
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -27,7 +27,7 @@
 use crate::decide::may_retry;
 use crate::errors::Code;
 use crate::member::MemberRow;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerError;
 use crate::peer::PeerRequest;
 use crate::peer::Stage;
@@ -118,7 +118,7 @@
                 // That home does not know the service yet; another one may.
                 Ok(answer) if answer.code == Code::UnknownService => {}
                 Ok(answer) => return answer.after_earlier_attempts(may_have_run),
-                Err(PeerError::Lost) => {
+                Err(PeerError::ResponseLost) => {
                     self.board.counters.add(Counter::PeerLost);
                     if !proxy_request.idempotent {
                         return Answer::unknown(Code::PeerLost);
@@ -142,15 +142,16 @@
         let within = Duration::from_micros(proxy_request.remaining_us()) + FORWARD_GRACE;
         let buffer_bytes = self.board.settings.requests.answer_buffer_bytes;
         let forwarded = async {
-            let reply = self.links.pass(to.peer, &head, &proxy_request.body).await?;
+            let reply = self.links.forward(to.peer, &head, &proxy_request.body).await?;
             if let Some(state) = self.board.services().get(&proxy_request.service) {
-                state.runtime.record_free_slots(to.incarnation, reply.head.free);
-                state.runtime.slot_queue.redirect_waiters(reply.head.free);
+                state.runtime.record_free_slots(to.incarnation, reply.head.free_slots);
+                state.runtime.slot_queue.redirect_waiters(reply.head.free_slots);
             }
             Answer::from_peer(reply, buffer_bytes).await
         };
-        let answer =
-            tokio::time::timeout(within, forwarded).await.map_err(|_| PeerError::Lost)??;
+        let answer = tokio::time::timeout(within, forwarded)
+            .await
+            .map_err(|_| PeerError::ResponseLost)??;
         self.board.counters.add(Counter::Passed);
         Ok(answer)
     }
@@ -171,7 +172,7 @@
                 Target::CoHome(home) => {
                     match self.forward(&home, proxy_request, Stage::Spill).await {
                         Ok(answer) => answer,
-                        Err(PeerError::Lost) => Answer::unknown(Code::PeerLost),
+                        Err(PeerError::ResponseLost) => Answer::unknown(Code::PeerLost),
                         Err(_) => Answer::not_run(Code::PeerLost, DEFAULT_RETRY_AFTER_MS),
                     }
                 }
@@ -370,15 +371,17 @@
             return;
         }
         let service = state.spec.name.clone();
-        self.board
-            .note(EventKind::ServerLeaving { service: service.clone(), server: server.into() });
+        self.board.record_event(EventKind::ServerLeaving {
+            service: service.clone(),
+            server: server.into(),
+        });
         self.notify_co_homes(state, server, true);
     }
 
     /// Notifies the co-homes that a server is leaving or back.
     pub fn notify_co_homes(&self, state: &ServiceState, server: &str, leaving: bool) {
         let service = state.spec.name.clone();
-        let request = PeerRequest::Leaving { service, server: server.into(), leaving };
+        let request = PeerRequest::ServerLeaving { service, server: server.into(), leaving };
         for home in state.homes.iter().filter(|home| home.incarnation != self.board.incarnation) {
             let links = self.links.clone();
             let address = home.peer;
--- a/src/store/any_store.rs
+++ b/src/store/any_store.rs
@@ -5,10 +5,10 @@
 use super::ConsulStore;
 use super::Entry;
 use super::Lease;
-use super::Listed;
 use super::Listing;
 use super::MemoryStore;
 use super::Roster;
+use super::RosterEntry;
 use super::Store;
 use super::StoreError;
 use crate::conf::PlatformSettings;
@@ -71,11 +71,11 @@
 }
 
 impl Roster for AnyStore {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
         each!(self, store => store.instances())
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         each!(self, store => store.backend_servers())
     }
 }
--- a/src/store/consul_store.rs
+++ b/src/store/consul_store.rs
@@ -12,9 +12,9 @@
 use super::Entry;
 use super::HttpClient;
 use super::Lease;
-use super::Listed;
 use super::Listing;
 use super::Roster;
+use super::RosterEntry;
 use super::Store;
 use super::StoreError;
 use crate::conf::PlatformSettings;
@@ -71,12 +71,12 @@
     body: Bytes,
 }
 
-fn lost(why: impl std::fmt::Display) -> StoreError {
-    StoreError::AnswerLost(why.to_string())
+fn response_lost(why: impl std::fmt::Display) -> StoreError {
+    StoreError::ResponseLost(why.to_string())
 }
 
 fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, StoreError> {
-    serde_json::from_slice(&reply.body).map_err(lost)
+    serde_json::from_slice(&reply.body).map_err(response_lost)
 }
 
 fn expect_ok(reply: Reply) -> Result<Reply, StoreError> {
@@ -89,7 +89,7 @@
     if reply.status.is_client_error() {
         return Err(StoreError::Refused(format!("{}: {text}", reply.status)));
     }
-    Err(StoreError::AnswerLost(format!("{}: {text}", reply.status)))
+    Err(StoreError::ResponseLost(format!("{}: {text}", reply.status)))
 }
 
 impl ConsulStore {
@@ -113,18 +113,18 @@
         Ok(Reply { status: reply.status, index, body: reply.body })
     }
 
-    async fn put_flag(&self, path: &str, value: &[u8]) -> Result<bool, StoreError> {
+    async fn put_returning_bool(&self, path: &str, value: &[u8]) -> Result<bool, StoreError> {
         let reply = self.call("PUT", path, value, Duration::ZERO).await?;
         Ok(expect_ok(reply)?.body.trim_ascii() == b"true")
     }
 
-    async fn list(&self, name: &str) -> Result<Vec<Listed>, StoreError> {
+    async fn list(&self, name: &str) -> Result<Vec<RosterEntry>, StoreError> {
         let path = format!("/v1/catalog/service/{name}");
         let reply = expect_ok(self.call("GET", &path, &[], Duration::ZERO).await?)?;
         let rows: Vec<CatalogRow> = parse(&reply)?;
         let listed = rows.into_iter().filter_map(|row| {
             let ip = row.address.parse().ok()?;
-            Some(Listed {
+            Some(RosterEntry {
                 id: row.id,
                 address: SocketAddr::new(ip, row.port),
                 zone: row.meta.zone,
@@ -142,26 +142,26 @@
     let rows: Vec<KvRow> = parse(reply)?;
     let decode = |row: KvRow| {
         let text = row.value.unwrap_or_default();
-        let value = STANDARD.decode(text).map_err(lost)?;
+        let value = STANDARD.decode(text).map_err(response_lost)?;
         Ok(Entry { key: row.key, value, index: row.modify_index })
     };
     rows.into_iter().map(decode).collect()
 }
 
-fn or_missing(reply: Reply) -> Result<Reply, StoreError> {
+fn ok_or_not_found(reply: Reply) -> Result<Reply, StoreError> {
     if reply.status == StatusCode::NOT_FOUND { Ok(reply) } else { expect_ok(reply) }
 }
 
 impl Store for ConsulStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         let path = format!("/v1/kv/{key}?consistent");
-        let reply = or_missing(self.call("GET", &path, &[], Duration::ZERO).await?)?;
+        let reply = ok_or_not_found(self.call("GET", &path, &[], Duration::ZERO).await?)?;
         Ok(entries(&reply)?.into_iter().next())
     }
 
     async fn watch(&self, prefix: &str, index: u64, wait: Duration) -> Result<Listing, StoreError> {
         let path = format!("/v1/kv/{prefix}?recurse&index={index}&wait={}ms", wait.as_millis());
-        let reply = or_missing(self.call("GET", &path, &[], wait).await?)?;
+        let reply = ok_or_not_found(self.call("GET", &path, &[], wait).await?)?;
         if index > 0 && reply.index == index {
             // The wait is over without a change; reading all entries again would bring nothing.
             return Ok(Listing { index, entries: Vec::new() });
@@ -170,7 +170,7 @@
     }
 
     async fn put_if(&self, key: &str, value: &[u8], index: u64) -> Result<bool, StoreError> {
-        self.put_flag(&format!("/v1/kv/{key}?cas={index}"), value).await
+        self.put_returning_bool(&format!("/v1/kv/{key}?cas={index}"), value).await
     }
 
     async fn lease_open(&self, ttl: Duration) -> Result<Lease, StoreError> {
@@ -188,26 +188,26 @@
 
     async fn lease_renew(&self, lease: &Lease) -> Result<bool, StoreError> {
         let path = format!("/v1/session/renew/{}", lease.0);
-        let reply = or_missing(self.call("PUT", &path, &[], Duration::ZERO).await?)?;
+        let reply = ok_or_not_found(self.call("PUT", &path, &[], Duration::ZERO).await?)?;
         Ok(reply.status != StatusCode::NOT_FOUND)
     }
 
     async fn lease_close(&self, lease: &Lease) -> Result<(), StoreError> {
         let path = format!("/v1/session/destroy/{}", lease.0);
-        self.put_flag(&path, &[]).await.map(|_| ())
+        self.put_returning_bool(&path, &[]).await.map(|_| ())
     }
 
     async fn acquire(&self, key: &str, value: &[u8], lease: &Lease) -> Result<bool, StoreError> {
-        self.put_flag(&format!("/v1/kv/{key}?acquire={}", lease.0), value).await
+        self.put_returning_bool(&format!("/v1/kv/{key}?acquire={}", lease.0), value).await
     }
 }
 
 impl Roster for ConsulStore {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
         self.list(INSTANCES).await
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         self.list(BACKEND_SERVERS).await
     }
 }
--- a/src/store/event_store.rs
+++ b/src/store/event_store.rs
@@ -40,7 +40,7 @@
     /// All that was acknowledged before.
     Latest,
     /// It may be seconds old, and costs a tenth.
-    MaybeOld,
+    Stale,
 }
 
 /// Some of the keys below a prefix, in the order of their names. Pages are not a snapshot.
@@ -55,7 +55,7 @@
 
 /// What a watch brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Events after the revision asked for, and where to go on; none when the wait was over.
     Events { events: Vec<ItemEvent>, revision: u64 },
     /// The store no longer has the events after the revision asked for: read everything again.
@@ -65,7 +65,7 @@
 /// The platform's store as the gateway needs it; each method is one call by the platform's count.
 pub trait EventStore: Clone + Send + Sync + 'static {
     /// Keys below `prefix` that follow after the key `after`.
-    fn page(
+    fn list_page(
         &self,
         prefix: &str,
         after: Option<&str>,
@@ -78,10 +78,10 @@
         prefix: &str,
         revision: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<Watched, StoreError>> + Send;
+    ) -> impl Future<Output = Result<WatchResult, StoreError>> + Send;
 
     /// Whether the store serves this instance at all; the cheapest call that tells.
-    fn alive(&self) -> impl Future<Output = Result<(), StoreError>> + Send;
+    fn check_alive(&self) -> impl Future<Output = Result<(), StoreError>> + Send;
 
     /// Opens a lease that lapses unless it is renewed within `ttl`; returns its number.
     fn open_lease(&self, ttl: Duration) -> impl Future<Output = Result<u64, StoreError>> + Send;
--- a/src/store/http_client.rs
+++ b/src/store/http_client.rs
@@ -20,8 +20,8 @@
 
 use super::StoreError;
 
-const ANSWER_MAX_BYTES: usize = 64 << 20;
-const IDLE_MAX: usize = 4;
+const RESPONSE_MAX_BYTES: usize = 64 << 20;
+const IDLE_CONNS_MAX: usize = 4;
 /// A connection that went silent while a watch waits on it is found by the kernel's probes:
 /// after this time without a byte, and then after so many lost probes at this interval.
 const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
@@ -46,8 +46,8 @@
     pub body: Bytes,
 }
 
-fn lost(why: impl std::fmt::Display) -> StoreError {
-    StoreError::AnswerLost(why.to_string())
+fn response_lost(why: impl std::fmt::Display) -> StoreError {
+    StoreError::ResponseLost(why.to_string())
 }
 
 fn unreachable(why: impl std::fmt::Display) -> StoreError {
@@ -117,21 +117,21 @@
                 Err(mut err) => {
                     let untouched = err.take_message().is_some();
                     let why = err.into_error().to_string();
-                    return Err(if untouched { unreachable(why) } else { lost(why) });
+                    return Err(if untouched { unreachable(why) } else { response_lost(why) });
                 }
             };
             let status = response.status();
             let headers = response.headers().clone();
-            let limited = Limited::new(response.into_body(), ANSWER_MAX_BYTES);
-            let body = limited.collect().await.map_err(lost)?.to_bytes();
+            let limited = Limited::new(response.into_body(), RESPONSE_MAX_BYTES);
+            let body = limited.collect().await.map_err(response_lost)?.to_bytes();
             Ok(HttpReply { status, headers, body })
         };
         // A connection whose answer did not come is not used again: dropping the sender closes it.
         let reply = tokio::time::timeout(self.call_timeout + extra_wait, exchange)
             .await
-            .unwrap_or_else(|_| Err(lost("timed out")))?;
+            .unwrap_or_else(|_| Err(response_lost("timed out")))?;
         let mut idle = self.idle.lock();
-        if idle.len() < IDLE_MAX {
+        if idle.len() < IDLE_CONNS_MAX {
             idle.push(sender);
         }
         Ok(reply)
--- a/src/store/memory_store.rs
+++ b/src/store/memory_store.rs
@@ -10,9 +10,9 @@
 
 use super::Entry;
 use super::Lease;
-use super::Listed;
 use super::Listing;
 use super::Roster;
+use super::RosterEntry;
 use super::Store;
 use super::StoreError;
 
@@ -105,11 +105,11 @@
 }
 
 impl Roster for MemoryStore {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
         Ok(Vec::new())
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         Ok(Vec::new())
     }
 }
--- a/src/store/platform.rs
+++ b/src/store/platform.rs
@@ -26,7 +26,7 @@
 
 /// One machine in the platform's list, which lags.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct RosterEntry {
     pub id: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -39,7 +39,7 @@
     /// Nothing was sent, so nothing changed.
     Unreachable(String),
     /// The call was sent and its answer is missing: it may have taken effect.
-    AnswerLost(String),
+    ResponseLost(String),
     /// The store answered with an error; nothing changed.
     Refused(String),
 }
@@ -48,7 +48,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "store unreachable: {why}"),
-            Self::AnswerLost(why) => write!(f, "store's answer lost: {why}"),
+            Self::ResponseLost(why) => write!(f, "store's answer lost: {why}"),
             Self::Refused(why) => write!(f, "store refused: {why}"),
         }
     }
@@ -99,8 +99,8 @@
 /// The platform's lists of machines.
 pub trait Roster: Clone + Send + Sync + 'static {
     /// Instances of sorrelwick, by peer address.
-    fn instances(&self) -> impl Future<Output = Result<Vec<Listed>, StoreError>> + Send;
+    fn instances(&self) -> impl Future<Output = Result<Vec<RosterEntry>, StoreError>> + Send;
 
     /// Backend servers of all services, by their address.
-    fn backend_servers(&self) -> impl Future<Output = Result<Vec<Listed>, StoreError>> + Send;
+    fn backend_servers(&self) -> impl Future<Output = Result<Vec<RosterEntry>, StoreError>> + Send;
 }
--- a/standins/src/bed/bed.rs
+++ b/standins/src/bed/bed.rs
@@ -113,7 +113,7 @@
         until("all instances joined", async || {
             self.boards().iter().all(|board| {
                 let view = board.members_view();
-                let alive = view.rows.iter().filter(|row| row.state.takes_work());
+                let alive = view.rows.iter().filter(|row| row.state.accepts_work());
                 alive.count() == running
             })
         })
--- a/standins/src/routed/memory_events.rs
+++ b/standins/src/routed/memory_events.rs
@@ -13,7 +13,7 @@
 use sorrelwick::store::ItemEvent;
 use sorrelwick::store::Page;
 use sorrelwick::store::StoreError;
-use sorrelwick::store::Watched;
+use sorrelwick::store::WatchResult;
 use tokio::sync::watch;
 
 const PAGE_ITEMS: usize = 50;
@@ -147,15 +147,15 @@
             Fault::Busy => Err(StoreError::Refused("busy".into())),
             Fault::Silent | Fault::Hung => {
                 tokio::time::sleep(CALL_TIMEOUT).await;
-                Err(StoreError::AnswerLost("timed out".into()))
+                Err(StoreError::ResponseLost("timed out".into()))
             }
         }
     }
 
-    fn events_after(&self, prefix: &str, after: u64) -> Option<Watched> {
+    fn events_after(&self, prefix: &str, after: u64) -> Option<WatchResult> {
         let state = self.state.lock();
         if after < state.forgotten {
-            return Some(Watched::HistoryLost);
+            return Some(WatchResult::HistoryLost);
         }
         let below = |event: &&ItemEvent| match event {
             ItemEvent::Written(item) => item.key.starts_with(prefix),
@@ -164,23 +164,23 @@
         let newer = state.history.iter().filter(|event| event.revision() > after).filter(below);
         let events: Vec<ItemEvent> = newer.cloned().collect();
         let revision = state.revision;
-        (!events.is_empty()).then_some(Watched::Events { events, revision })
+        (!events.is_empty()).then_some(WatchResult::Events { events, revision })
     }
 }
 
 impl EventStore for MemoryEvents {
-    async fn page(
+    async fn list_page(
         &self,
         prefix: &str,
         after: Option<&str>,
         freshness: Freshness,
     ) -> Result<Page, StoreError> {
-        if freshness == Freshness::MaybeOld {
+        if freshness == Freshness::Stale {
             self.looks.fetch_add(1, Ordering::Relaxed);
         }
         self.call().await?;
         let state = self.state.lock();
-        let old = state.old_items.as_ref().filter(|_| freshness == Freshness::MaybeOld);
+        let old = state.old_items.as_ref().filter(|_| freshness == Freshness::Stale);
         let below =
             old.unwrap_or(&state.items).values().filter(|item| item.key.starts_with(prefix));
         let mut left = below.filter(|item| after.is_none_or(|after| item.key.as_str() > after));
@@ -194,12 +194,12 @@
         prefix: &str,
         revision: u64,
         wait: Duration,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchResult, StoreError> {
         let until = tokio::time::Instant::now() + wait;
         if *self.fault.borrow() == Fault::Hung {
             self.calls.fetch_add(1, Ordering::Relaxed);
             tokio::time::sleep_until(until + CALL_TIMEOUT).await;
-            return Err(StoreError::AnswerLost("timed out".into()));
+            return Err(StoreError::ResponseLost("timed out".into()));
         }
         self.call().await?;
         let mut changed = self.changed.subscribe();
@@ -214,16 +214,16 @@
                     if *fault.borrow() == Fault::Hung {
                         tokio::time::sleep_until(until + CALL_TIMEOUT).await;
                     }
-                    return Err(StoreError::AnswerLost("cut".into()));
+                    return Err(StoreError::ResponseLost("cut".into()));
                 }
                 () = tokio::time::sleep_until(until) => {
-                    return Ok(Watched::Events { events: Vec::new(), revision });
+                    return Ok(WatchResult::Events { events: Vec::new(), revision });
                 }
             }
         }
     }
 
-    async fn alive(&self) -> Result<(), StoreError> {
+    async fn check_alive(&self) -> Result<(), StoreError> {
         self.looks.fetch_add(1, Ordering::Relaxed);
         self.call().await
     }
--- a/standins/src/routed/memory_links.rs
+++ b/standins/src/routed/memory_links.rs
@@ -11,9 +11,9 @@
 use sorrelwick::board::Blackboard;
 use sorrelwick::gateway::Mirror;
 use sorrelwick::gateway::Sink;
-use sorrelwick::member::answer_member;
+use sorrelwick::member::handle_member_request;
 use sorrelwick::peer::Feed;
-use sorrelwick::peer::PeerCalls;
+use sorrelwick::peer::PeerClient;
 use sorrelwick::peer::PeerError;
 use sorrelwick::peer::PeerReply;
 use sorrelwick::peer::PeerRequest;
@@ -142,11 +142,11 @@
     async fn answer(&self, to: &Reached<K>, request: PeerRequest) -> PeerReply {
         let board = &to.board;
         match request {
-            PeerRequest::Member(request) => answer_member(board, request),
-            PeerRequest::Suspects { rows, all } => {
+            PeerRequest::Member(request) => handle_member_request(board, request),
+            PeerRequest::Suspects { records: rows, complete: all } => {
                 PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
             }
-            PeerRequest::PingFor { target } => self.ping_for(board, target).await,
+            PeerRequest::IndirectPing { target } => self.ping_for(board, target).await,
             PeerRequest::Feed { feed, after, hold_ms } => match &to.mirror {
                 Some(mirror) => {
                     let hold = Duration::from_millis(hold_ms);
@@ -182,7 +182,7 @@
     }
 }
 
-impl<K: Sink> PeerCalls for MemoryLinks<K> {
+impl<K: Sink> PeerClient for MemoryLinks<K> {
     async fn call(
         &self,
         address: SocketAddr,
@@ -195,10 +195,10 @@
             return Err(PeerError::NotSent);
         }
         let exchanged = self.exchange(address, request.clone());
-        tokio::time::timeout(within, exchanged).await.map_err(|_| PeerError::Lost)
+        tokio::time::timeout(within, exchanged).await.map_err(|_| PeerError::ResponseLost)
     }
 
     fn close_idle(&self) {}
 
-    fn forget(&self, _: SocketAddr) {}
+    fn drop_link(&self, _: SocketAddr) {}
 }
--- a/standins/src/routed/routed_bed.rs
+++ b/standins/src/routed/routed_bed.rs
@@ -202,7 +202,9 @@
         let until = tokio::time::Instant::now() + WAIT;
         for at in 0..self.hosts.len() {
             let all = self.hosts.len();
-            while self.board(at).members_view().serving() < all || self.readiness(at).await != 200 {
+            while self.board(at).members_view().running_count() < all
+                || self.readiness(at).await != 200
+            {
                 assert!(tokio::time::Instant::now() < until, "instance {at} is not ready");
                 tokio::time::sleep(TURN).await;
             }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -270,8 +270,8 @@
 /// repeated at the owner, and must not run at both.
 #[tokio::test(flavor = "multi_thread")]
 async fn instances_that_disagree_on_idempotent_do_not_run_a_key_twice() {
+    use sorrelwick::peer::ForwardHead;
     use sorrelwick::peer::Links;
-    use sorrelwick::peer::PassHead;
     use sorrelwick::peer::Stage;
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
@@ -281,7 +281,7 @@
     for (at, board) in bed.boards().iter().enumerate() {
         let id = format!("d-{at}");
         let key = format!("{}-{id}", listed[0].key_prefix);
-        let head = PassHead {
+        let head = ForwardHead {
             fingerprints: sorrelwick::quarantine::Fingerprints::of(
                 std::net::Ipv4Addr::LOCALHOST.into(),
                 "orders",
@@ -296,9 +296,9 @@
             key: Some(key.clone()),
             idempotent: true,
             stage: Stage::Home,
-            left_us: 2_000_000,
+            remaining_us: 2_000_000,
         };
-        let passed = links.pass(board.settings.listen.peer, &head, &bytes::Bytes::new()).await;
+        let passed = links.forward(board.settings.listen.peer, &head, &bytes::Bytes::new()).await;
         assert!(passed.is_ok());
         let repeat = caller.call(&order(&id).with_key(&key)).await;
         assert_at_most_once(&bed, &HashMap::from([(id, vec![repeat])]));
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -116,7 +116,7 @@
     let now_us = 161 * MS;
     pool.finish_request(&choice.server, 100, &first, SendOutcome::Answered, now_us);
     for server in &mut pool.servers {
-        let row = ServerLoadRow { server: server.key, in_flight: 2, pace_percent: 100 };
+        let row = ServerLoadRow { server_hash: server.key, in_flight: 2, slowdown_percent: 100 };
         server.record_peer_load(7, row, now_us);
     }
     let specs = (0..8).map(|number| (number, spec("look", 2, 400.0, now_us)));
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -18,12 +18,12 @@
 use common::property;
 
 /// 16 s is promised; every wait below is far under it unless the machine stands still.
-const PROMISED: Duration = Duration::from_secs(16);
+const PROPAGATION_MAX: Duration = Duration::from_secs(16);
 
 /// Merging agrees with a map under one lock that keeps the highest revision, whatever the order
 /// and however often each row comes; digests are equal exactly when the revisions are.
 #[test]
-fn merging_agrees_with_a_plain_map() {
+fn merging_matches_a_reference_map() {
     property(300, |u| {
         let mut catalog = Catalog::default();
         let mut naive: BTreeMap<String, u64> = BTreeMap::new();
@@ -47,8 +47,8 @@
             other.merge(&name, row);
         }
         assert_eq!(catalog.digest(), other.digest());
-        assert!(catalog.newer_than(&other.summary()).is_empty());
-        assert!(catalog.older_than(&other.summary()).is_empty());
+        assert!(catalog.rows_newer_than(&other.summary()).is_empty());
+        assert!(catalog.stale_names(&other.summary()).is_empty());
         Ok(())
     });
 }
@@ -57,7 +57,7 @@
 /// again. Each time exactly one is told it was accepted, the other that it came second; every
 /// accepted change is in force everywhere, none is overwritten unseen.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_at_once_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_edits_one_wins_and_the_other_conflicts() {
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     let mut revision = 1;
@@ -85,7 +85,7 @@
 /// Story: an operator's change is written, and the store's answer is lost. The operator must be
 /// told that it was accepted, because it was; telling "failed" would make it be made twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_whose_answer_was_lost_is_told_truly() {
+async fn a_change_with_a_lost_response_is_reported_as_accepted() {
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     for turn in 1..=5 {
@@ -96,12 +96,12 @@
         assert_eq!(committed, Ok(u64::from(turn) + 1));
     }
     let took = bed.until_in_force("orders", 6).await;
-    assert!(took < PROMISED, "{took:?}");
+    assert!(took < PROPAGATION_MAX, "{took:?}");
 }
 
 /// The same, without the tool's own repetition of a change whose outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_resolved_by_reading_back() {
+async fn a_lost_response_is_resolved_by_reading_back() {
     use sorrelwick::catalog::Committer;
     use sorrelwick::catalog::Edit;
     use sorrelwick::store::AnyStore;
@@ -132,7 +132,7 @@
 /// lost, and an instance that starts now gets the configuration from the others. When the store
 /// is back, so are changes; nothing went back to an older revision meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_store_reverts_nothing_and_newcomers_learn_from_peers() {
+async fn a_store_outage_reverts_nothing_and_new_instances_sync_from_peers() {
     let mut bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     service.timeout_ms = 1_234;
@@ -144,12 +144,12 @@
     let seeds = bed.boards().iter().map(|board| board.settings.listen.peer).collect();
     bed.add_daemon_with(|settings| settings.peers.seeds = seeds).await;
     let took = bed.until_in_force("orders", 2).await;
-    assert!(took < PROMISED, "{took:?}");
+    assert!(took < PROPAGATION_MAX, "{took:?}");
     bed.start_platform().await;
     service.timeout_ms = 4_321;
     until("changes are taken again", async || bed.put(3, &service, 2).await.is_ok()).await;
     let took = bed.until_in_force("orders", 3).await;
-    assert!(took < PROMISED, "{took:?}");
+    assert!(took < PROPAGATION_MAX, "{took:?}");
 }
 
 /// Story: changes come one after the other while the store is slow, restarts, and loses answers.
@@ -204,7 +204,7 @@
 /// Story: a service is deleted and made anew under the same name. Rows of its first life that
 /// come late from a peer must not bring it back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deleted_service_stays_deleted_and_a_new_one_stays_new() {
+async fn late_rows_do_not_restore_a_deleted_service() {
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     let old = bed.boards()[0].catalog.lock().get("orders").cloned().expect("in force");
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -21,7 +21,8 @@
 use sorrelwick::peer::ServerLoadRow;
 use sorrelwick::peer::ServerLoads;
 
-const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+const RETRY_ALLOWANCE: RetryAllowance =
+    RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
 
 fn row(number: usize, slots: u32) -> ServerRow {
     ServerRow {
@@ -38,7 +39,7 @@
 }
 
 fn dispatcher_with(servers: usize) -> Dispatcher {
-    let dispatcher = Dispatcher::new("burnaby", ALLOWANCE);
+    let dispatcher = Dispatcher::new("burnaby", RETRY_ALLOWANCE);
     for number in 0..servers {
         dispatcher.list_server(row(number, 4));
     }
@@ -60,7 +61,7 @@
 /// spent a third of its processor on looking each one up in a list. Ten times the servers may
 /// cost ten times the work, with some room for caches; a search in a list costs a hundred times.
 #[test]
-fn telling_loads_costs_in_proportion_to_the_servers() {
+fn collecting_loads_is_linear_in_the_servers() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
     let told_few = shortest(|| drop(black_box(few.own_loads())));
     let told_many = shortest(|| drop(black_box(many.own_loads())));
@@ -70,7 +71,7 @@
 /// As above for the requests themselves: what is believed of a server is looked up some times for
 /// each request, and must not take longer the more servers there are.
 #[test]
-fn looking_up_a_server_does_not_depend_on_how_many_there_are() {
+fn server_lookup_time_is_independent_of_the_server_count() {
     let look_up = |dispatcher: &Dispatcher| {
         let servers = dispatcher.servers();
         let every: Vec<_> = servers.iter().step_by(servers.len() / 100).collect();
@@ -87,12 +88,16 @@
 /// Forty homes that each hear of thirty-nine others some times a second, of 800 servers, did nothing
 /// else: each word went through all servers. A word costs as much as it names servers.
 #[test]
-fn hearing_of_a_few_servers_does_not_depend_on_how_many_there_are() {
+fn applying_a_peer_load_is_independent_of_the_server_count() {
     let hear = |dispatcher: &Dispatcher| {
         let servers = dispatcher.servers();
         let named = servers.iter().take(10);
         let rows: Vec<ServerLoadRow> = named
-            .map(|server| ServerLoadRow { server: server.key, in_flight: 1, pace_percent: 100 })
+            .map(|server| ServerLoadRow {
+                server_hash: server.key,
+                in_flight: 1,
+                slowdown_percent: 100,
+            })
             .collect();
         let loads = ServerLoads { from: 7, rows };
         shortest(|| dispatcher.record_peer_loads(&loads))
@@ -104,7 +109,7 @@
 /// What an instance has at servers is told to each home some times a second. One that has nothing
 /// anywhere, as nearly all of a large fleet, finds that out without going through the servers.
 #[test]
-fn an_instance_without_requests_has_nothing_to_tell() {
+fn an_idle_instance_finds_no_loads_without_a_scan() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
     assert!(many.own_loads().is_empty());
     let told_few = shortest(|| drop(black_box(few.own_loads())));
@@ -136,7 +141,7 @@
     let settings = parse_settings("t", r#"{ instance: { name: "a", zone: "z0" } }"#);
     let board = Blackboard::new(settings.expect("valid"), 1);
     for incarnation in 2..=members {
-        board.members.lock().merge_compared(&member(incarnation), 1_000);
+        board.members.lock().merge_synced(&member(incarnation), 1_000);
     }
     board.publish_members();
     board
@@ -146,7 +151,7 @@
 /// made all rows anew, found each among all, and sorted them for each look at the homes: half of the
 /// processor of a calm fleet of 472.
 #[test]
-fn a_change_of_one_member_costs_the_same_however_many_there_are() {
+fn a_member_change_is_independent_of_the_member_count() {
     let change = |board: &Blackboard| {
         let mut generation = 0;
         shortest(|| {
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -7,10 +7,10 @@
 use sorrelwick::outcome::KEY_MAX_BYTES;
 use sorrelwick::outcome::KeyPrefix;
 use sorrelwick::peer::FRAME_MAX_BYTES;
-use sorrelwick::peer::PassHead;
+use sorrelwick::peer::ForwardHead;
+use sorrelwick::peer::ForwardReplyHead;
 use sorrelwick::peer::PeerReply;
 use sorrelwick::peer::PeerRequest;
-use sorrelwick::peer::ReplyHead;
 use sorrelwick::peer::decode;
 use sorrelwick::peer::encode;
 use sorrelwick::store::Entry;
@@ -28,15 +28,15 @@
             assert_eq!(decode::<PeerRequest>(&encode(&message)), Ok(message));
         }
         let _ = decode::<PeerReply>(bytes);
-        let _ = decode::<PassHead>(bytes);
-        let _ = decode::<ReplyHead>(bytes);
+        let _ = decode::<ForwardHead>(bytes);
+        let _ = decode::<ForwardReplyHead>(bytes);
         Ok(())
     });
 }
 
 /// A frame that claims to hold more than any frame may is refused before memory is taken for it.
 #[test]
-fn a_forged_length_takes_no_memory() {
+fn a_forged_length_allocates_nothing() {
     // Variant 4 (`Changes`), then a length of 2^60 in bincode's variable encoding.
     let mut bytes = vec![4, 253];
     bytes.extend_from_slice(&(1_u64 << 60).to_le_bytes());
@@ -105,7 +105,7 @@
 
 /// A message of some kilobytes that would grow to gigabytes must not take the memory of an instance.
 #[test]
-fn a_forged_compressed_message_does_not_grow_without_end() {
+fn a_decompression_bomb_is_rejected() {
     use std::io::Write;
     let mut encoder = flate2::write::DeflateEncoder::new(vec![1], flate2::Compression::best());
     let zeros = vec![0; 1 << 20];
--- a/tests/homes.rs
+++ b/tests/homes.rs
@@ -47,7 +47,7 @@
 fn largest_instances_become_homes_until_demand_is_met() {
     let rows = mixed_fleet();
     let homes = |demand_per_s| {
-        homes_of_zone(&MembersView::of(&rows), "a", HomesPlan { homes_min: 1, demand_per_s })
+        homes_of_zone(&MembersView::from_rows(&rows), "a", HomesPlan { homes_min: 1, demand_per_s })
     };
     assert_eq!(names(&homes(0)), ["a-8"]);
     assert_eq!(names(&homes(500)), ["a-8"]);
@@ -62,8 +62,11 @@
     rows.retain(|row| row.capacity_per_s < 500);
     rows.push(row("a-8", "a", 500, MemberState::Suspect));
     rows.push(row("a-9", "a", 500, MemberState::Leaving));
-    let homes =
-        homes_of_zone(&MembersView::of(&rows), "a", HomesPlan { homes_min: 1, demand_per_s: 100 });
+    let homes = homes_of_zone(
+        &MembersView::from_rows(&rows),
+        "a",
+        HomesPlan { homes_min: 1, demand_per_s: 100 },
+    );
     assert_eq!(names(&homes), ["a-10", "a-11"]);
 }
 
@@ -82,15 +85,18 @@
         let mut turned = rows.clone();
         turned.rotate_left(u.int_in_range(0..=rows.len() - 1)?);
         for zone in ["a", "b", "c"] {
-            let homes = homes_of_zone(&MembersView::of(&rows), zone, plan);
+            let homes = homes_of_zone(&MembersView::from_rows(&rows), zone, plan);
             assert!(!homes.is_empty());
-            assert_eq!(names(&homes), names(&homes_of_zone(&MembersView::of(&turned), zone, plan)));
+            assert_eq!(
+                names(&homes),
+                names(&homes_of_zone(&MembersView::from_rows(&turned), zone, plan))
+            );
             let carried: u32 = homes.iter().map(|row| row.capacity_per_s).sum();
             assert!(carried >= plan.demand_per_s || homes.len() == 8.min(rows.len()));
         }
         assert_eq!(
-            names(&all_homes(&MembersView::of(&rows), plan)),
-            names(&all_homes(&MembersView::of(&turned), plan))
+            names(&all_homes(&MembersView::from_rows(&rows), plan)),
+            names(&all_homes(&MembersView::from_rows(&turned), plan))
         );
         Ok(())
     });
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -19,15 +19,15 @@
 use sorrelwick::gateway::run_store_check;
 use sorrelwick::member::MemberState;
 use sorrelwick::member::announce;
+use sorrelwick::member::announce_targets;
+use sorrelwick::member::run_failure_detector;
 use sorrelwick::member::run_joiner;
-use sorrelwick::member::run_swim;
-use sorrelwick::member::told_at_once;
 use sorrelwick::peer::Feed;
 use sorrelwick::quarantine::Fingerprints;
 use sorrelwick::quarantine::run_suspect_gossip;
 use sorrelwick::store::Item;
-use sorrelwick::store::Listed;
 use sorrelwick::store::Roster;
+use sorrelwick::store::RosterEntry;
 use sorrelwick::store::StoreError;
 use standins::routed::Fault;
 use standins::routed::MemoryEvents;
@@ -54,11 +54,11 @@
 struct EmptyRoster;
 
 impl Roster for EmptyRoster {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
         Ok(Vec::new())
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         Ok(Vec::new())
     }
 }
@@ -166,7 +166,7 @@
         let links = self.net.add(&board, Some(Arc::clone(&mirror)), link);
         let store = self.store.for_another();
         let mut tasks = JoinSet::new();
-        tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_failure_detector(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), EmptyRoster, links.clone()));
         tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         let new = || {
@@ -192,7 +192,9 @@
         loop {
             let lack = self.instances.iter().filter(|instance| !holds(instance));
             let lack: Vec<(&str, usize)> = lack
-                .map(|one| (&*one.board.settings.instance.name, one.board.members_view().serving()))
+                .map(|one| {
+                    (&*one.board.settings.instance.name, one.board.members_view().running_count())
+                })
                 .collect();
             if lack.is_empty() {
                 return began.elapsed();
@@ -243,7 +245,7 @@
     let fleet = Fleet::start(count, 1).await;
     fleet
         .until(Duration::from_secs(4), "all members known", |one| {
-            one.board.members_view().serving() == count
+            one.board.members_view().running_count() == count
         })
         .await;
     fleet
@@ -311,14 +313,14 @@
     let mut fleet = Fleet::start(500, 3).await;
     fleet
         .until(Duration::from_secs(4), "all members known", |one| {
-            one.board.members_view().serving() == 500
+            one.board.members_view().running_count() == 500
         })
         .await;
     let (messages, bytes) = (fleet.net.messages(), fleet.net.bytes());
     fleet.kill(|at| at % 2 == 0);
     let took = fleet
         .until(Duration::from_secs(20), "the loss detected", |one| {
-            one.board.members_view().serving() == 250
+            one.board.members_view().running_count() == 250
         })
         .await;
     let messages = (fleet.net.messages() - messages) / 250;
@@ -338,7 +340,7 @@
     let fleet = Fleet::start(500, 4).await;
     fleet
         .until(Duration::from_secs(4), "all members known", |one| {
-            one.board.members_view().serving() == 500
+            one.board.members_view().running_count() == 500
         })
         .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -346,7 +348,7 @@
     let leaving = fleet.instances.iter().find(small).expect("most are small");
     let before = leaving.links.calls();
     let now_ms = sorrelwick::clock::now_ms();
-    leaving.board.members.lock().set_own(MemberState::Leaving, None, now_ms);
+    leaving.board.members.lock().set_own_state(MemberState::Leaving, None, now_ms);
     leaving.board.publish_members();
     announce(&leaving.board, &leaving.links).await;
     let calls = leaving.links.calls() - before;
@@ -368,7 +370,7 @@
     let fleet = Fleet::start(500, 6).await;
     fleet
         .until(Duration::from_secs(4), "all members known", |one| {
-            one.board.members_view().serving() == 500
+            one.board.members_view().running_count() == 500
         })
         .await;
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -393,7 +395,7 @@
     let messages = (fleet.net.messages() - messages) / 500;
     let bytes = (fleet.net.bytes() - bytes) / 500;
     println!("after {took:?}: {calls} calls by the first, {messages} messages, {bytes} bytes each");
-    let told_at_once = told_at_once(&first.board).len() as u64;
+    let told_at_once = announce_targets(&first.board).len() as u64;
     assert!(told_at_once < 100, "{told_at_once} are notified at once");
     // Each of three crashes is reported once, in addition to pings.
     let pings = 4 * (took.as_secs() + 1);
@@ -426,7 +428,7 @@
     let mut fleet = Fleet::start(500, 7).await;
     fleet
         .until(Duration::from_secs(4), "all members known", |one| {
-            one.board.members_view().serving() == 500
+            one.board.members_view().running_count() == 500
         })
         .await;
     tokio::time::sleep(Duration::from_secs(3)).await;
--- a/tests/listeners.rs
+++ b/tests/listeners.rs
@@ -6,7 +6,7 @@
 use sorrelwick::command::ToolClient;
 use sorrelwick::errors::Code;
 use sorrelwick::peer::Links;
-use sorrelwick::peer::PeerCalls;
+use sorrelwick::peer::PeerClient;
 use sorrelwick::peer::PeerError;
 use sorrelwick::peer::PeerRequest;
 use standins::bed::Bed;
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -18,7 +18,7 @@
 use sorrelwick::model::LoadReport;
 use sorrelwick::model::ServerRow;
 use sorrelwick::model::ServerState;
-use sorrelwick::peer::PeerCalls;
+use sorrelwick::peer::PeerClient;
 use sorrelwick::peer::PeerError;
 use sorrelwick::peer::PeerReply;
 use sorrelwick::peer::PeerRequest;
@@ -42,7 +42,7 @@
     bytes: Arc<Mutex<HashMap<SocketAddr, usize>>>,
 }
 
-impl PeerCalls for Recorder {
+impl PeerClient for Recorder {
     async fn call(
         &self,
         address: SocketAddr,
@@ -55,7 +55,7 @@
 
     fn close_idle(&self) {}
 
-    fn forget(&self, _: SocketAddr) {}
+    fn drop_link(&self, _: SocketAddr) {}
 }
 
 /// The state of an instance whose zone has two homes.
--- a/tests/local_health.rs
+++ b/tests/local_health.rs
@@ -5,56 +5,56 @@
 use rand_pcg::Pcg64;
 use sorrelwick::member::MemberRow;
 use sorrelwick::member::MemberTable;
-use sorrelwick::member::Suspicion;
+use sorrelwick::member::SuspicionTimer;
 use standins::routed::member_row;
 
 const INSTANCES: u64 = 500;
 const SUSPECT_TIMEOUT_MS: u64 = 600;
 /// One of so many is held up during the suspicion.
-const HELD_UP_EACH: u64 = 5;
+const STALLED_EVERY: u64 = 5;
 /// A word reaches an instance within this.
-const WORD_MS_MAX: u64 = 400;
+const REFUTATION_DELAY_MAX_MS: u64 = 400;
 /// An instance that runs as it should is this late at most.
 const JITTER_MS: u64 = 20;
 const END_MS: u64 = 6_000;
 
 /// An instance that judges a suspect, and the times at which it cannot run.
-struct Judge {
+struct Observer {
     members: MemberTable,
-    suspicion: Suspicion,
+    suspicion: SuspicionTimer,
     next_ms: u64,
     /// Words that wait to be read, with the time at which they came.
     unread: Vec<(u64, MemberRow)>,
-    held_up: std::ops::Range<u64>,
+    stalled: std::ops::Range<u64>,
     dead_ms: Option<u64>,
 }
 
-impl Judge {
+impl Observer {
     fn new(at: u64, suspect: &MemberRow, random: &mut Pcg64) -> Self {
         let mut members = MemberTable::new(member_row(at + 10), 0);
         members.merge(suspect, 0);
         members.suspect(suspect.incarnation, 0);
-        let held_up = if at.is_multiple_of(HELD_UP_EACH) {
+        let stalled = if at.is_multiple_of(STALLED_EVERY) {
             let from_ms = random.random_range(0..SUSPECT_TIMEOUT_MS);
             from_ms..from_ms + random.random_range(300..3_000)
         } else {
             0..0
         };
-        let suspicion = Suspicion::new(SUSPECT_TIMEOUT_MS, 0);
-        Self { members, suspicion, next_ms: 0, unread: Vec::new(), held_up, dead_ms: None }
+        let suspicion = SuspicionTimer::new(SUSPECT_TIMEOUT_MS, 0);
+        Self { members, suspicion, next_ms: 0, unread: Vec::new(), stalled, dead_ms: None }
     }
 
     /// Runs what is due at this time: its timers first, then what it has to read.
     fn run(&mut self, now_ms: u64, random: &mut Pcg64) {
-        if self.held_up.contains(&now_ms) {
+        if self.stalled.contains(&now_ms) {
             return;
         }
         if now_ms >= self.next_ms {
-            let dead = self.suspicion.turn(&mut self.members, now_ms);
+            let dead = self.suspicion.tick(&mut self.members, now_ms);
             if !dead.is_empty() {
                 self.dead_ms.get_or_insert(now_ms);
             }
-            let due_ms = u64::try_from(self.suspicion.due().as_millis()).expect("small");
+            let due_ms = u64::try_from(self.suspicion.tick_interval().as_millis()).expect("small");
             self.next_ms = now_ms + due_ms + random.random_range(0..JITTER_MS);
         }
         let members = &mut self.members;
@@ -69,15 +69,15 @@
 }
 
 /// All suspect the same instance at time 0; where it lives, its word to that comes within a moment.
-fn judged(lives: bool, seed: u64) -> Vec<Judge> {
+fn simulate(lives: bool, seed: u64) -> Vec<Observer> {
     let mut random = Pcg64::seed_from_u64(seed);
     let suspect = member_row(1);
     let refutes = MemberRow { generation: 1, ..suspect.clone() };
-    let judges = (0..INSTANCES).map(|at| Judge::new(at, &suspect, &mut random));
-    let mut judges: Vec<Judge> = judges.collect();
+    let judges = (0..INSTANCES).map(|at| Observer::new(at, &suspect, &mut random));
+    let mut judges: Vec<Observer> = judges.collect();
     if lives {
         for judge in &mut judges {
-            judge.unread.push((random.random_range(0..WORD_MS_MAX), refutes.clone()));
+            judge.unread.push((random.random_range(0..REFUTATION_DELAY_MAX_MS), refutes.clone()));
         }
     }
     for now_ms in 0..END_MS {
@@ -91,9 +91,9 @@
 /// Guards against an instance that is held up itself and gives up one that lives, whose word it has not
 /// read yet.
 #[test]
-fn who_is_held_up_gives_up_nobody_whose_word_waits_unread() {
+fn a_stalled_instance_declares_no_live_member_dead() {
     for seed in 0..20 {
-        let judges = judged(true, seed);
+        let judges = simulate(true, seed);
         let wrong = judges.iter().filter(|judge| judge.dead_ms.is_some()).count();
         assert_eq!(wrong, 0, "seed {seed}: {wrong} of {INSTANCES} gave it up");
     }
@@ -102,13 +102,13 @@
 /// Guards against a dead instance that is believed in for much longer than its time, by those who run as
 /// they should and by those who did not for a while.
 #[test]
-fn a_dead_instance_is_given_up_in_time() {
-    for judge in judged(false, 1) {
+fn a_dead_instance_is_declared_dead_in_time() {
+    for judge in simulate(false, 1) {
         let dead_ms = judge.dead_ms.expect("given up at last");
-        if judge.held_up.is_empty() {
+        if judge.stalled.is_empty() {
             assert!(dead_ms < SUSPECT_TIMEOUT_MS + 250, "after {dead_ms} ms");
         } else {
-            let since_ms = dead_ms.saturating_sub(judge.held_up.end);
+            let since_ms = dead_ms.saturating_sub(judge.stalled.end);
             assert!(since_ms < SUSPECT_TIMEOUT_MS + 250, "{since_ms} ms after it was held up");
         }
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -29,7 +29,7 @@
 /// What an instance believed of members, with its time in milliseconds.
 fn member_changes(board: &Blackboard) -> Vec<String> {
     let events = board.events.after(0);
-    let told = events.iter().map(|event| (event.stamp, event.kind.text()));
+    let told = events.iter().map(|event| (event.stamp, event.kind.name_and_detail()));
     let members = told.filter(|(_, (name, _))| name.starts_with("member"));
     members.map(|(stamp, (_, text))| format!("{} {text}", stamp >> STAMP_COUNTER_BITS)).collect()
 }
@@ -63,12 +63,12 @@
 /// was given up, say that it lives, and be believed; without it keys of its own would be refused
 /// for ever.
 #[test]
-fn one_that_was_given_up_contradicts_and_is_believed() {
+fn a_member_declared_dead_refutes_and_is_alive_again() {
     let mut frozen = MemberTable::new(row(1, 0, MemberState::Alive), 0);
     let mut other = MemberTable::new(row(2, 0, MemberState::Alive), 0);
     assert!(other.merge(&frozen.own_row(1), 1));
     assert!(other.suspect(1, 2));
-    assert_eq!(other.expire(100, 200).len(), 1);
+    assert_eq!(other.expire_suspects(100, 200).len(), 1);
     let believed = |table: &MemberTable| table.rows(300).into_iter().find(|r| r.incarnation == 1);
     assert_eq!(believed(&other).expect("known").state, MemberState::Dead);
     assert!(frozen.merge(&believed(&other).expect("known"), 300));
@@ -84,7 +84,7 @@
     table.merge(&row(2, 1, MemberState::Leaving), 1);
     table.suspect(2, 2);
     let seen = table.rows(3).into_iter().find(|row| row.incarnation == 2).expect("known");
-    assert!(!seen.state.takes_work());
+    assert!(!seen.state.accepts_work());
 }
 
 /// Homes and keepers: all instances agree, every server has one keeper, shares are even, and a
@@ -180,7 +180,7 @@
 /// Story: two groups that were parted (each knows only its own seeds, the list is empty) hear of
 /// one common instance, and become one.
 #[tokio::test(flavor = "multi_thread")]
-async fn parted_groups_become_one() {
+async fn partitioned_groups_merge() {
     let mut bed = Bed::start(BedPlan { instances: 2, backends: 1, ..BedPlan::default() }).await;
     let first = bed.boards()[0].settings.listen.peer;
     bed.stop_platform();
@@ -193,7 +193,7 @@
     })
     .await;
     until("all four know each other", async || {
-        bed.boards().iter().all(|board| board.members_view().serving() == 4)
+        bed.boards().iter().all(|board| board.members_view().running_count() == 4)
     })
     .await;
 }
--- a/tests/relay_schedules.rs
+++ b/tests/relay_schedules.rs
@@ -15,7 +15,7 @@
 use sorrelwick::peer::Feed;
 use sorrelwick::peer::FeedReply;
 use sorrelwick::store::EventStore;
-use sorrelwick::store::Watched;
+use sorrelwick::store::WatchResult;
 use standins::routed::Fault;
 use standins::routed::FleetSize;
 use standins::routed::Loss;
@@ -82,7 +82,7 @@
         }
         let revision = mirror.revision().unwrap_or(0);
         match store.events("config", revision, Duration::from_secs(4)).await {
-            Ok(Watched::Events { events, revision }) => {
+            Ok(WatchResult::Events { events, revision }) => {
                 mirror.apply(&events, revision, Duration::ZERO);
                 mirror.record_confirmation(sorrelwick::clock::now_us());
             }
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -165,7 +165,7 @@
     let mut bed = Bed::new();
     bed.write("a", &entry(1_000, 1, 81, "ready"));
     let before = bed.try_acquire().expect("a free slot").server.key;
-    let row = ServerLoadRow { server: before, in_flight: 4, pace_percent: 100 };
+    let row = ServerLoadRow { server_hash: before, in_flight: 4, slowdown_percent: 100 };
     let loads = ServerLoads { from: 7, rows: vec![row] };
     bed.dispatcher.record_peer_loads(&loads);
     assert_eq!(bed.free_slots(), 0);
