--- a/src/balance/retry_budget.rs
+++ b/src/balance/retry_budget.rs
@@ -34,7 +34,9 @@
 /// the budget holds over all instances without coordination.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
+    /// Times of the requests, in order.
     requests_us: VecDeque<u64>,
+    /// Times of the retries, in order.
     retries_us: VecDeque<u64>,
 }
 
--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -160,22 +160,22 @@
         self.retain_servers(|server| server.listed(now_us) || !server.idle());
     }
 
-    /// Up to `most` usable servers, from this zone if it has any. The selection is stable while
-    /// other servers come and go.
+    /// Up to `servers_max` usable servers, from the zone with this hash if it has any. The selection
+    /// is stable while other servers come and go.
     #[must_use]
-    pub fn sample(&self, zone: u64, most: usize, now_us: u64) -> Vec<Arc<str>> {
+    pub fn sample(&self, wanted_zone_hash: u64, servers_max: usize, now_us: u64) -> Vec<Arc<str>> {
         let usable = |server: &&TrackedServer| {
             server.row.state == ServerState::Ready && server.in_service(now_us)
         };
         let usable = || self.servers.iter().filter(usable);
-        let in_zone = usable().filter(|server| zone_hash(&server.row.zone) == zone);
+        let in_zone = usable().filter(|server| zone_hash(&server.row.zone) == wanted_zone_hash);
         let mut sample: Vec<&TrackedServer> = in_zone.collect();
         if sample.is_empty() {
             sample = usable().collect();
         }
-        if sample.len() > most {
-            sample.select_nth_unstable_by_key(most, |server| server.key);
-            sample.truncate(most);
+        if sample.len() > servers_max {
+            sample.select_nth_unstable_by_key(servers_max, |server| server.key);
+            sample.truncate(servers_max);
         }
         sample.sort_unstable_by_key(|server| server.key);
         sample.iter().map(|server| Arc::clone(&server.row.id)).collect()
@@ -193,9 +193,9 @@
     }
 
     fn retain_servers(&mut self, keep: impl Fn(&TrackedServer) -> bool) {
-        let known = self.servers.len();
+        let count_before = self.servers.len();
         self.servers.retain(keep);
-        if self.servers.len() == known {
+        if self.servers.len() == count_before {
             return;
         }
         let ids = self.servers.iter().map(|server| Arc::clone(&server.row.id));
--- a/src/balance/service_queue.rs
+++ b/src/balance/service_queue.rs
@@ -217,11 +217,11 @@
     }
 
     /// The earliest time at which the limits of any server allow a start; `None` if never.
-    fn earliest_start_us(&self, avoid: &[Arc<str>], now_us: u64) -> Option<u64> {
+    fn earliest_start_us(&self, tried: &[Arc<str>], now_us: u64) -> Option<u64> {
         let servers = self
             .servers
             .iter()
-            .filter(|server| server.in_service(now_us) && !avoid.contains(&server.row.id));
+            .filter(|server| server.in_service(now_us) && !tried.contains(&server.row.id));
         servers.filter_map(|server| server.start_limits.next_start_us(now_us)).min()
     }
 
