--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -94,7 +94,7 @@
 
 /// Logs a rate limit that cannot be read. The server's previous limit remains in effect.
 fn record_invalid_rate_limit(tracked: &mut TrackedServer, source: Heard) {
-    if !tracked.start_limits.rate_limit.record_unreadable() {
+    if !tracked.start_limits.rate_limit.record_invalid() {
         return;
     }
     warn!(
--- a/src/limit/advertised_limit.rs
+++ b/src/limit/advertised_limit.rs
@@ -14,13 +14,13 @@
     /// limit does not end one.
     checks_report_limit: bool,
     /// Whether the last report was invalid.
-    unreadable: bool,
+    is_invalid: bool,
 }
 
 impl AdvertisedLimit {
     /// Records a report, `None` if it has no limit; returns whether that changes the limit.
     pub fn record(&mut self, source: Heard, limit: Option<RateLimit>, now_us: u64) -> bool {
-        self.unreadable = false;
+        self.is_invalid = false;
         if source == Heard::Check {
             self.checks_report_limit |= limit.is_some();
             if !self.checks_report_limit {
@@ -34,8 +34,8 @@
     }
 
     /// Records an invalid report; returns whether it is the first in a row.
-    pub const fn record_unreadable(&mut self) -> bool {
-        !std::mem::replace(&mut self.unreadable, true)
+    pub const fn record_invalid(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_invalid, true)
     }
 
     /// The current limit.
