--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -89,9 +89,9 @@
         Err(self.reject_or_retry(LocalReply::key_rejected()))
     }
 
-    /// Returns a permanent rejection as it is if the route table is recent enough to support it.
-    /// Otherwise returns a retryable reply, since the route or key that is missing may just have
-    /// been added.
+    /// Returns a permanent rejection as it is, unless the route table is older than the time within
+    /// which a new version is active everywhere: the missing route or key may just have been added,
+    /// so the reply is retryable then.
     #[must_use]
     pub fn reject_or_retry(&self, rejection: LocalReply) -> LocalReply {
         if rejection.retry_after_ms.is_none() && self.age.age() > self.config_apply {
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -29,7 +29,7 @@
 
 /// Unreachable servers after which a request is given up. Each costs a connect timeout.
 const UNREACHABLE_SERVERS_MAX: u32 = 4;
-/// Preflight health checks per request after which it is sent without one. Each takes about 2 ms.
+/// Failed preflight health checks after which a request is sent without one. Each takes about 2 ms.
 const PREFLIGHT_CHECKS_MAX: u32 = 4;
 /// A retry is worthwhile if at least this fraction of the typical duration remains before the
 /// deadline.
@@ -40,8 +40,9 @@
 /// Minimum delay of a hedged request, as a factor on the typical duration. Most responses have
 /// arrived by then.
 const HEDGE_MIN_DELAY_RATIO: f64 = 1.5;
-/// Retry delay, in milliseconds, after a server refused. Short, since no work was done, other
-/// servers may have free slots, and the caller's latency target still applies.
+/// Retry delay, in milliseconds, after a server refused: immediate but for network latency, since
+/// no work was done, other servers may have free slots, and the caller's latency target still
+/// applies.
 const REFUSED_RETRY_MS: u64 = 20;
 /// Retry delay, in milliseconds, if no slot became free before the deadline.
 const QUEUE_TIMEOUT_RETRY_MS: u64 = 150;
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -48,7 +48,7 @@
 
     /// A slot, if one is free.
     fn try_acquire(&self) -> Option<Grant> {
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             route: "look".into(),
             workspace: None,
             priority: 1,
@@ -58,7 +58,7 @@
             deadline_us: u64::MAX,
             tried_servers: smallvec::SmallVec::new(),
         };
-        self.dispatcher.try_acquire_spare("s", &ask)
+        self.dispatcher.try_acquire_spare("s", &spec)
     }
 
     /// Number of free slots.
