--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -111,7 +111,7 @@
     while let Some(grant) = dispatcher.try_acquire_spare("parts", &ask()) {
         grants.push(grant);
     }
-    // A server may get its last free slot meanwhile.
+    // A server may briefly offer its last slot, so that the request is granted and not queued.
     let waits = loop {
         let waiter = dispatcher.clone();
         let waits = tokio::spawn(async move { waiter.acquire(&"parts".into(), ask()).await });
