--- a/src/member/announce.rs
+++ b/src/member/announce.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::MemberRow;
-use super::answers::ping_without_gossip;
+use super::handlers::ping_without_gossip;
 use crate::board::Blackboard;
 use crate::board::compare_rank;
 use crate::peer::PeerClient;
--- a/src/member/answers.rs
+++ b/src/member/handlers.rs
@@ -5,8 +5,8 @@
 
 use super::MemberRequest;
 use super::MemberRow;
-use super::comparison::handle_compare;
-use super::comparison::handle_exchange;
+use super::anti_entropy::handle_compare;
+use super::anti_entropy::handle_exchange;
 use crate::board::Blackboard;
 use crate::clock::now_ms;
 use crate::peer::PeerClient;
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -12,7 +12,7 @@
 use super::MemberState;
 use super::MembersDigest;
 use super::digest::bucket_of;
-use super::news::GossipQueue;
+use super::gossip_queue::GossipQueue;
 use super::ring::Ring;
 use super::row::fingerprint;
 
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,15 +1,19 @@
 //! Links between instances: authenticated connections that carry `h2` streams of `bincode`.
 
 mod auth;
+mod forward;
 mod frame;
 mod link;
 mod links;
 mod listener;
 mod message;
 mod packed;
-mod pass;
-mod peer_calls;
+mod peer_client;
 
+pub use forward::ForwardHead;
+pub use forward::ForwardReply;
+pub use forward::ForwardReplyHead;
+pub use forward::Stage;
 pub use frame::FRAME_MAX_BYTES;
 pub use frame::Message;
 pub use frame::decode;
@@ -30,8 +34,4 @@
 pub use message::ServerLoads;
 pub use message::zone_hash;
 pub use packed::Packed;
-pub use pass::ForwardHead;
-pub use pass::ForwardReply;
-pub use pass::ForwardReplyHead;
-pub use pass::Stage;
-pub use peer_calls::PeerClient;
+pub use peer_client::PeerClient;
