--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -221,7 +221,8 @@
         let rumours: Vec<MemberRow> = (1..=rumours).map(member).collect();
         let count = rumours.len();
         let from = member(1);
-        let ping = MemberRequest::Ping { from, stamp: 1 << 60, summary: 1 << 60, rumours };
+        let ping =
+            MemberRequest::Ping { from, stamp: 1 << 60, digest_hash: 1 << 60, gossip: rumours };
         let ping = PeerRequest::Member(ping);
         println!("  ping with {count} rumours: {} bytes", encode(&ping).len());
     }
--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -155,9 +155,9 @@
             return;
         }
         self.record_member_changes(&view, &subscribe_changes);
-        let view_now = Arc::make_mut(&mut view);
+        let current = Arc::make_mut(&mut view);
         for change in subscribe_changes {
-            view_now.apply(change);
+            current.apply(change);
         }
         drop(view);
         self.notify_changed();
@@ -165,21 +165,21 @@
 
     /// Notes the members whose state changed; many at once in one line.
     fn record_member_changes(&self, before: &MembersView, changes: &[MemberChange]) {
-        let states = changes.iter().filter_map(|change| {
+        let updated = changes.iter().filter_map(|change| {
             let MemberChange::Updated(row) = change else {
                 return None;
             };
             let known = before.row(row.incarnation).map(|row| row.state);
             (known != Some(row.state)).then_some(row)
         });
-        let states: Vec<&MemberRow> = states.collect();
-        let dead = states.iter().filter(|row| row.state == MemberState::Dead).count();
+        let updated: Vec<&MemberRow> = updated.collect();
+        let dead = updated.iter().filter(|row| row.state == MemberState::Dead).count();
         self.counters.add_many(super::Counter::MembersLost, dead as u64);
-        if states.len() > MEMBERS_LOGGED_MAX {
+        if updated.len() > MEMBERS_LOGGED_MAX {
             let known = before.rows.len();
-            return self.record_event(EventKind::Members { changed: states.len(), dead, known });
+            return self.record_event(EventKind::Members { changed: updated.len(), dead, known });
         }
-        for row in states {
+        for row in updated {
             let (name, incarnation) = (row.name.clone(), row.incarnation);
             self.record_event(EventKind::Member { name, incarnation, state: row.state.name() });
         }
@@ -198,7 +198,7 @@
 
     /// Tells the placement controller that its inputs changed.
     pub fn notify_changed(&self) {
-        self.changed.send_modify(|turn| *turn += 1);
+        self.changed.send_modify(|count| *count += 1);
     }
 
     /// Changes of what the placement depends on.
@@ -214,16 +214,16 @@
     }
 
     /// Takes note of how a call to the store ended; only a change of state is an event.
-    pub fn record_store_result(&self, fault: Option<String>) {
+    pub fn record_store_result(&self, error: Option<String>) {
         self.counters.add(super::Counter::StoreCalls);
-        let up = fault.is_none();
+        let up = error.is_none();
         if !up {
             self.counters.add(super::Counter::StoreFailures);
         }
         if self.store_up.swap(up, Ordering::AcqRel) == up {
             return;
         }
-        match fault {
+        match error {
             Some(why) => self.record_event(EventKind::StoreLost { why }),
             None => self.record_event(EventKind::StoreBack),
         }
--- a/src/board/latencies.rs
+++ b/src/board/latencies.rs
@@ -53,9 +53,9 @@
     }
 
     /// Takes a sample, told apart by how it ended.
-    pub fn record(&self, latency: Latency, took: Duration, outcome: &'static str) {
+    pub fn record(&self, latency: Latency, elapsed: Duration, outcome: &'static str) {
         if let Some(histogram) = self.histogram(latency).get() {
-            histogram.record(took.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
+            histogram.record(elapsed.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
         }
     }
 }
--- a/src/board/members_view.rs
+++ b/src/board/members_view.rs
@@ -65,9 +65,9 @@
         if row.state.accepts_work() {
             let ranked = self.by_zone.entry(row.zone.clone()).or_default();
             let at = ranked.binary_search_by(|other| compare_rank(other, &row));
-            ranked.insert(at.unwrap_or_else(|place| place), Arc::clone(&row));
+            ranked.insert(at.unwrap_or_else(|at| at), Arc::clone(&row));
         }
-        let at = self.position(row.incarnation).unwrap_or_else(|place| place);
+        let at = self.position(row.incarnation).unwrap_or_else(|at| at);
         self.rows.insert(at, row);
     }
 
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -165,8 +165,8 @@
     ) -> Result<Option<Versioned>, EditError> {
         let expected = edit.expected().unwrap_or_else(|| current.revision());
         // A deleted service counts as not there, also for who never saw its tombstone.
-        let fresh = expected == 0 && current.live().is_none();
-        if expected != current.revision() && !fresh {
+        let creates = expected == 0 && current.live().is_none();
+        if expected != current.revision() && !creates {
             return Err(conflict(expected, current));
         }
         let service = edit.apply(name, current.live())?;
@@ -200,7 +200,7 @@
             let Ok(current) = self.read(name).await else {
                 continue;
             };
-            if current.row.as_ref().is_some_and(|stands| stands.contains(row.change_id)) {
+            if current.row.as_ref().is_some_and(|stored| stored.contains(row.change_id)) {
                 return Ok(Some(row));
             }
             let changes_since = current.revision().saturating_sub(row.revision);
--- a/src/catalog/spread.rs
+++ b/src/catalog/spread.rs
@@ -62,18 +62,18 @@
     if rows.is_empty() {
         return;
     }
-    let parts = split_rows(rows);
+    let groups = split_rows(rows);
     let own_zone = &board.settings.instance.zone;
-    let mut told_zones: Vec<String> = Vec::new();
+    let mut pushed_zones: Vec<String> = Vec::new();
     for row in other_instances(board) {
         if row.zone != *own_zone {
-            if told_zones.contains(&row.zone) {
+            if pushed_zones.contains(&row.zone) {
                 continue;
             }
-            told_zones.push(row.zone.clone());
+            pushed_zones.push(row.zone.clone());
         }
-        for part in &parts {
-            let request = PeerRequest::Changes(part.clone());
+        for group in &groups {
+            let request = PeerRequest::Changes(group.clone());
             let links = links.clone();
             let address = row.peer;
             tokio::spawn(async move {
@@ -86,22 +86,22 @@
 /// Compares digests with one peer and exchanges what either has newer.
 async fn repair_with(board: &Blackboard, links: &Links, peer: &MemberRow) {
     let digest = board.catalog.lock().digest();
-    let asked = links.call(peer.peer, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
-    let Ok(PeerReply::Summary(summary)) = asked else {
+    let reply = links.call(peer.peer, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
+    let Ok(PeerReply::Summary(summary)) = reply else {
         return;
     };
-    let (missing, newer) = {
+    let (stale, newer) = {
         let catalog = board.catalog.lock();
         (catalog.stale_names(&summary), catalog.rows_newer_than(&summary))
     };
-    for names in missing.chunks(NAMES_PER_MESSAGE) {
+    for names in stale.chunks(NAMES_PER_MESSAGE) {
         let request = PeerRequest::Fetch(names.to_vec());
         if let Ok(PeerReply::Changes(rows)) = links.call(peer.peer, &request, CALL_TIMEOUT).await {
             merge_rows(board, rows);
         }
     }
-    for part in split_rows(&newer) {
-        let request = PeerRequest::Changes(part);
+    for group in split_rows(&newer) {
+        let request = PeerRequest::Changes(group);
         let _ = links.call(peer.peer, &request, CALL_TIMEOUT).await;
     }
 }
--- a/src/member/announce.rs
+++ b/src/member/announce.rs
@@ -34,8 +34,8 @@
     // Its own row takes no work any more, so the place it had is where it would stand now.
     let own_row = view.row(own);
     let is_advertised = |row: &Arc<MemberRow>| {
-        let before = view.ranked(zone).iter().take_while(|other| compare_rank(other, row).is_lt());
-        before.count() < TARGETS_PER_ZONE
+        let ahead = view.ranked(zone).iter().take_while(|other| compare_rank(other, row).is_lt());
+        ahead.count() < TARGETS_PER_ZONE
     };
     let in_zone = if own_row.is_some_and(is_advertised) { view.ranked(zone) } else { &[] };
     let others = first.chain(in_zone).filter(|row| row.incarnation != own);
--- a/src/member/anti_entropy.rs
+++ b/src/member/anti_entropy.rs
@@ -25,9 +25,9 @@
 /// Answers the first question of a comparison: the parts that differ, and what is believed there.
 pub(super) fn handle_compare(board: &Blackboard, theirs: &MembersDigest) -> PeerReply {
     let members = board.members.lock();
-    let parts = members.digest().differing_buckets(theirs);
-    let fingerprints = members.fingerprints_in_buckets(&parts);
-    PeerReply::Differing { buckets: parts, fingerprints }
+    let buckets = members.digest().differing_buckets(theirs);
+    let fingerprints = members.fingerprints_in_buckets(&buckets);
+    PeerReply::Differing { buckets, fingerprints }
 }
 
 /// Answers the second one: takes rows in, and returns those asked for, and those that are known
@@ -47,25 +47,25 @@
     for row in rows {
         members.merge_synced(row, now_ms);
     }
-    let known_better = rows.iter().filter_map(|row| {
+    let overriding = rows.iter().filter_map(|row| {
         let own = members.row(row.incarnation, now_ms)?;
         own.overrides(row).then_some(own)
     });
-    known_better.collect()
+    overriding.collect()
 }
 
 /// What this instance asks for, and tells, after the other named what it believes of some parts.
 fn rows_to_exchange(
     members: &MemberTable,
-    parts: &[usize],
+    buckets: &[usize],
     theirs: &[u32],
 ) -> (Vec<u32>, Vec<MemberRow>) {
     let theirs: HashSet<u32> = theirs.iter().copied().collect();
-    let own: HashSet<u32> = members.fingerprints_in_buckets(parts).into_iter().collect();
+    let own: HashSet<u32> = members.fingerprints_in_buckets(buckets).into_iter().collect();
     let wanted = theirs.difference(&own).copied().collect();
-    let rows = members.rows_in_buckets(parts, now_ms()).into_iter();
-    let told = rows.filter(|row| fingerprint(row).is_some_and(|own| !theirs.contains(&own)));
-    (wanted, told.collect())
+    let rows = members.rows_in_buckets(buckets, now_ms()).into_iter();
+    let to_send = rows.filter(|row| fingerprint(row).is_some_and(|own| !theirs.contains(&own)));
+    (wanted, to_send.collect())
 }
 
 /// Compares tables with another instance; returns how many rows that brought, `None` without an
@@ -80,10 +80,10 @@
         .call(peer, &PeerRequest::Member(MemberRequest::Compare(digest)), SYNC_TIMEOUT)
         .await
         .ok()?;
-    let PeerReply::Differing { buckets: parts, fingerprints } = reply else {
+    let PeerReply::Differing { buckets, fingerprints } = reply else {
         return None;
     };
-    let (wanted, rows) = rows_to_exchange(&board.members.lock(), &parts, &fingerprints);
+    let (wanted, rows) = rows_to_exchange(&board.members.lock(), &buckets, &fingerprints);
     if wanted.is_empty() && rows.is_empty() {
         return Some(0);
     }
@@ -91,10 +91,10 @@
     let Ok(PeerReply::Members(rows)) = links.call(peer, &request, SYNC_TIMEOUT).await else {
         return None;
     };
-    let known_better = merge_rows(&mut board.members.lock(), &rows);
+    let overriding = merge_rows(&mut board.members.lock(), &rows);
     board.publish_members();
-    if !known_better.is_empty() {
-        let exchange = MemberRequest::Exchange { wanted: Vec::new(), rows: known_better };
+    if !overriding.is_empty() {
+        let exchange = MemberRequest::Exchange { wanted: Vec::new(), rows: overriding };
         let request = PeerRequest::Member(exchange);
         // Lost, the next comparison finds the same again.
         let _ = links.call(peer, &request, SYNC_TIMEOUT).await;
--- a/src/member/digest.rs
+++ b/src/member/digest.rs
@@ -32,14 +32,14 @@
 impl MembersDigest {
     /// Takes a row in.
     pub(super) fn add(&mut self, row: &MemberRow) {
-        let part = &mut self.buckets[bucket_of(row.incarnation)];
-        *part = part.wrapping_add(fingerprint(row).unwrap_or(0));
+        let bucket = &mut self.buckets[bucket_of(row.incarnation)];
+        *bucket = bucket.wrapping_add(fingerprint(row).unwrap_or(0));
     }
 
     /// Takes a row out.
     pub(super) fn remove(&mut self, row: &MemberRow) {
-        let part = &mut self.buckets[bucket_of(row.incarnation)];
-        *part = part.wrapping_sub(fingerprint(row).unwrap_or(0));
+        let bucket = &mut self.buckets[bucket_of(row.incarnation)];
+        *bucket = bucket.wrapping_sub(fingerprint(row).unwrap_or(0));
     }
 
     /// The parts in which two digests differ. One of another length, from a faulty peer, differs in
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn differing_buckets(&self, other: &Self) -> Vec<usize> {
         (0..DIGEST_BUCKETS)
-            .filter(|part| self.buckets.get(*part) != other.buckets.get(*part))
+            .filter(|bucket| self.buckets.get(*bucket) != other.buckets.get(*bucket))
             .collect()
     }
 
@@ -55,7 +55,7 @@
     #[must_use]
     pub fn hash(&self) -> u64 {
         let seed = self.buckets.len() as u64;
-        let mix = |sum: u64, part: &u32| sum.wrapping_mul(31).wrapping_add(u64::from(*part));
+        let mix = |sum: u64, bucket: &u32| sum.wrapping_mul(31).wrapping_add(u64::from(*bucket));
         self.buckets.iter().fold(seed, mix)
     }
 }
--- a/src/member/failure_detector.rs
+++ b/src/member/failure_detector.rs
@@ -45,46 +45,40 @@
     links: &L,
     target: &MemberRow,
 ) -> Option<PeerAgreement> {
-    let within = Duration::from_millis(board.settings.peers.ping_timeout_ms);
+    let timeout = Duration::from_millis(board.settings.peers.ping_timeout_ms);
     let request = {
         let mut members = board.members.lock();
         PeerRequest::Member(MemberRequest::Ping {
             from: members.own_row(now_ms()),
             stamp: board.events.clock.stamp(),
-            summary: members.digest().hash(),
-            rumours: members.take_gossip(GOSSIP_ROWS_MAX, now_ms()),
+            digest_hash: members.digest().hash(),
+            gossip: members.take_gossip(GOSSIP_ROWS_MAX, now_ms()),
         })
     };
-    let reply = links.call(target.peer, &request, within).await;
-    let Ok(PeerReply::Ack {
-        stamp,
-        digest_hash: summary,
-        suspects_digest: suspects,
-        gossip: rumours,
-    }) = reply
-    else {
+    let reply = links.call(target.peer, &request, timeout).await;
+    let Ok(PeerReply::Ack { stamp, digest_hash, suspects_digest, gossip }) = reply else {
         return None;
     };
     board.events.clock.observe(stamp);
-    merge_gossip(board, &rumours);
+    merge_gossip(board, &gossip);
     // Another process on the same address is no sign of life of the target.
-    if !rumours.iter().any(|row| row.incarnation == target.incarnation) {
+    if !gossip.iter().any(|row| row.incarnation == target.incarnation) {
         return None;
     }
-    let members = board.members.lock().digest().hash() == summary;
-    Some(PeerAgreement { members, suspect_requests: board.quarantine.digest() == suspects })
+    let members = board.members.lock().digest().hash() == digest_hash;
+    Some(PeerAgreement { members, suspect_requests: board.quarantine.digest() == suspects_digest })
 }
 
 async fn indirect_ping<L: PeerClient>(board: &Blackboard, links: &L, target: &MemberRow) -> bool {
-    let within = Duration::from_millis(board.settings.peers.ping_timeout_ms * 2);
+    let timeout = Duration::from_millis(board.settings.peers.ping_timeout_ms * 2);
     let helpers = board.members.lock().indirect_pingers(target.incarnation, INDIRECT_PINGS);
-    let mut asked = tokio::task::JoinSet::new();
+    let mut calls = tokio::task::JoinSet::new();
     for helper in helpers {
         let links = links.clone();
         let request = PeerRequest::IndirectPing { target: target.peer };
-        asked.spawn(async move { links.call(helper.peer, &request, within).await });
+        calls.spawn(async move { links.call(helper.peer, &request, timeout).await });
     }
-    while let Some(reply) = asked.join_next().await {
+    while let Some(reply) = calls.join_next().await {
         if matches!(reply, Ok(Ok(PeerReply::Reached(true)))) {
             return true;
         }
@@ -104,7 +98,7 @@
 
 impl<L: PeerClient> FailureDetector<L> {
     async fn check_member(self, target: MemberRow) {
-        let began_ms = now_ms();
+        let started_ms = now_ms();
         match ping(&self.board, &self.links, &target).await {
             Some(agreement) => {
                 if !agreement.suspect_requests {
@@ -115,7 +109,7 @@
                 }
             }
             // What was not read in time may be there.
-            None if is_late(now_ms() - began_ms, self.board.settings.peers.ping_timeout_ms) => {}
+            None if is_late(now_ms() - started_ms, self.board.settings.peers.ping_timeout_ms) => {}
             None => {
                 if !indirect_ping(&self.board, &self.links, &target).await
                     && self.board.members.lock().suspect(target.incarnation, now_ms())
@@ -145,11 +139,11 @@
         }
         let pause_ms = rand::rng().random_range(SYNC_INTERVAL_MIN_MS..=2 * SYNC_INTERVAL_MIN_MS);
         self.next_sync_ms.store(now + pause_ms, Ordering::Release);
-        let brought = sync_members(&self.board, &self.links, peer).await;
-        if brought.is_some_and(|rows| rows > GOSSIP_ROWS_MAX) {
+        let received = sync_members(&self.board, &self.links, peer).await;
+        if received.is_some_and(|rows| rows > GOSSIP_ROWS_MAX) {
             // The fleet starts: who learned much has much to tell, and little of it is known.
-            let soon = now_ms() + SYNC_INTERVAL_MIN_MS / 4;
-            self.next_sync_ms.store(soon, Ordering::Release);
+            let next_ms = now_ms() + SYNC_INTERVAL_MIN_MS / 4;
+            self.next_sync_ms.store(next_ms, Ordering::Release);
         }
     }
 }
--- a/src/member/gossip_queue.rs
+++ b/src/member/gossip_queue.rs
@@ -21,19 +21,19 @@
 impl GossipQueue {
     /// A row is to be told so often from now on. Of too many, those that were told most are left to
     /// comparisons.
-    pub(super) fn set(&mut self, incarnation: u64, tells: u32) {
-        if let Some(before) = self.sends_left.remove(&incarnation) {
-            self.by_sends_left.remove(&(before, incarnation));
+    pub(super) fn set(&mut self, incarnation: u64, sends: u32) {
+        if let Some(previous) = self.sends_left.remove(&incarnation) {
+            self.by_sends_left.remove(&(previous, incarnation));
         }
-        if tells == 0 {
+        if sends == 0 {
             return;
         }
-        self.sends_left.insert(incarnation, tells);
-        self.by_sends_left.insert((tells, incarnation));
+        self.sends_left.insert(incarnation, sends);
+        self.by_sends_left.insert((sends, incarnation));
         if self.by_sends_left.len() > QUEUE_MAX
-            && let Some((_, most_told)) = self.by_sends_left.pop_first()
+            && let Some((_, fewest_left)) = self.by_sends_left.pop_first()
         {
-            self.sends_left.remove(&most_told);
+            self.sends_left.remove(&fewest_left);
         }
     }
 
@@ -41,8 +41,8 @@
     pub(super) fn take(&mut self, most: usize) -> SmallVec<[u64; 8]> {
         let next: SmallVec<[(u32, u64); 8]> =
             self.by_sends_left.iter().rev().take(most).copied().collect();
-        for (tells, incarnation) in &next {
-            self.set(*incarnation, tells - 1);
+        for (sends, incarnation) in &next {
+            self.set(*incarnation, sends - 1);
         }
         next.into_iter().map(|(_, incarnation)| incarnation).collect()
     }
--- a/src/member/handlers.rs
+++ b/src/member/handlers.rs
@@ -38,28 +38,28 @@
     board: &Blackboard,
     from: &MemberRow,
     stamp: u64,
-    mut rumours: Vec<MemberRow>,
+    mut gossip: Vec<MemberRow>,
 ) -> PeerReply {
     board.events.clock.observe(stamp);
-    rumours.push(from.clone());
-    merge_gossip(board, &rumours);
+    gossip.push(from.clone());
+    merge_gossip(board, &gossip);
     let mut members = board.members.lock();
-    let mut told = members.take_gossip(GOSSIP_ROWS_MAX, now_ms());
-    told.push(members.own_row(now_ms()));
+    let mut reply_gossip = members.take_gossip(GOSSIP_ROWS_MAX, now_ms());
+    reply_gossip.push(members.own_row(now_ms()));
     // A member that was given up must hear so, or it could not refute.
     if let Some(row) = members.row(from.incarnation, now_ms())
         && row.state != from.state
     {
-        told.push(row);
+        reply_gossip.push(row);
     }
-    let summary = members.digest().hash();
+    let digest_hash = members.digest().hash();
     drop(members);
-    let suspects = board.quarantine.digest();
+    let suspects_digest = board.quarantine.digest();
     PeerReply::Ack {
         stamp: board.events.clock.stamp(),
-        digest_hash: summary,
-        suspects_digest: suspects,
-        gossip: told,
+        digest_hash,
+        suspects_digest,
+        gossip: reply_gossip,
     }
 }
 
@@ -76,10 +76,10 @@
         return PeerReply::Members(board.members.lock().rows(now_ms()));
     }
     let first = view.zones().flat_map(|zone| view.ranked(zone).iter().take(JOIN_ROWS_PER_ZONE));
-    let mut told: Vec<u64> = first.map(|row| row.incarnation).collect();
-    told.push(board.incarnation);
+    let mut incarnations: Vec<u64> = first.map(|row| row.incarnation).collect();
+    incarnations.push(board.incarnation);
     let members = board.members.lock();
-    let rows = told.iter().filter_map(|incarnation| members.row(*incarnation, now_ms()));
+    let rows = incarnations.iter().filter_map(|incarnation| members.row(*incarnation, now_ms()));
     PeerReply::Members(rows.collect())
 }
 
@@ -89,8 +89,8 @@
     PeerRequest::Member(MemberRequest::Ping {
         from: members.own_row(now_ms()),
         stamp: board.events.clock.stamp(),
-        summary: members.digest().hash(),
-        rumours: Vec::new(),
+        digest_hash: members.digest().hash(),
+        gossip: Vec::new(),
     })
 }
 
@@ -100,17 +100,15 @@
     links: &L,
     target: SocketAddr,
 ) -> PeerReply {
-    let within = Duration::from_millis(board.settings.peers.ping_timeout_ms);
-    PeerReply::Reached(links.call(target, &ping_without_gossip(board), within).await.is_ok())
+    let timeout = Duration::from_millis(board.settings.peers.ping_timeout_ms);
+    PeerReply::Reached(links.call(target, &ping_without_gossip(board), timeout).await.is_ok())
 }
 
 /// Answers a question about members.
 pub fn handle_member_request(board: &Blackboard, request: MemberRequest) -> PeerReply {
     match request {
         MemberRequest::Join(row) => handle_join(board, &row),
-        MemberRequest::Ping { from, stamp, rumours, .. } => {
-            handle_ping(board, &from, stamp, rumours)
-        }
+        MemberRequest::Ping { from, stamp, gossip, .. } => handle_ping(board, &from, stamp, gossip),
         MemberRequest::Compare(theirs) => handle_compare(board, &theirs),
         MemberRequest::Exchange { wanted, rows } => handle_exchange(board, &wanted, &rows),
     }
--- a/src/member/joiner.rs
+++ b/src/member/joiner.rs
@@ -56,11 +56,11 @@
     }
 
     /// Addresses of instances that may be there and are not known, in random order.
-    async fn unknown_addresses<R: Roster>(&self, roster: &R, list_due: bool) -> Vec<SocketAddr> {
+    async fn unknown_addresses<R: Roster>(&self, roster: &R, listing_due: bool) -> Vec<SocketAddr> {
         let settings = &self.board.settings;
         let mut found: BTreeSet<SocketAddr> = settings.peers.seeds.iter().copied().collect();
         // Each call to the platform has its price; the seeds are tried first.
-        if found.is_empty() || list_due {
+        if found.is_empty() || listing_due {
             let listed = roster.instances().await;
             self.board.record_store_result(listed.as_ref().err().map(ToString::to_string));
             found.extend(listed.unwrap_or_default().iter().map(|row| row.address));
@@ -108,13 +108,13 @@
     /// When a fleet starts, those that were asked knew of those that came before only, and each
     /// moment in which instances name different homes to callers spoils requests. Not with the one
     /// that was asked: it is the same for the whole fleet.
-    async fn catch_up(self, asked: SocketAddr) {
+    async fn catch_up(self, contact: SocketAddr) {
         for _ in 0..CATCH_UP_ROUNDS_MAX {
-            let Some(other) = self.random_peer(asked) else {
+            let Some(peer) = self.random_peer(contact) else {
                 return;
             };
-            let brought = sync_members(&self.board, &self.links, other).await;
-            if brought.is_some_and(|rows| rows <= CAUGHT_UP_ROWS_MAX) {
+            let received = sync_members(&self.board, &self.links, peer).await;
+            if received.is_some_and(|rows| rows <= CAUGHT_UP_ROWS_MAX) {
                 return;
             }
             tokio::time::sleep(CATCH_UP_PAUSE).await;
@@ -122,14 +122,16 @@
     }
 
     /// Some other instance that may answer, by chance.
-    fn random_peer(&self, asked: SocketAddr) -> Option<SocketAddr> {
+    fn random_peer(&self, contact: SocketAddr) -> Option<SocketAddr> {
         let view = self.board.members_view();
         let from = rand::rng().random_range(0..view.rows.len().max(1));
         let (before, after) = view.rows.split_at(from);
-        let fits = |row: &&Arc<MemberRow>| {
-            row.state.may_answer() && row.incarnation != self.board.incarnation && row.peer != asked
+        let matches = |row: &&Arc<MemberRow>| {
+            row.state.may_answer()
+                && row.incarnation != self.board.incarnation
+                && row.peer != contact
         };
-        after.iter().chain(before).find(fits).map(|row| row.peer)
+        after.iter().chain(before).find(matches).map(|row| row.peer)
     }
 
     fn merge_rows(&self, rows: &[MemberRow]) {
@@ -145,8 +147,8 @@
     /// Asks for the others, each address after a moment without an answer of the one before; tells
     /// whether one answered in time.
     async fn join_round(&self, unknown: Vec<SocketAddr>) -> bool {
-        let asked = unknown.into_iter().filter_map(|address| self.start_join(address));
-        for mut answer in asked.take(JOIN_REQUESTS_MAX) {
+        let joins = unknown.into_iter().filter_map(|address| self.start_join(address));
+        for mut answer in joins.take(JOIN_REQUESTS_MAX) {
             let answered =
                 tokio::time::timeout(Duration::from_millis(ALONE_INTERVAL_MS), &mut answer).await;
             if matches!(answered, Ok(Ok(true))) {
@@ -161,25 +163,25 @@
 pub async fn run_joiner<R: Roster, L: PeerClient>(board: Arc<Blackboard>, roster: R, links: L) {
     let interval_ms = board.settings.peers.list_interval_ms;
     let joiner = Joiner { board, links, pending_joins: Arc::default() };
-    let mut turn = 0;
+    let mut round = 0;
     let mut pause_ms = ALONE_INTERVAL_MS;
     loop {
         // The whole fleet together asks the platform about as often as a small one does; it
         // takes one instance to find another group, and both become one.
-        let known = joiner.board.members_view().running_count() as u64;
+        let running = joiner.board.members_view().running_count() as u64;
         let rounds_per_listing = if joiner.is_alone() {
             ALONE_ROUNDS_PER_LISTING
         } else {
-            known.div_ceil(INSTANCES_PER_LISTING)
+            running.div_ceil(INSTANCES_PER_LISTING)
         };
-        let list_due = turn % rounds_per_listing == rounds_per_listing - 1;
-        let unknown = joiner.unknown_addresses(&roster, list_due).await;
-        turn += 1;
-        let settled = unknown.is_empty();
+        let listing_due = round % rounds_per_listing == rounds_per_listing - 1;
+        let unknown = joiner.unknown_addresses(&roster, listing_due).await;
+        round += 1;
+        let none_unknown = unknown.is_empty();
         let answered = joiner.join_round(unknown).await;
         // That others joined this one says nothing of whom they know: it may be one of several
         // that a starting fleet gathers around.
-        pause_ms = match (answered || settled, joiner.is_alone()) {
+        pause_ms = match (answered || none_unknown, joiner.is_alone()) {
             (_, true) => ALONE_INTERVAL_MS,
             (true, false) => interval_ms,
             (false, false) => (pause_ms * 2).min(interval_ms),
--- a/src/member/local_health.rs
+++ b/src/member/local_health.rs
@@ -9,8 +9,8 @@
 /// Whether something that was due after `due_ms` and came after `passed_ms` shows that this instance was
 /// held up.
 #[must_use]
-pub const fn is_late(passed_ms: u64, due_ms: u64) -> bool {
-    passed_ms > due_ms + LATE_THRESHOLD_MS
+pub const fn is_late(elapsed_ms: u64, due_ms: u64) -> bool {
+    elapsed_ms > due_ms + LATE_THRESHOLD_MS
 }
 
 /// The lateness of this instance's own turns.
@@ -32,13 +32,13 @@
 
     /// Takes in a turn that was due after `due_ms` and came after `passed_ms`; returns how much of that
     /// time counts against nobody.
-    pub fn record_tick(&mut self, passed_ms: u64, due_ms: u64) -> u64 {
-        if is_late(passed_ms, due_ms) {
+    pub fn record_tick(&mut self, elapsed_ms: u64, due_ms: u64) -> u64 {
+        if is_late(elapsed_ms, due_ms) {
             self.score = (self.score + 1).min(SCORE_MAX);
-            return passed_ms;
+            return elapsed_ms;
         }
         self.score = self.score.saturating_sub(1);
-        let counted_ms = passed_ms.min(due_ms) / (1 + self.score);
-        passed_ms - counted_ms
+        let counted_ms = elapsed_ms.min(due_ms) / (1 + self.score);
+        elapsed_ms - counted_ms
     }
 }
--- a/src/member/request.rs
+++ b/src/member/request.rs
@@ -12,7 +12,7 @@
     /// A newcomer asks for members: all of a small fleet, the first ones of each zone of a large one.
     Join(MemberRow),
     /// Asks for a sign of life. `summary` is that of what the sender believes of all members.
-    Ping { from: MemberRow, stamp: u64, summary: u64, rumours: Vec<MemberRow> },
+    Ping { from: MemberRow, stamp: u64, digest_hash: u64, gossip: Vec<MemberRow> },
     /// Asks in which members the other believes something else.
     Compare(MembersDigest),
     /// Tells of members, and asks for the rows with these fingerprints.
--- a/src/member/ring.rs
+++ b/src/member/ring.rs
@@ -31,10 +31,12 @@
     /// each held one from and to each, some 30 KB apiece, 8 MB on 127 instances.
     pub(super) fn fingers(&self, own: u64) -> Fingers {
         let at = self.members.binary_search(&own);
-        let after = at.map_or_else(|place| place, |place| place + 1);
+        let first = at.map_or_else(|position| position, |position| position + 1);
         let others = self.members.len() - usize::from(at.is_ok());
-        let places = std::iter::successors(Some(1_usize), |place| place.checked_mul(2));
-        let places = places.take_while(|place| *place <= others);
-        places.map(|place| self.members[(after + place - 1) % self.members.len()]).collect()
+        let positions = std::iter::successors(Some(1_usize), |position| position.checked_mul(2));
+        let positions = positions.take_while(|position| *position <= others);
+        positions
+            .map(|position| self.members[(first + position - 1) % self.members.len()])
+            .collect()
     }
 }
--- a/src/member/suspicion_timer.rs
+++ b/src/member/suspicion_timer.rs
@@ -37,10 +37,10 @@
 
     /// Declares suspects dead whose time is over; returns their peer addresses.
     pub fn tick(&mut self, members: &mut MemberTable, now_ms: u64) -> Vec<SocketAddr> {
-        let passed_ms = now_ms.saturating_sub(self.last_tick_ms);
-        let missed_ms = self.health.record_tick(passed_ms, self.tick_interval_ms);
+        let elapsed_ms = now_ms.saturating_sub(self.last_tick_ms);
+        let stalled_ms = self.health.record_tick(elapsed_ms, self.tick_interval_ms);
         self.last_tick_ms = now_ms;
-        members.extend_suspicion(missed_ms, now_ms);
+        members.extend_suspicion(stalled_ms, now_ms);
         let dead = members.expire_suspects(self.timeout_ms, now_ms);
         self.tick_interval_ms = if members.has_suspects() { SUSPECT_TICK_MS } else { IDLE_TICK_MS };
         dead
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -109,40 +109,40 @@
     }
 
     /// Puts a row in force in the place of the one known of its member, if any, to be told so often.
-    fn insert(&mut self, known: MemberEntry, tells: u32) {
-        let incarnation = known.row.incarnation;
+    fn insert(&mut self, entry: MemberEntry, sends: u32) {
+        let incarnation = entry.row.incarnation;
         self.remove(incarnation);
-        if known.row.state.may_answer() {
-            self.by_peer_address.entry(known.row.peer).or_default().push(incarnation);
+        if entry.row.state.may_answer() {
+            self.by_peer_address.entry(entry.row.peer).or_default().push(incarnation);
             self.ring.set_present(incarnation, true);
         }
-        self.gossip_queue.set(incarnation, tells);
-        if known.row.state == MemberState::Suspect {
-            self.suspects.insert((known.state_since_ms, incarnation));
+        self.gossip_queue.set(incarnation, sends);
+        if entry.row.state == MemberState::Suspect {
+            self.suspects.insert((entry.state_since_ms, incarnation));
         }
-        if !known.row.state.may_answer() {
-            self.tombstones.insert((known.state_since_ms, incarnation));
+        if !entry.row.state.may_answer() {
+            self.tombstones.insert((entry.state_since_ms, incarnation));
         }
-        self.digest.add(&known.row);
+        self.digest.add(&entry.row);
         self.changed.insert(incarnation);
-        self.entries.insert(incarnation, known);
+        self.entries.insert(incarnation, entry);
     }
 
     /// Takes a member out of everything that is derived from its row.
     fn remove(&mut self, incarnation: u64) -> Option<MemberEntry> {
-        let known = self.entries.remove(&incarnation)?;
-        self.digest.remove(&known.row);
+        let entry = self.entries.remove(&incarnation)?;
+        self.digest.remove(&entry.row);
         self.ring.set_present(incarnation, false);
         self.gossip_queue.set(incarnation, 0);
-        self.suspects.remove(&(known.state_since_ms, incarnation));
-        self.tombstones.remove(&(known.state_since_ms, incarnation));
-        if let Some(at_peer) = self.by_peer_address.get_mut(&known.row.peer) {
-            at_peer.retain(|other| *other != incarnation);
-            if at_peer.is_empty() {
-                self.by_peer_address.remove(&known.row.peer);
+        self.suspects.remove(&(entry.state_since_ms, incarnation));
+        self.tombstones.remove(&(entry.state_since_ms, incarnation));
+        if let Some(at_address) = self.by_peer_address.get_mut(&entry.row.peer) {
+            at_address.retain(|other| *other != incarnation);
+            if at_address.is_empty() {
+                self.by_peer_address.remove(&entry.row.peer);
             }
         }
-        Some(known)
+        Some(entry)
     }
 
     /// The own row with its age of now.
@@ -154,37 +154,39 @@
     /// All rows, oldest news included, with their ages of now.
     #[must_use]
     pub fn rows(&self, now_ms: u64) -> Vec<MemberRow> {
-        self.entries.values().map(|known| known.row_at(now_ms)).collect()
+        self.entries.values().map(|entry| entry.row_at(now_ms)).collect()
     }
 
     /// The rows of the members of some parts of the digest, with their ages of now.
     #[must_use]
-    pub fn rows_in_buckets(&self, parts: &[usize], now_ms: u64) -> Vec<MemberRow> {
-        let among = self.entries.iter().filter(|(member, _)| parts.contains(&bucket_of(**member)));
-        among.map(|(_, known)| known.row_at(now_ms)).collect()
+    pub fn rows_in_buckets(&self, buckets: &[usize], now_ms: u64) -> Vec<MemberRow> {
+        let selected =
+            self.entries.iter().filter(|(member, _)| buckets.contains(&bucket_of(**member)));
+        selected.map(|(_, entry)| entry.row_at(now_ms)).collect()
     }
 
     /// The fingerprints of the members of some parts of the digest.
     #[must_use]
-    pub fn fingerprints_in_buckets(&self, parts: &[usize]) -> Vec<u32> {
-        let among = self.entries.iter().filter(|(member, _)| parts.contains(&bucket_of(**member)));
-        among.filter_map(|(_, known)| fingerprint(&known.row)).collect()
+    pub fn fingerprints_in_buckets(&self, buckets: &[usize]) -> Vec<u32> {
+        let selected =
+            self.entries.iter().filter(|(member, _)| buckets.contains(&bucket_of(**member)));
+        selected.filter_map(|(_, entry)| fingerprint(&entry.row)).collect()
     }
 
     /// The rows with these fingerprints, with their ages of now.
     #[must_use]
     pub fn rows_with_fingerprints(&self, fingerprints: &[u32], now_ms: u64) -> Vec<MemberRow> {
         let wanted: HashSet<u32> = fingerprints.iter().copied().collect();
-        let among = self.entries.values();
-        let among = among
-            .filter(|known| fingerprint(&known.row).is_some_and(|print| wanted.contains(&print)));
-        among.map(|known| known.row_at(now_ms)).collect()
+        let selected = self.entries.values();
+        let selected = selected
+            .filter(|entry| fingerprint(&entry.row).is_some_and(|hash| wanted.contains(&hash)));
+        selected.map(|entry| entry.row_at(now_ms)).collect()
     }
 
     /// The row of one member with its age of now.
     #[must_use]
     pub fn row(&self, incarnation: u64, now_ms: u64) -> Option<MemberRow> {
-        self.entries.get(&incarnation).map(|known| known.row_at(now_ms))
+        self.entries.get(&incarnation).map(|entry| entry.row_at(now_ms))
     }
 
     /// What tells whether another table believes the same.
@@ -196,7 +198,7 @@
     /// When the member started by our clock, or later.
     #[must_use]
     pub fn started_ms(&self, incarnation: u64) -> Option<u64> {
-        self.entries.get(&incarnation).map(|known| known.started_ms)
+        self.entries.get(&incarnation).map(|entry| entry.started_ms)
     }
 
     /// Whether any member may answer at this peer address.
@@ -209,7 +211,7 @@
     pub fn take_changes(&mut self, now_ms: u64) -> Vec<MemberChange> {
         let changed = std::mem::take(&mut self.changed);
         let change = |incarnation| match self.entries.get(&incarnation) {
-            Some(known) => MemberChange::Updated(known.row_at(now_ms)),
+            Some(entry) => MemberChange::Updated(entry.row_at(now_ms)),
             None => MemberChange::Removed(incarnation),
         };
         changed.into_iter().map(change).collect()
@@ -235,25 +237,22 @@
         if row.incarnation == self.own_incarnation {
             return self.refute(row, now_ms);
         }
-        let tells = if source == Source::Gossip { self.gossip_sends() } else { 0 };
+        let sends = if source == Source::Gossip { self.gossip_sends() } else { 0 };
         let implied_started_ms = now_ms.saturating_sub(row.uptime_ms);
         let full = self.entries.len() >= MEMBERS_MAX;
-        let mut born_ms = implied_started_ms;
+        let mut started_ms = implied_started_ms;
         match self.entries.get_mut(&row.incarnation) {
-            Some(known) => {
-                known.started_ms = known.started_ms.min(implied_started_ms);
-                born_ms = known.started_ms;
-                if !row.overrides(&known.row) {
+            Some(entry) => {
+                entry.started_ms = entry.started_ms.min(implied_started_ms);
+                started_ms = entry.started_ms;
+                if !row.overrides(&entry.row) {
                     return false;
                 }
             }
             None if full => return false,
             None => self.supersede_predecessor(row, now_ms),
         }
-        self.insert(
-            MemberEntry { row: row.clone(), started_ms: born_ms, state_since_ms: now_ms },
-            tells,
-        );
+        self.insert(MemberEntry { row: row.clone(), started_ms, state_since_ms: now_ms }, sends);
         true
     }
 
@@ -278,17 +277,18 @@
         if !row.state.may_answer() {
             return;
         }
-        let born_ms = now_ms.saturating_sub(row.uptime_ms);
-        let at_peer = self.by_peer_address.get(&row.peer).cloned().unwrap_or_default();
+        let started_ms = now_ms.saturating_sub(row.uptime_ms);
+        let at_address = self.by_peer_address.get(&row.peer).cloned().unwrap_or_default();
         let own = self.own_incarnation;
-        for before in at_peer.into_iter().filter(|before| *before != own) {
-            let Some(known) = self.entries.get(&before).filter(|known| known.started_ms < born_ms)
+        for predecessor in at_address.into_iter().filter(|predecessor| *predecessor != own) {
+            let Some(entry) =
+                self.entries.get(&predecessor).filter(|entry| entry.started_ms < started_ms)
             else {
                 continue;
             };
-            let row = MemberRow { state: MemberState::Dead, ..known.row.clone() };
+            let row = MemberRow { state: MemberState::Dead, ..entry.row.clone() };
             self.insert(
-                MemberEntry { row, started_ms: known.started_ms, state_since_ms: now_ms },
+                MemberEntry { row, started_ms: entry.started_ms, state_since_ms: now_ms },
                 0,
             );
         }
@@ -311,18 +311,18 @@
     }
 
     fn downgrade(&mut self, incarnation: u64, state: MemberState, now_ms: u64) -> bool {
-        let Some(known) = self.entries.get(&incarnation) else {
+        let Some(entry) = self.entries.get(&incarnation) else {
             return false;
         };
         // A leaving member that falls silent has stopped: as a suspect it would take work again.
-        let leaves = known.row.state == MemberState::Leaving;
-        let state = if leaves { MemberState::Dead } else { state };
-        if known.row.state >= state {
+        let is_leaving = entry.row.state == MemberState::Leaving;
+        let state = if is_leaving { MemberState::Dead } else { state };
+        if entry.row.state >= state {
             return false;
         }
-        let row = MemberRow { state, ..known.row.clone() };
+        let row = MemberRow { state, ..entry.row.clone() };
         self.insert(
-            MemberEntry { row, started_ms: known.started_ms, state_since_ms: now_ms },
+            MemberEntry { row, started_ms: entry.started_ms, state_since_ms: now_ms },
             self.gossip_sends(),
         );
         true
@@ -351,14 +351,14 @@
     }
 
     /// Gives the suspects of now more time: for `missed_ms` this instance could not hear them.
-    pub fn extend_suspicion(&mut self, missed_ms: u64, now_ms: u64) {
-        if missed_ms == 0 {
+    pub fn extend_suspicion(&mut self, stalled_ms: u64, now_ms: u64) {
+        if stalled_ms == 0 {
             return;
         }
         for (since_ms, incarnation) in std::mem::take(&mut self.suspects) {
-            let since_ms = (since_ms + missed_ms).min(now_ms);
-            if let Some(known) = self.entries.get_mut(&incarnation) {
-                known.state_since_ms = since_ms;
+            let since_ms = (since_ms + stalled_ms).min(now_ms);
+            if let Some(entry) = self.entries.get_mut(&incarnation) {
+                entry.state_since_ms = since_ms;
                 self.suspects.insert((since_ms, incarnation));
             }
         }
@@ -366,8 +366,8 @@
 
     /// Up to `most` rows that are still news, the least told first.
     pub fn take_gossip(&mut self, most: usize, now_ms: u64) -> Vec<MemberRow> {
-        let told = self.gossip_queue.take(most);
-        told.iter().filter_map(|member| self.row(*member, now_ms)).collect()
+        let next = self.gossip_queue.take(most);
+        next.iter().filter_map(|member| self.row(*member, now_ms)).collect()
     }
 
     /// The members that this one pings, and is connected to.
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -99,16 +99,16 @@
     }
 
     async fn sender(&self, secret: &str) -> Result<SendRequest<Bytes>, PeerError> {
-        let mut held = self.sender.lock().await;
-        if let Some(sender) = held.take()
+        let mut guard = self.sender.lock().await;
+        if let Some(sender) = guard.take()
             && let Ok(ready) = sender.ready().await
         {
-            *held = Some(ready.clone());
+            *guard = Some(ready.clone());
             return Ok(ready);
         }
         let sender = connect(self.address, secret).await.ok_or(PeerError::NotSent)?;
         let ready = sender.ready().await.map_err(|_| PeerError::NotSent)?;
-        *held = Some(ready.clone());
+        *guard = Some(ready.clone());
         Ok(ready)
     }
 
@@ -118,9 +118,9 @@
         secret: &str,
         path: &str,
         body: Bytes,
-        open_within: Duration,
+        connect_timeout: Duration,
     ) -> Result<RecvStream, PeerError> {
-        let opened = tokio::time::timeout(open_within, self.sender(secret)).await;
+        let opened = tokio::time::timeout(connect_timeout, self.sender(secret)).await;
         let mut sender = opened.map_err(|_| PeerError::NotSent)??;
         let request = Request::post(format!("http://peer{path}")).body(());
         let request = request.map_err(|_| PeerError::NotSent)?;
@@ -139,22 +139,22 @@
         &self,
         secret: &str,
         request: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let exchange = async {
-            let mut answer = self.send_request(secret, "/control", request, within).await?;
+            let mut answer = self.send_request(secret, "/control", request, timeout).await?;
             let bytes = read_message(&mut answer).await.ok_or(PeerError::ResponseLost)?;
             decode::<PeerReply>(&bytes).map_err(|_| PeerError::ResponseLost)
         };
         self.last_used_us.store(now_us(), Ordering::Relaxed);
-        let Ok(done) = tokio::time::timeout(within, exchange).await else {
+        let Ok(result) = tokio::time::timeout(timeout, exchange).await else {
             self.record_timeout();
             return Err(PeerError::ResponseLost);
         };
         self.consecutive_timeouts.store(0, Ordering::Release);
-        match done {
+        match result {
             Ok(PeerReply::Failed(code)) => Err(PeerError::Refused(code)),
-            done => done,
+            result => result,
         }
     }
 
@@ -163,7 +163,7 @@
         secret: &str,
         head: &ForwardHead,
         body: &Bytes,
-        open_within: Duration,
+        connect_timeout: Duration,
     ) -> Result<ForwardReply, PeerError> {
         self.last_used_us.store(now_us(), Ordering::Relaxed);
         let encoded = encode(head);
@@ -171,7 +171,7 @@
         frame.extend_from_slice(&length_prefix(encoded.len()));
         frame.extend_from_slice(&encoded);
         frame.extend_from_slice(body);
-        let mut rest = self.send_request(secret, "/pass", frame.freeze(), open_within).await?;
+        let mut rest = self.send_request(secret, "/pass", frame.freeze(), connect_timeout).await?;
         let (head, first) =
             read_prefixed::<ForwardReplyHead>(&mut rest).await.ok_or(PeerError::ResponseLost)?;
         Ok(ForwardReply { head, first, rest })
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -78,11 +78,11 @@
         &self,
         address: SocketAddr,
         request: &PeerRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let encoded = Bytes::from(encode(request));
         self.control_bytes.fetch_add(encoded.len() as u64, Ordering::Relaxed);
-        self.link(address).call(&self.secret, encoded, within).await
+        self.link(address).call(&self.secret, encoded, timeout).await
     }
 
     /// Each link holds some 30 KB on both ends.
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -96,8 +96,8 @@
     service: S,
 ) {
     let _ = stream.set_nodelay(true);
-    let proved = tokio::time::timeout(AUTH_TIMEOUT, auth::accept(&mut stream, secret)).await;
-    match proved {
+    let authenticated = tokio::time::timeout(AUTH_TIMEOUT, auth::accept(&mut stream, secret)).await;
+    match authenticated {
         Ok(Ok(())) => {}
         Ok(Err(err)) => return service.connection_refused(from, &err.to_string()),
         Err(_) => return service.connection_refused(from, "no proof in time"),
@@ -126,9 +126,9 @@
         _ => None,
     };
     if served.is_none() {
-        let refusal = Response::builder().status(StatusCode::BAD_REQUEST).body(());
-        if let Ok(refusal) = refusal {
-            let _ = respond.send_response(refusal, true);
+        let response = Response::builder().status(StatusCode::BAD_REQUEST).body(());
+        if let Ok(response) = response {
+            let _ = respond.send_response(response, true);
         }
     }
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -194,7 +194,7 @@
 impl Message for PeerReply {
     fn packed_bytes(&self) -> usize {
         match self {
-            Self::Feed(told) => told.reply.packed_bytes(),
+            Self::Feed(response) => response.reply.packed_bytes(),
             _ => 0,
         }
     }
--- a/src/peer/peer_client.rs
+++ b/src/peer/peer_client.rs
@@ -17,7 +17,7 @@
         &self,
         address: SocketAddr,
         request: &PeerRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<PeerReply, PeerError>> + Send;
 
     /// Closes links that are not used any more.
--- a/src/store/any_store.rs
+++ b/src/store/any_store.rs
@@ -31,7 +31,7 @@
     }
 }
 
-macro_rules! each {
+macro_rules! dispatch {
     ($self:ident, $store:ident => $call:expr) => {
         match $self {
             Self::Memory($store) => $call.await,
@@ -42,40 +42,40 @@
 
 impl Store for AnyStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
-        each!(self, store => store.get(key))
+        dispatch!(self, store => store.get(key))
     }
 
     async fn watch(&self, prefix: &str, index: u64, wait: Duration) -> Result<Listing, StoreError> {
-        each!(self, store => store.watch(prefix, index, wait))
+        dispatch!(self, store => store.watch(prefix, index, wait))
     }
 
     async fn put_if(&self, key: &str, value: &[u8], index: u64) -> Result<bool, StoreError> {
-        each!(self, store => store.put_if(key, value, index))
+        dispatch!(self, store => store.put_if(key, value, index))
     }
 
     async fn lease_open(&self, ttl: Duration) -> Result<Lease, StoreError> {
-        each!(self, store => store.lease_open(ttl))
+        dispatch!(self, store => store.lease_open(ttl))
     }
 
     async fn lease_renew(&self, lease: &Lease) -> Result<bool, StoreError> {
-        each!(self, store => store.lease_renew(lease))
+        dispatch!(self, store => store.lease_renew(lease))
     }
 
     async fn lease_close(&self, lease: &Lease) -> Result<(), StoreError> {
-        each!(self, store => store.lease_close(lease))
+        dispatch!(self, store => store.lease_close(lease))
     }
 
     async fn acquire(&self, key: &str, value: &[u8], lease: &Lease) -> Result<bool, StoreError> {
-        each!(self, store => store.acquire(key, value, lease))
+        dispatch!(self, store => store.acquire(key, value, lease))
     }
 }
 
 impl Roster for AnyStore {
     async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
-        each!(self, store => store.instances())
+        dispatch!(self, store => store.instances())
     }
 
     async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
-        each!(self, store => store.backend_servers())
+        dispatch!(self, store => store.backend_servers())
     }
 }
--- a/src/store/http_client.rs
+++ b/src/store/http_client.rs
@@ -115,9 +115,9 @@
                 Ok(response) => response,
                 // The message comes back only if none of it was written.
                 Err(mut err) => {
-                    let untouched = err.take_message().is_some();
+                    let unsent = err.take_message().is_some();
                     let why = err.into_error().to_string();
-                    return Err(if untouched { unreachable(why) } else { response_lost(why) });
+                    return Err(if unsent { unreachable(why) } else { response_lost(why) });
                 }
             };
             let status = response.status();
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -26,7 +26,7 @@
 fn merging_matches_a_reference_map() {
     property(300, |u| {
         let mut catalog = Catalog::default();
-        let mut naive: BTreeMap<String, u64> = BTreeMap::new();
+        let mut reference: BTreeMap<String, u64> = BTreeMap::new();
         for _ in 0..u.int_in_range(1..=60)? {
             let name = format!("s{}", u.int_in_range(0..=5)?);
             let revision = u.int_in_range(1..=9)?;
@@ -36,11 +36,11 @@
                 service: None,
                 earlier_changes: Vec::new(),
             };
-            let known = naive.entry(name.clone()).or_insert(0);
+            let known = reference.entry(name.clone()).or_insert(0);
             assert_eq!(catalog.merge(&name, row), revision > *known);
             *known = revision.max(*known);
         }
-        let summary: Vec<(String, u64)> = naive.into_iter().collect();
+        let summary: Vec<(String, u64)> = reference.into_iter().collect();
         assert_eq!(catalog.summary(), summary);
         let mut other = Catalog::default();
         for (name, row) in catalog.all().into_iter().rev() {
@@ -61,10 +61,10 @@
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     let mut revision = 1;
-    for turn in 0..10 {
+    for round in 0..10 {
         let (mut one, mut two) = (service.clone(), service.clone());
-        one.timeout_ms = 1_000 + turn;
-        two.timeout_ms = 2_000 + turn;
+        one.timeout_ms = 1_000 + round;
+        two.timeout_ms = 2_000 + round;
         let (first, second) = tokio::join!(bed.put(0, &one, revision), bed.put(1, &two, revision));
         let (accepted, refused, winner) = match (first, second) {
             (Ok(accepted), Err(refused)) => (accepted, refused, one),
@@ -88,12 +88,12 @@
 async fn a_change_with_a_lost_response_is_reported_as_accepted() {
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
-    for turn in 1..=5 {
-        service.timeout_ms = 1_000 + turn;
+    for round in 1..=5 {
+        service.timeout_ms = 1_000 + round;
         // Other calls may take the lost answer; so each turn loses a few.
         bed.platform().switches.lose_answers.store(2, Ordering::Release);
-        let committed = bed.put(0, &service, turn.into()).await;
-        assert_eq!(committed, Ok(u64::from(turn) + 1));
+        let committed = bed.put(0, &service, round.into()).await;
+        assert_eq!(committed, Ok(u64::from(round) + 1));
     }
     let took = bed.until_in_force("orders", 6).await;
     assert!(took < PROPAGATION_MAX, "{took:?}");
@@ -171,8 +171,8 @@
         });
     }
     let mut revision = 1;
-    for turn in 0..30_u32 {
-        match turn % 10 {
+    for round in 0..30_u32 {
+        match round % 10 {
             3 => bed.platform().switches.slow_ms.store(60, Ordering::Release),
             5 => bed.platform().switches.lose_answers.store(3, Ordering::Release),
             7 => {
@@ -181,8 +181,8 @@
             }
             _ => {}
         }
-        service.timeout_ms = 1_000 + turn;
-        let at = turn as usize % 5;
+        service.timeout_ms = 1_000 + round;
+        let at = round as usize % 5;
         until("the change is accepted", async || match bed.put(at, &service, revision).await {
             Ok(committed) => {
                 revision = committed;
@@ -208,15 +208,15 @@
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     let old = bed.boards()[0].catalog.lock().get("orders").cloned().expect("in force");
-    let gone = bed.operator(1).delete("orders", 1).await.expect("deleted");
-    assert_eq!(gone.revision, 2);
+    let deleted = bed.operator(1).delete("orders", 1).await.expect("deleted");
+    assert_eq!(deleted.revision, 2);
     until("it is gone everywhere", async || {
         bed.boards().iter().all(|board| !board.services().contains_key("orders"))
     })
     .await;
     for board in bed.boards() {
-        let news = sorrelwick::catalog::merge_rows(&board, vec![("orders".into(), old.clone())]);
-        assert!(news.is_empty(), "a late row brought the service back");
+        let updated = sorrelwick::catalog::merge_rows(&board, vec![("orders".into(), old.clone())]);
+        assert!(updated.is_empty(), "a late row brought the service back");
     }
     service.timeout_ms = 777;
     assert_eq!(bed.put(2, &service, 0).await, Ok(3));
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -63,9 +63,9 @@
 #[test]
 fn collecting_loads_is_linear_in_the_servers() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
-    let told_few = shortest(|| drop(black_box(few.own_loads())));
-    let told_many = shortest(|| drop(black_box(many.own_loads())));
-    assert!(told_many < told_few * 30, "{told_few:?} for 400 servers, {told_many:?} for 4,000");
+    let took_few = shortest(|| drop(black_box(few.own_loads())));
+    let took_many = shortest(|| drop(black_box(many.own_loads())));
+    assert!(took_many < took_few * 30, "{took_few:?} for 400 servers, {took_many:?} for 4,000");
 }
 
 /// As above for the requests themselves: what is believed of a server is looked up some times for
@@ -89,10 +89,10 @@
 /// else: each word went through all servers. A word costs as much as it names servers.
 #[test]
 fn applying_a_peer_load_is_independent_of_the_server_count() {
-    let hear = |dispatcher: &Dispatcher| {
+    let apply = |dispatcher: &Dispatcher| {
         let servers = dispatcher.servers();
-        let named = servers.iter().take(10);
-        let rows: Vec<ServerLoadRow> = named
+        let listed = servers.iter().take(10);
+        let rows: Vec<ServerLoadRow> = listed
             .map(|server| ServerLoadRow {
                 server_hash: server.key,
                 in_flight: 1,
@@ -102,7 +102,7 @@
         let loads = ServerLoads { from: 7, rows };
         shortest(|| dispatcher.record_peer_loads(&loads))
     };
-    let (few, many) = (hear(&dispatcher_with(400)), hear(&dispatcher_with(4_000)));
+    let (few, many) = (apply(&dispatcher_with(400)), apply(&dispatcher_with(4_000)));
     assert!(many < few * 5, "{few:?} among 400 servers, {many:?} among 4,000");
 }
 
@@ -112,10 +112,10 @@
 fn an_idle_instance_finds_no_loads_without_a_scan() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
     assert!(many.own_loads().is_empty());
-    let told_few = shortest(|| drop(black_box(few.own_loads())));
-    let told_many = shortest(|| drop(black_box(many.own_loads())));
+    let took_few = shortest(|| drop(black_box(few.own_loads())));
+    let took_many = shortest(|| drop(black_box(many.own_loads())));
     let least = Duration::from_micros(1);
-    assert!(told_many < told_few.max(least) * 5, "{told_few:?} and {told_many:?}");
+    assert!(took_many < took_few.max(least) * 5, "{took_few:?} and {took_many:?}");
 }
 
 fn member(incarnation: u64) -> MemberRow {
@@ -180,12 +180,12 @@
 /// Asking must cost about the same with a thousand waiting as with ten.
 #[test]
 fn a_long_queue_before_full_servers_costs_no_more_than_a_short_one() {
-    let ask_with_waiting = |waiting: u64| {
+    let dispatch_with_queue = |queued: u64| {
         let mut pool = ServicePool::default();
         for number in 0..360 {
             pool.upsert_server(row(number, 4), 0);
         }
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             route: "lookup".into(),
             workspace: None,
             priority: 2,
@@ -196,17 +196,17 @@
             tried_servers: smallvec::SmallVec::new(),
         };
         let mut ticket = 0;
-        while pool.acquire_slot(ticket, &ask, "burnaby", 1_000, &mut || 0.5).is_some() {
+        while pool.acquire_slot(ticket, &spec, "burnaby", 1_000, &mut || 0.5).is_some() {
             ticket += 1;
         }
-        for number in 0..waiting {
-            pool.enqueue(ticket + number, ask.clone(), 1_000).expect("its aim is far off");
+        for number in 0..queued {
+            pool.enqueue(ticket + number, spec.clone(), 1_000).expect("its aim is far off");
         }
         shortest(|| {
             let served = pool.dispatch_queued("burnaby", 1_000, &mut || 0.5);
             assert!(served.is_none());
         })
     };
-    let (short, long) = (ask_with_waiting(10), ask_with_waiting(1_000));
+    let (short, long) = (dispatch_with_queue(10), dispatch_with_queue(1_000));
     assert!(long < short * 5, "{short:?} with 10 waiting, {long:?} with 1,000");
 }
--- a/tests/local_health.rs
+++ b/tests/local_health.rs
@@ -58,10 +58,10 @@
             self.next_ms = now_ms + due_ms + random.random_range(0..JITTER_MS);
         }
         let members = &mut self.members;
-        self.unread.retain(|(came_ms, word)| {
-            let read = *came_ms < now_ms;
+        self.unread.retain(|(arrived_ms, message)| {
+            let read = *arrived_ms < now_ms;
             if read {
-                members.merge(word, now_ms);
+                members.merge(message, now_ms);
             }
             !read
         });
@@ -69,23 +69,25 @@
 }
 
 /// All suspect the same instance at time 0; where it lives, its word to that comes within a moment.
-fn simulate(lives: bool, seed: u64) -> Vec<Observer> {
+fn simulate(alive: bool, seed: u64) -> Vec<Observer> {
     let mut random = Pcg64::seed_from_u64(seed);
     let suspect = member_row(1);
-    let refutes = MemberRow { generation: 1, ..suspect.clone() };
-    let judges = (0..INSTANCES).map(|at| Observer::new(at, &suspect, &mut random));
-    let mut judges: Vec<Observer> = judges.collect();
-    if lives {
-        for judge in &mut judges {
-            judge.unread.push((random.random_range(0..REFUTATION_DELAY_MAX_MS), refutes.clone()));
+    let refutation = MemberRow { generation: 1, ..suspect.clone() };
+    let observers = (0..INSTANCES).map(|at| Observer::new(at, &suspect, &mut random));
+    let mut observers: Vec<Observer> = observers.collect();
+    if alive {
+        for observer in &mut observers {
+            observer
+                .unread
+                .push((random.random_range(0..REFUTATION_DELAY_MAX_MS), refutation.clone()));
         }
     }
     for now_ms in 0..END_MS {
-        for judge in &mut judges {
-            judge.run(now_ms, &mut random);
+        for observer in &mut observers {
+            observer.run(now_ms, &mut random);
         }
     }
-    judges
+    observers
 }
 
 /// Guards against an instance that is held up itself and gives up one that lives, whose word it has not
@@ -93,8 +95,8 @@
 #[test]
 fn a_stalled_instance_declares_no_live_member_dead() {
     for seed in 0..20 {
-        let judges = simulate(true, seed);
-        let wrong = judges.iter().filter(|judge| judge.dead_ms.is_some()).count();
+        let observers = simulate(true, seed);
+        let wrong = observers.iter().filter(|observer| observer.dead_ms.is_some()).count();
         assert_eq!(wrong, 0, "seed {seed}: {wrong} of {INSTANCES} gave it up");
     }
 }
@@ -103,12 +105,12 @@
 /// they should and by those who did not for a while.
 #[test]
 fn a_dead_instance_is_declared_dead_in_time() {
-    for judge in simulate(false, 1) {
-        let dead_ms = judge.dead_ms.expect("given up at last");
-        if judge.stalled.is_empty() {
+    for observer in simulate(false, 1) {
+        let dead_ms = observer.dead_ms.expect("given up at last");
+        if observer.stalled.is_empty() {
             assert!(dead_ms < SUSPECT_TIMEOUT_MS + 250, "after {dead_ms} ms");
         } else {
-            let since_ms = dead_ms.saturating_sub(judge.stalled.end);
+            let since_ms = dead_ms.saturating_sub(observer.stalled.end);
             assert!(since_ms < SUSPECT_TIMEOUT_MS + 250, "{since_ms} ms after it was held up");
         }
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -29,8 +29,8 @@
 /// What an instance believed of members, with its time in milliseconds.
 fn member_changes(board: &Blackboard) -> Vec<String> {
     let events = board.events.after(0);
-    let told = events.iter().map(|event| (event.stamp, event.kind.name_and_detail()));
-    let members = told.filter(|(_, (name, _))| name.starts_with("member"));
+    let stamped = events.iter().map(|event| (event.stamp, event.kind.name_and_detail()));
+    let members = stamped.filter(|(_, (name, _))| name.starts_with("member"));
     members.map(|(stamp, (_, text))| format!("{} {text}", stamp >> STAMP_COUNTER_BITS)).collect()
 }
 
@@ -69,11 +69,12 @@
     assert!(other.merge(&frozen.own_row(1), 1));
     assert!(other.suspect(1, 2));
     assert_eq!(other.expire_suspects(100, 200).len(), 1);
-    let believed = |table: &MemberTable| table.rows(300).into_iter().find(|r| r.incarnation == 1);
-    assert_eq!(believed(&other).expect("known").state, MemberState::Dead);
-    assert!(frozen.merge(&believed(&other).expect("known"), 300));
+    let row_of_frozen =
+        |table: &MemberTable| table.rows(300).into_iter().find(|r| r.incarnation == 1);
+    assert_eq!(row_of_frozen(&other).expect("known").state, MemberState::Dead);
+    assert!(frozen.merge(&row_of_frozen(&other).expect("known"), 300));
     assert!(other.merge(&frozen.own_row(300), 300));
-    assert_eq!(believed(&other).expect("known").state, MemberState::Alive);
+    assert_eq!(row_of_frozen(&other).expect("known").state, MemberState::Alive);
 }
 
 /// Story: an instance that is leaving stops answering. It must not become a suspect, because a
@@ -117,10 +118,10 @@
             let kept = keepers.iter().filter(|keeper| **keeper == home).count();
             assert!(kept <= 30_usize.div_ceil(chosen.len()));
         }
-        let gone = u.choose_index(members)?;
+        let removed = u.choose_index(members)?;
         let rest: Vec<HomeCandidate<'_>> =
-            all.iter().enumerate().filter(|(at, _)| *at != gone).map(|(_, c)| *c).collect();
-        if !homes.contains(&gone) {
+            all.iter().enumerate().filter(|(at, _)| *at != removed).map(|(_, c)| *c).collect();
+        if !homes.contains(&removed) {
             let after: Vec<u64> = select_homes("orders", &rest, &zone_slots)
                 .iter()
                 .map(|&at| rest[at].incarnation)
