--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -1,4 +1,4 @@
-//! Everything that the controllers of one instance share.
+//! Shared state of one instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,46 +31,50 @@
 use crate::quarantine::Quarantine;
 use crate::route::ServiceState;
 
-/// The services in force, by name.
+/// The active services, by name.
 pub type ServiceMap = HashMap<String, Arc<ServiceState>>;
 
-/// Members that are noted one by one when they change at once; more of them come from a comparison
-/// with another instance, where one line tells as much.
+/// Up to this many member changes are logged one by one. More at once come from anti-entropy and
+/// are logged as one summary.
 const MEMBERS_LOGGED_MAX: usize = 8;
 
-/// Where the process is in its life.
+/// Phase in the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Running,
-    /// Named in no new answer; still serves.
+    /// Shutting down: still serves, but is no longer advertised to callers.
     Leaving,
     Stopped,
 }
 
-/// The shared state of one instance. The request path reads snapshots and atomics only.
+/// Shared state of one instance: written by controllers, read by the request path, which reads only
+/// snapshots and atomics.
 #[derive(Debug)]
 pub struct Blackboard {
     pub settings: Settings,
-    /// Random per start of the process.
+    /// Random number, drawn at each process start.
     pub incarnation: u64,
-    /// Written by the membership controllers.
+    /// The member table, written by the membership controllers.
     pub members: Mutex<MemberTable>,
-    /// Written by the catalog controllers.
+    /// The configuration, written by the catalog controllers.
     pub catalog: Mutex<Catalog>,
     pub outcomes: OutcomeTable,
-    /// Requests that are refused, since they crash servers.
+    /// Requests that are rejected because they crash servers.
     pub quarantine: Quarantine,
     pub counters: Counters,
     pub latencies: Latencies,
     pub events: EventRing,
-    /// Told when a request begins to wait for a slot, here or at a co-home.
+    /// Notified when a request starts to wait for a slot, here or at another home of the service.
     pub queue_formed: Notify,
-    /// Locked while changes are taken out of the table and put in here: of two tasks that do so at
-    /// once, the one with the older changes could otherwise put them in last, and hide a member.
-    /// Changed in place, unless somebody holds a snapshot of it at that moment.
+    /// The published members. The write lock is held while changes are taken from the member table
+    /// and applied: otherwise, of two tasks that publish at once, the one with older changes could
+    /// apply them last and hide a member. Changed in place unless a reader holds the current
+    /// snapshot.
     view: RwLock<Arc<MembersView>>,
     services: ArcSwap<ServiceMap>,
+    /// Counts changes that the placement depends on.
     changed: watch::Sender<u64>,
+    /// Whether the last call to the platform's store succeeded.
     store_up: AtomicBool,
     evacuated_zones: ArcSwap<Vec<Arc<str>>>,
     zone_demand_per_s: AtomicU32,
@@ -78,7 +82,7 @@
     in_flight: Arc<AtomicUsize>,
 }
 
-/// Counts a caller's request until its answer is there.
+/// Counts a caller's request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Arc<AtomicUsize>);
 
@@ -88,6 +92,7 @@
     }
 }
 
+/// The member row of this instance at its start.
 fn own_row(settings: &Settings, incarnation: u64) -> MemberRow {
     MemberRow {
         incarnation,
@@ -134,20 +139,20 @@
         board
     }
 
-    /// Records a change of state in the time line and the log.
+    /// Records an event in the event ring and the log.
     pub fn record_event(&self, kind: EventKind) {
         let (name, detail) = kind.name_and_detail();
         info!(event = name, instance = self.settings.instance.name.as_str(); "{name} {detail}");
         self.events.push(kind);
     }
 
-    /// Snapshot of the members.
+    /// A snapshot of the members.
     #[must_use]
     pub fn members_view(&self) -> Arc<MembersView> {
         Arc::clone(&self.view.read())
     }
 
-    /// Makes changes of the member table visible to the request path, and notes them.
+    /// Publishes changes of the member table to the request path and logs them.
     pub fn publish_members(&self) {
         let mut view = self.view.write();
         let subscribe_changes = self.members.lock().take_changes(now_ms());
@@ -163,7 +168,7 @@
         self.notify_changed();
     }
 
-    /// Notes the members whose state changed; many at once in one line.
+    /// Records the members whose state changed; many at once as one event.
     fn record_member_changes(&self, before: &MembersView, changes: &[MemberChange]) {
         let updated = changes.iter().filter_map(|change| {
             let MemberChange::Updated(row) = change else {
@@ -185,35 +190,35 @@
         }
     }
 
-    /// Snapshot of the services in force.
+    /// A snapshot of the active services.
     #[must_use]
     pub fn services(&self) -> arc_swap::Guard<Arc<ServiceMap>> {
         self.services.load()
     }
 
-    /// Puts services in force; for the placement controller.
+    /// Replaces the active services; called by the placement controller.
     pub fn set_services(&self, services: ServiceMap) {
         self.services.store(Arc::new(services));
     }
 
-    /// Tells the placement controller that its inputs changed.
+    /// Notifies the placement controller that its inputs changed.
     pub fn notify_changed(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes of what the placement depends on.
+    /// Subscribes to changes of what the placement depends on.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Whether the last call to the platform's store was answered.
+    /// Whether the last call to the platform's store succeeded.
     #[must_use]
     pub fn store_up(&self) -> bool {
         self.store_up.load(Ordering::Acquire)
     }
 
-    /// Takes note of how a call to the store ended; only a change of state is an event.
+    /// Records the result of a call to the store; only a change between up and down is an event.
     pub fn record_store_result(&self, error: Option<String>) {
         self.counters.add(super::Counter::StoreCalls);
         let up = error.is_none();
@@ -229,35 +234,36 @@
         }
     }
 
-    /// Requests a second that this instance carries.
+    /// Requests per second that this instance can carry.
     #[must_use]
     pub fn own_capacity_per_s(&self) -> u32 {
         self.settings.instance.capacity_per_s()
     }
 
-    /// The availability zones that the operators evacuate.
+    /// The availability zones that operators have evacuated.
     #[must_use]
     pub fn evacuated_zones(&self) -> Arc<Vec<Arc<str>>> {
         self.evacuated_zones.load_full()
     }
 
-    /// Sets the availability zones that the operators evacuate.
+    /// Sets the availability zones that operators have evacuated.
     pub fn set_evacuated_zones(&self, zones: Vec<Arc<str>>) {
         self.evacuated_zones.store(Arc::new(zones));
     }
 
-    /// Requests a second that the homes of a zone must be able to carry together.
+    /// Requests per second that the homes of a zone together must be able to carry.
     #[must_use]
     pub fn zone_demand_per_s(&self) -> u32 {
         self.zone_demand_per_s.load(Ordering::Acquire)
     }
 
-    /// Sets what the homes of a zone must carry; for the controller that knows the servers.
+    /// Sets the demand that the homes of a zone must carry; called by the controller that knows the
+    /// servers.
     pub fn set_zone_demand_per_s(&self, demand_per_s: u32) {
         self.zone_demand_per_s.store(demand_per_s, Ordering::Release);
     }
 
-    /// Where the process is in its life.
+    /// The phase of the process.
     #[must_use]
     pub fn phase(&self) -> Phase {
         match self.phase.load(Ordering::Acquire) {
@@ -267,19 +273,19 @@
         }
     }
 
-    /// Moves on in life; never back.
+    /// Advances the phase; it never goes back.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.fetch_max(phase as u8, Ordering::AcqRel);
     }
 
-    /// Counts a caller's request until the returned value is dropped.
+    /// Counts a caller's request as in flight until the returned guard is dropped.
     #[must_use]
     pub fn start_request(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlightGuard(Arc::clone(&self.in_flight))
     }
 
-    /// Callers' requests without answer yet.
+    /// Number of callers' requests in flight.
     #[must_use]
     pub fn requests_in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
--- a/src/board/counters.rs
+++ b/src/board/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of everything that happens too often for a log line.
+//! Counters of events that are too frequent for the log.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,14 +7,14 @@
 
 macro_rules! counters {
     ($($name:ident = $text:literal, $help:literal;)*) => {
-        /// One counted thing; the help text is what operators read.
+        /// A counter of the metrics page.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Counter {
             $(#[doc = $help] $name,)*
         }
 
         impl Counter {
-            /// All counters, with the names and help texts of the metrics page.
+            /// All counters, with their names and help texts on the metrics page.
             pub const ALL: &'static [(Self, &'static str, &'static str)] =
                 &[$((Self::$name, $text, $help),)*];
         }
@@ -48,7 +48,7 @@
     MembersLost = "members_lost", "Members declared dead.";
 }
 
-/// The values of all counters.
+/// Values of all counters since the start.
 #[derive(Debug)]
 pub struct Counters {
     values: Vec<AtomicU64>,
@@ -61,17 +61,17 @@
 }
 
 impl Counters {
-    /// Counts one.
+    /// Adds one.
     pub fn add(&self, counter: Counter) {
         self.add_many(counter, 1);
     }
 
-    /// Counts several at once.
+    /// Adds `count`.
     pub fn add_many(&self, counter: Counter, count: u64) {
         self.values[counter as usize].fetch_add(count, Ordering::Relaxed);
     }
 
-    /// The count since the start.
+    /// The value since the start.
     #[must_use]
     pub fn get(&self, counter: Counter) -> u64 {
         self.values[counter as usize].load(Ordering::Relaxed)
@@ -79,7 +79,7 @@
 }
 
 impl Counter {
-    /// The counter of final answers with this outcome.
+    /// The counter of final responses with this outcome.
     #[must_use]
     pub const fn of_outcome(outcome: Outcome) -> Self {
         match outcome {
--- a/src/board/events.rs
+++ b/src/board/events.rs
@@ -1,4 +1,4 @@
-//! The time line of one process.
+//! The recent events of one process.
 
 use std::collections::VecDeque;
 
@@ -6,9 +6,10 @@
 
 use crate::clock::HybridClock;
 
+/// Number of events kept.
 const EVENTS_MAX: usize = 4_096;
 
-/// A change of state.
+/// An event: a change of state worth a log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EventKind {
     Started,
@@ -26,7 +27,8 @@
         incarnation: u64,
         state: &'static str,
     },
-    /// Many members changed at once, of which `dead` were given up; `known` is how many there were.
+    /// Many members changed at once. `dead` of them were declared dead; `known` members were in the
+    /// table before.
     Members {
         changed: usize,
         dead: usize,
@@ -57,7 +59,7 @@
 }
 
 impl EventKind {
-    /// A backend server was seen leaving, or seen back.
+    /// The event that a backend server began to drain (`leaving`) or returned.
     #[must_use]
     pub fn server_leaving_changed(service: &str, server: &str, leaving: bool) -> Self {
         let (service, server) = (service.to_owned(), server.to_owned());
@@ -68,7 +70,7 @@
         }
     }
 
-    /// The kind's name and its detail, as operators read them.
+    /// The event's name and detail, as logged.
     #[must_use]
     pub fn name_and_detail(&self) -> (&'static str, String) {
         match self {
@@ -97,15 +99,15 @@
     }
 }
 
-/// An event with its stamp.
+/// An event with its timestamp.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Of the hybrid logical clock.
+    /// Timestamp of the hybrid logical clock.
     pub stamp: u64,
     pub kind: EventKind,
 }
 
-/// The last events of this process; older ones are dropped.
+/// The last [`EVENTS_MAX`] events of this process.
 #[derive(Debug, Default)]
 pub struct EventRing {
     pub clock: HybridClock,
@@ -113,7 +115,7 @@
 }
 
 impl EventRing {
-    /// Records an event now.
+    /// Records an event with the current timestamp.
     pub fn push(&self, kind: EventKind) {
         let stamp = self.clock.stamp();
         let mut events = self.events.lock();
--- a/src/board/latencies.rs
+++ b/src/board/latencies.rs
@@ -7,21 +7,22 @@
 use opentelemetry::metrics::Histogram;
 use opentelemetry::metrics::Meter;
 
-/// Bounds of the buckets: from the answer of a health check to the longest time-out.
+/// Upper bounds of the histogram buckets in seconds: from the response of a health check to the
+/// longest timeout.
 const BOUNDS_S: [f64; 13] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.0, 5.0];
 
-/// One timed thing.
+/// A latency of the metrics page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Latency {
-    /// A request from its head to its final answer.
+    /// A request, from its headers to its final response.
     Request,
-    /// One send to a backend server.
+    /// One attempt at a backend server.
     Send,
-    /// Waiting for a slot.
+    /// Time in the queue for a slot.
     Wait,
 }
 
-/// The histograms; they record nothing until they are registered.
+/// The latency histograms; they record nothing until registered.
 #[derive(Debug, Default)]
 pub struct Latencies {
     request: OnceLock<Histogram<f64>>,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Makes the histograms of a metrics page.
+    /// Creates the histograms of a metrics page.
     pub fn register(&self, meter: &Meter) {
         let named = [
             (Latency::Request, "sorrelwick_request", "Requests, from their head to their answer."),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Takes a sample, told apart by how it ended.
+    /// Records a sample, labelled with its outcome.
     pub fn record(&self, latency: Latency, elapsed: Duration, outcome: &'static str) {
         if let Some(histogram) = self.histogram(latency).get() {
             histogram.record(elapsed.as_secs_f64(), &[KeyValue::new("outcome", outcome)]);
--- a/src/board/members_view.rs
+++ b/src/board/members_view.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the members for the request path.
+//! Snapshot of the members for the request path.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -8,25 +8,27 @@
 use crate::member::MemberRow;
 use crate::member::MemberState;
 
-/// Steps from an instance to who answers for it now; bounds what a faulty row can cost.
+/// Maximum number of successors followed to find the owner of an instance's keys; bounds the cost
+/// of a faulty row.
 const SUCCESSORS_MAX: usize = 16;
 
-/// The members as this instance believed them to be at one moment.
+/// The members as this instance knew them at one moment.
 ///
-/// Kept in order as members change, one by one: who asks for the first instances of a zone some
-/// times a second walks over these only, however many others there are.
+/// Kept sorted as members change. Readers look up the first instances of a zone several times per
+/// second; the cost does not depend on the number of other members.
 #[derive(Clone, Debug, Default)]
 pub struct MembersView {
-    /// Sorted by incarnation, this instance included.
+    /// All members, this instance included, sorted by incarnation.
     pub rows: Vec<Arc<MemberRow>>,
-    /// The instances of each zone that take work, in the order of [`rank`]; no zone without any.
+    /// Members of each zone that accept work, in the order of [`compare_rank`]; a zone without any
+    /// is absent.
     by_zone: BTreeMap<String, Vec<Arc<MemberRow>>>,
-    /// Members that run, leaving ones included.
+    /// Number of members that may answer, leaving ones included.
     running_count: usize,
 }
 
-/// The order in which instances are given what few of them do: those that answer, then the largest,
-/// then by name; the same in every instance's view.
+/// Order in which instances are chosen for tasks that only a few perform: those not suspected
+/// first, then by descending capacity, then by name; the same in every instance's view.
 #[must_use]
 pub fn compare_rank(a: &MemberRow, b: &MemberRow) -> Ordering {
     let suspect = |row: &MemberRow| row.state == MemberState::Suspect;
@@ -37,7 +39,7 @@
 }
 
 impl MembersView {
-    /// A view of these rows.
+    /// Creates a view of these rows.
     #[must_use]
     pub fn from_rows(rows: &[Arc<MemberRow>]) -> Self {
         let mut view = Self::default();
@@ -47,7 +49,7 @@
         view
     }
 
-    /// Takes a change in.
+    /// Applies a change of the member table.
     pub fn apply(&mut self, change: MemberChange) {
         match change {
             MemberChange::Updated(row) => self.insert(Arc::new(row)),
@@ -94,18 +96,18 @@
         self.position(incarnation).ok().map(|at| &self.rows[at])
     }
 
-    /// The zones that have instances which take work.
+    /// The zones that have members which accept work.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.by_zone.keys().map(String::as_str)
     }
 
-    /// The instances of a zone that take work, in the order of [`rank`].
+    /// The members of a zone that accept work, in the order of [`compare_rank`].
     #[must_use]
     pub fn ranked(&self, zone: &str) -> &[Arc<MemberRow>] {
         self.by_zone.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// Up to `most` instances of other zones that take work, in the order of [`rank`].
+    /// Up to `most` members of other zones that accept work, in the order of [`compare_rank`].
     #[must_use]
     pub fn ranked_in_other_zones(&self, zone: &str, most: usize) -> Vec<&Arc<MemberRow>> {
         let others = self.by_zone.iter().filter(|(other, _)| *other != zone);
@@ -116,8 +118,9 @@
         first
     }
 
-    /// Who answers for the keys of `incarnation`: itself while it may answer, then its successor,
-    /// and so on: a successor that left handed on what it had taken over.
+    /// The owner of the idempotency keys of `incarnation`: itself or, once it has left, its
+    /// successor. A successor that left as well handed on the keys that it had taken over, so the
+    /// chain is followed.
     #[must_use]
     pub fn owner_for(&self, incarnation: u64) -> Option<Arc<MemberRow>> {
         let mut row = self.row(incarnation)?;
@@ -131,7 +134,7 @@
         Some(Arc::clone(row))
     }
 
-    /// Members that run, leaving ones included.
+    /// Number of members that may answer, leaving ones included.
     #[must_use]
     pub const fn running_count(&self) -> usize {
         self.running_count
--- a/src/board/mod.rs
+++ b/src/board/mod.rs
@@ -1,4 +1,4 @@
-//! The blackboard: what controllers write and the request path reads.
+//! Shared state of an instance: controllers write it, the request path reads it.
 
 mod blackboard;
 mod counters;
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -1,4 +1,4 @@
-//! Commits operators' changes in the platform's store.
+//! Commits operators' changes to the platform's store.
 
 use std::time::Duration;
 
@@ -15,16 +15,17 @@
 use crate::store::Store;
 use crate::store::StoreError;
 
-/// Reads that resolve a lost answer before the commit is told to be unknown.
+/// Reads after a lost response before the commit is reported as unknown.
 const READ_BACK_ATTEMPTS: u32 = 5;
+/// Pause before each of these reads.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(100);
-/// Turns of an edit that has no expected revision and may be made on whatever is there.
+/// Attempts at an edit without an expected revision, which may be applied to any current state.
 const ATTEMPTS_MAX: u32 = 8;
 
-/// What an operator wants of one service.
+/// An operator's change of one service.
 #[derive(Clone, Debug)]
 pub enum Edit {
-    /// Replace at this revision; 0 for a service that must not exist.
+    /// Replaces the service at the expected revision; 0 for a service that must not exist.
     Put {
         service: Service,
         expected: u64,
@@ -32,11 +33,12 @@
     Delete {
         expected: u64,
     },
-    /// Whatever the revision.
+    /// Drains or restores one server, at any revision.
     Drain {
         server: String,
         drained: bool,
     },
+    /// Sets the probe budget, at any revision.
     Budget {
         per_s: u32,
     },
@@ -46,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditError {
     pub coded: Coded,
-    /// What stands in the store, where that is known.
+    /// The row currently in the store, if known.
     pub current: Option<Box<Versioned>>,
 }
 
@@ -56,13 +58,15 @@
     }
 }
 
-/// Commits changes; an operator is told "accepted" only for what stands in the store.
+/// Commits changes; one is reported as accepted only once it is known to be in the store.
 #[derive(Clone, Debug)]
 pub struct Committer<S> {
     store: S,
 }
 
+/// A service's row in the store.
 struct StoredService {
+    /// The index that a compare-and-swap expects.
     index: u64,
     row: Option<Versioned>,
 }
@@ -72,6 +76,7 @@
         self.row.as_ref().map_or(0, |row| row.revision)
     }
 
+    /// The service, unless it is deleted.
     fn live(&self) -> Option<&Service> {
         self.row.as_ref().and_then(|row| row.service.as_ref())
     }
@@ -93,7 +98,7 @@
         }
     }
 
-    /// The service after the edit; `None` for a deleted one.
+    /// Applies the edit; `None` for a deleted service.
     fn apply(&self, name: &str, current: Option<&Service>) -> Result<Option<Service>, EditError> {
         if let Self::Put { service, .. } = self {
             return Ok(Some(service.clone()));
@@ -132,8 +137,8 @@
     /// Commits `edit` as the change `change_id`; the same id may be sent again after a fault.
     ///
     /// # Errors
-    /// `Conflict` with what stands, `NotFound`, `ServiceInvalid`, `StoreUnreachable` when nothing
-    /// changed, `CommitUnknown` when that cannot be told.
+    /// `Conflict` with the current row, `NotFound`, `ServiceInvalid`, `StoreUnreachable` if nothing
+    /// changed, `CommitUnknown` if that cannot be determined.
     pub async fn commit(
         &self,
         name: &str,
@@ -155,7 +160,7 @@
         Err(Coded::new(Code::Conflict, "others keep changing this service").into())
     }
 
-    /// One compare-and-swap; `None` when another change came between and the edit goes again.
+    /// One compare-and-swap; `None` if another change came first and the edit must be retried.
     async fn write(
         &self,
         name: &str,
@@ -164,7 +169,7 @@
         current: &StoredService,
     ) -> Result<Option<Versioned>, EditError> {
         let expected = edit.expected().unwrap_or_else(|| current.revision());
-        // A deleted service counts as not there, also for who never saw its tombstone.
+        // A deleted service counts as absent, also for a client that never saw its tombstone.
         let creates = expected == 0 && current.live().is_none();
         if expected != current.revision() && !creates {
             return Err(conflict(expected, current));
@@ -179,16 +184,18 @@
         let path = format!("{SERVICES_PREFIX}{name}");
         match self.store.put_if(&path, &value, current.index).await {
             Ok(true) => Ok(Some(row)),
-            // The next turn reads what stands and tells a conflict from a race to be run again.
+            // The next attempt reads the current row and tells a conflict from a race to be
+            // retried.
             Ok(false) => Ok(None),
             Err(StoreError::ResponseLost(why)) => self.resolve_lost_response(name, row, &why).await,
             Err(err) => Err(unreachable(&err).into()),
         }
     }
 
-    /// The write's answer was lost. What stands tells: our change id in it, that it took effect;
-    /// another change in its place, that it did not and never will. The revision before it
-    /// proves nothing, since the write may still be on its way.
+    /// Determines whether a write took effect whose response was lost, by reading the row back. If
+    /// the row contains our change id, it did; if another change has taken its revision, it did not
+    /// and never will. The previous revision proves nothing, since the write may still be in
+    /// flight.
     async fn resolve_lost_response(
         &self,
         name: &str,
--- a/src/catalog/merge.rs
+++ b/src/catalog/merge.rs
@@ -1,4 +1,4 @@
-//! The configuration as one instance has it in force; no I/O.
+//! The active configuration of one instance; no I/O.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use crate::model::Versioned;
 
-/// Names with their rows, as they travel.
+/// Service names with their rows, as sent between instances.
 pub type ServiceRows = Vec<(String, Versioned)>;
 
-/// Most services that an instance holds.
+/// Maximum number of services held, tombstones included.
 const SERVICES_MAX: usize = 20_000;
 
-/// One row per service. The highest revision wins on every path by which a row may come, and a
-/// deleted service keeps its row as a tombstone; so nothing late, doubled or out of order can
-/// bring an older state back.
+/// One row per service. The highest revision wins, whichever way a row arrives, and a deleted
+/// service keeps its row as a tombstone, so late, duplicate or reordered rows cannot restore an
+/// older state.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     rows: BTreeMap<String, Versioned>,
-    /// Sum of the rows' hashes: order plays no part, and a row's change is taken in at once.
+    /// Wrapping sum of the rows' hashes: independent of order and cheap to update.
     digest: u64,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Catalog {
-    /// Takes a row in; tells whether it is newer than what was there.
+    /// Merges a row; returns whether it is newer than the current one.
     pub fn merge(&mut self, name: &str, versioned: Versioned) -> bool {
         let known = self.rows.get(name).map_or(0, |row| row.revision);
         if versioned.revision <= known || (known == 0 && self.rows.len() >= SERVICES_MAX) {
@@ -41,7 +41,7 @@
         true
     }
 
-    /// Equal on two instances that have the same revisions in force.
+    /// A digest that is equal on two instances with the same revisions.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
@@ -53,7 +53,7 @@
         self.rows.iter().map(|(name, row)| (name.clone(), row.revision)).collect()
     }
 
-    /// The names that a peer with `summary` has newer than this instance.
+    /// The names for which a peer with `summary` has a newer revision.
     #[must_use]
     pub fn stale_names(&self, summary: &[(String, u64)]) -> Vec<String> {
         let newer = summary.iter().filter(|(name, revision)| {
@@ -62,7 +62,7 @@
         newer.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The rows that this instance has newer than a peer with `summary`.
+    /// The rows that are newer here than at a peer with `summary`.
     #[must_use]
     pub fn rows_newer_than(&self, summary: &[(String, u64)]) -> ServiceRows {
         let theirs: BTreeMap<&str, u64> =
@@ -73,14 +73,14 @@
         newer.map(|(name, row)| (name.clone(), row.clone())).collect()
     }
 
-    /// These rows, as far as they are there.
+    /// The rows of these services, where present.
     #[must_use]
     pub fn get_many(&self, names: &[String]) -> ServiceRows {
         let rows = names.iter().filter_map(|name| Some((name, self.rows.get(name)?)));
         rows.map(|(name, row)| (name.clone(), row.clone())).collect()
     }
 
-    /// One row, tombstones included.
+    /// The row of one service, tombstones included.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&Versioned> {
         self.rows.get(name)
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: merging, committing and spreading it.
+//! The operators' configuration: merging, committing and replicating it.
 
 mod committer;
 mod merge;
--- a/src/catalog/spread.rs
+++ b/src/catalog/spread.rs
@@ -1,4 +1,5 @@
-//! Spreading of configuration between instances: pushes for speed, digests for repair.
+//! Replicates the configuration between instances: pushes for low latency, anti-entropy by digests
+//! for completeness.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +17,15 @@
 use crate::peer::PeerRequest;
 use crate::peer::split_rows;
 
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Names in one message.
+/// Service names per fetch request.
 const NAMES_PER_MESSAGE: usize = 64;
-/// Time between two repairs; with a push lost, this bounds how long an instance lags.
+/// Longest interval between two repairs, in milliseconds; bounds how long an instance lags after a
+/// lost push.
 const REPAIR_INTERVAL_MS: u64 = 1_500;
 
-/// Takes rows in, puts them in force and returns those that were news.
+/// Merges rows into the active configuration; returns those that were newer.
 pub fn merge_rows(board: &Blackboard, rows: ServiceRows) -> ServiceRows {
     let mut updated = ServiceRows::new();
     let mut catalog = board.catalog.lock();
@@ -45,6 +48,7 @@
     updated
 }
 
+/// The other members that may answer.
 fn other_instances(board: &Blackboard) -> Vec<Arc<MemberRow>> {
     let view = board.members_view();
     let others = view
@@ -54,10 +58,10 @@
     others.cloned().collect()
 }
 
-/// Sends rows to the other instances of the zone, and to one of each other zone.
+/// Sends rows to the other instances of the own zone and to one instance of each other zone.
 ///
-/// Every zone has watchers of its own; the one told elsewhere saves its zone the wait for them
-/// while the store is slow. A push that is lost is made up for by a repair.
+/// Every zone has watchers of its own; the push to one instance elsewhere saves that zone the wait
+/// for its watchers while the store is slow. A lost push is made up for by a repair.
 pub fn push_rows(board: &Blackboard, links: &Links, rows: &ServiceRows) {
     if rows.is_empty() {
         return;
@@ -83,7 +87,7 @@
     }
 }
 
-/// Compares digests with one peer and exchanges what either has newer.
+/// Compares digests with one peer and exchanges the rows that are newer on either side.
 async fn repair_with(board: &Blackboard, links: &Links, peer: &MemberRow) {
     let digest = board.catalog.lock().digest();
     let reply = links.call(peer.peer, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
--- a/src/catalog/watcher.rs
+++ b/src/catalog/watcher.rs
@@ -1,4 +1,4 @@
-//! The controller that watches the store, on a few instances of each zone.
+//! Watches the store, on a few instances of each zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,15 @@
 use crate::store::Entry;
 use crate::store::Store;
 
-/// Where the services are in the store.
+/// Prefix of the services' keys in the store.
 pub const SERVICES_PREFIX: &str = "sorrelwick/services/";
-/// Pause after a failed watch, so that a store that is down is not called in a tight loop.
+/// Pause after a failed watch, in milliseconds, plus jitter of up to as much, so that a store that
+/// is down is not called in a tight loop.
 const WATCH_RETRY_MS: u64 = 300;
+/// Interval at which an instance that is not a watcher checks whether it has become one.
 const NOT_WATCHER_PAUSE: Duration = Duration::from_millis(500);
 
-/// A service's row as it is in the store; `None` for one that cannot be read.
+/// Decodes a service's row from the store; `None` if it is invalid.
 #[must_use]
 pub fn decode_entry(entry: &Entry) -> Option<(String, Versioned)> {
     let name = entry.key.strip_prefix(SERVICES_PREFIX)?;
@@ -32,8 +34,8 @@
 
 /// Whether this instance is one of those in its zone that watch the store.
 ///
-/// Each counts the live members of its zone for itself. Where two disagree, one more or one
-/// fewer watches for a while, and the repair by digests covers what a zone misses meanwhile.
+/// Each instance decides by its own view of the members. Where views differ, one watcher too many
+/// or too few runs for a while, and the repair by digests makes up for missed changes.
 #[must_use]
 pub fn is_watcher(board: &Blackboard) -> bool {
     let Some(platform) = &board.settings.platform else {
@@ -47,12 +49,13 @@
     in_zone.filter(|row| rank(row.incarnation) > own).count() < platform.watchers_per_zone
 }
 
+/// Sleeps for `ms` plus random jitter of up to as much.
 async fn sleep_with_jitter(ms: u64) {
     let jitter_ms = rand::rng().random_range(0..=ms);
     tokio::time::sleep(Duration::from_millis(ms + jitter_ms)).await;
 }
 
-/// Watches the store and passes changes on to the instances of the zone.
+/// Watches the store and pushes changes to the instances of the zone.
 pub async fn run_watcher<S: Store>(board: Arc<Blackboard>, store: S, links: Links) {
     let wait_ms = board.settings.platform.as_ref().map_or(10_000, |p| p.watch_wait_ms);
     let mut index = 0;
@@ -69,11 +72,14 @@
             sleep_with_jitter(WATCH_RETRY_MS).await;
             continue;
         };
-        // An index that went back means another store, or a restored one: list it anew.
+        // A lower index means that the store was replaced or restored: list all entries again.
         index = if listing.index < index { 0 } else { listing.index };
         let rows: ServiceRows = listing.entries.iter().filter_map(decode_entry).collect();
         if rows.len() < listing.entries.len() {
-            warn!("{} services in the store cannot be read", listing.entries.len() - rows.len());
+            warn!(
+                "{} services in the store are invalid and were skipped",
+                listing.entries.len() - rows.len()
+            );
         }
         let updated = merge_rows(&board, rows);
         push_rows(&board, &links, &updated);
--- a/src/member/announce.rs
+++ b/src/member/announce.rs
@@ -1,4 +1,4 @@
-//! Telling others of the own state at once, instead of waiting for rounds of pings.
+//! Announces a change of this instance's own state directly, ahead of the ping rounds.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,16 +11,20 @@
 use crate::board::compare_rank;
 use crate::peer::PeerClient;
 
+/// Timeout of one announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Instances up to which all are told at once of one that leaves.
+/// Up to this many running members, a change is announced to all of them.
 const BROADCAST_INSTANCES_MAX: usize = 32;
-/// The first instances of each zone that are told in a larger fleet: as many as may be homes.
+/// Members of each zone that a larger fleet announces to, in rank order: the most that can be
+/// homes.
 const TARGETS_PER_ZONE: usize = 8;
 
-/// Whom to tell of what cannot wait for rounds of pings: everybody in a small fleet. In a large one,
-/// a thousand connections for each instance that stops would be a square over a rolling restart, so
-/// only those that are pinged, the first ones of each zone, which others ask, and for an instance
-/// that callers may be told of, its own zone.
+/// Peer addresses to which a change is announced directly.
+///
+/// A small fleet announces to every member. In a large one, a rolling restart would then open a
+/// number of connections quadratic in the fleet size. There the targets are the members that this
+/// instance pings, the first ones of each zone, which others query, and, if this instance may be
+/// advertised to callers, all of its own zone.
 pub fn announce_targets(board: &Blackboard) -> BTreeSet<SocketAddr> {
     let view = board.members_view();
     let (own, zone) = (board.incarnation, &board.settings.instance.zone);
@@ -31,7 +35,7 @@
     let ping_targets =
         board.members.lock().ping_targets().iter().map(|row| row.peer).collect::<Vec<_>>();
     let first = view.zones().flat_map(|zone| view.ranked(zone).iter().take(TARGETS_PER_ZONE));
-    // Its own row takes no work any more, so the place it had is where it would stand now.
+    // The own row no longer accepts work and is not ranked, so compute the position it would have.
     let own_row = view.row(own);
     let is_advertised = |row: &Arc<MemberRow>| {
         let ahead = view.ranked(zone).iter().take_while(|other| compare_rank(other, row).is_lt());
@@ -42,7 +46,7 @@
     ping_targets.into_iter().chain(others.map(|row| row.peer)).collect()
 }
 
-/// Tells others of the own state at once, instead of waiting for rounds of pings.
+/// Announces this instance's own state to the [`announce_targets`].
 pub async fn announce<L: PeerClient>(board: &Blackboard, links: &L) {
     let mut calls = tokio::task::JoinSet::new();
     for address in announce_targets(board) {
@@ -50,6 +54,6 @@
         let request = ping_without_gossip(board);
         calls.spawn(async move { links.call(address, &request, ANNOUNCE_TIMEOUT).await });
     }
-    // Whoever misses this hears it as a rumour.
+    // A member that misses the announcement learns of the change by gossip.
     while calls.join_next().await.is_some() {}
 }
--- a/src/member/anti_entropy.rs
+++ b/src/member/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Two instances find out in which members they differ, and tell each other of those.
+//! Anti-entropy between two member tables: they compare digests and exchange the rows that differ.
 //!
-//! Rumours are for a few changes. When hundreds of instances start or stop at once, or a rumour was
-//! missed, this carries the rest: each row goes to each instance about once, where rumours send it
-//! some nine times over, and lose it all the same now and then.
+//! Gossip suits a few changes. When hundreds of instances start or stop at once, or a gossip
+//! message is lost, anti-entropy carries the rest: it sends each row to each instance about once,
+//! where gossip sends it some nine times and still misses an instance now and then.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -19,10 +19,12 @@
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
-/// A comparison of 5,000 members takes some 25 KB; a tenth of this over the slowest links.
+/// Timeout of one call. Comparing 5,000 members takes some 25 KB, which uses a tenth of this time
+/// on the slowest links.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Answers the first question of a comparison: the parts that differ, and what is believed there.
+/// Handles a digest of a peer: replies with the buckets that differ and the fingerprints of their
+/// rows.
 pub(super) fn handle_compare(board: &Blackboard, theirs: &MembersDigest) -> PeerReply {
     let members = board.members.lock();
     let buckets = members.digest().differing_buckets(theirs);
@@ -30,8 +32,8 @@
     PeerReply::Differing { buckets, fingerprints }
 }
 
-/// Answers the second one: takes rows in, and returns those asked for, and those that are known
-/// better here.
+/// Handles an exchange: merges the peer's rows, and replies with the rows it asked for and those
+/// that override rows it sent.
 pub(super) fn handle_exchange(board: &Blackboard, wanted: &[u32], rows: &[MemberRow]) -> PeerReply {
     let mut members = board.members.lock();
     let mut reply = members.rows_with_fingerprints(wanted, now_ms());
@@ -41,7 +43,7 @@
     PeerReply::Members(reply)
 }
 
-/// Takes rows in; returns the own ones that override some of them.
+/// Merges rows; returns the rows of this table that override some of them.
 fn merge_rows(members: &mut MemberTable, rows: &[MemberRow]) -> Vec<MemberRow> {
     let now_ms = now_ms();
     for row in rows {
@@ -54,7 +56,7 @@
     overriding.collect()
 }
 
-/// What this instance asks for, and tells, after the other named what it believes of some parts.
+/// The fingerprints to request and the rows to send, given the peer's fingerprints in some buckets.
 fn rows_to_exchange(
     members: &MemberTable,
     buckets: &[usize],
@@ -68,8 +70,8 @@
     (wanted, to_send.collect())
 }
 
-/// Compares tables with another instance; returns how many rows that brought, `None` without an
-/// answer.
+/// Synchronizes member tables with a peer; returns the number of rows received, `None` if the peer
+/// did not answer.
 pub async fn sync_members<L: PeerClient>(
     board: &Blackboard,
     links: &L,
@@ -96,7 +98,7 @@
     if !overriding.is_empty() {
         let exchange = MemberRequest::Exchange { wanted: Vec::new(), rows: overriding };
         let request = PeerRequest::Member(exchange);
-        // Lost, the next comparison finds the same again.
+        // If this call is lost, the next synchronization finds the same difference.
         let _ = links.call(peer, &request, SYNC_TIMEOUT).await;
     }
     Some(rows.len())
--- a/src/member/digest.rs
+++ b/src/member/digest.rs
@@ -1,4 +1,4 @@
-//! What tells two instances, in a few bytes, whether they believe the same of all members.
+//! A short digest by which two instances detect that their member tables differ.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,11 +6,11 @@
 use super::MemberRow;
 use super::row::fingerprint;
 
-/// Parts of the members that are compared one by one. Of 500 members one that differs costs the
-/// rows of eight, of 5,000 those of eighty.
+/// Number of buckets that are compared separately. One member that differs costs sending the
+/// fingerprints of eight members out of 500, or of eighty out of 5,000.
 pub const DIGEST_BUCKETS: usize = 64;
 
-/// One number for each part of the members, by their incarnations; equal where the parts are.
+/// One checksum per bucket of members; two tables agree on a bucket if the checksums are equal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersDigest {
     buckets: Vec<u32>,
@@ -22,28 +22,28 @@
     }
 }
 
-/// The part that a member belongs to. Incarnations are random, so parts are of like size.
+/// The bucket of a member. Incarnations are random, so buckets are of similar size.
 #[must_use]
-#[expect(clippy::cast_possible_truncation, reason = "below the number of parts")]
+#[expect(clippy::cast_possible_truncation, reason = "below the number of buckets")]
 pub const fn bucket_of(incarnation: u64) -> usize {
     (incarnation % DIGEST_BUCKETS as u64) as usize
 }
 
 impl MembersDigest {
-    /// Takes a row in.
+    /// Adds a row to its bucket.
     pub(super) fn add(&mut self, row: &MemberRow) {
         let bucket = &mut self.buckets[bucket_of(row.incarnation)];
         *bucket = bucket.wrapping_add(fingerprint(row).unwrap_or(0));
     }
 
-    /// Takes a row out.
+    /// Removes a row from its bucket.
     pub(super) fn remove(&mut self, row: &MemberRow) {
         let bucket = &mut self.buckets[bucket_of(row.incarnation)];
         *bucket = bucket.wrapping_sub(fingerprint(row).unwrap_or(0));
     }
 
-    /// The parts in which two digests differ. One of another length, from a faulty peer, differs in
-    /// all of them.
+    /// The buckets in which two digests differ. A digest of another length, from a faulty peer,
+    /// differs in every bucket that it lacks.
     #[must_use]
     pub fn differing_buckets(&self, other: &Self) -> Vec<usize> {
         (0..DIGEST_BUCKETS)
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// All parts in one number, to compare on each ping.
+    /// A hash over all buckets, to be compared on each ping.
     #[must_use]
     pub fn hash(&self) -> u64 {
         let seed = self.buckets.len() as u64;
--- a/src/member/failure_detector.rs
+++ b/src/member/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector: pings in rounds, indirect pings, suspicion, and rumours on the way.
+//! SWIM failure detector: periodic pings, indirect pings and suspicion, with gossip piggybacked.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,24 +22,27 @@
 use crate::peer::PeerRequest;
 use crate::quarantine::exchange_suspects;
 
-/// Least time between two comparisons that this instance begins, the greatest is twice as long: in
-/// a fleet where members change all the while, each instance spends some 300 bytes a second on them.
+/// Minimum interval between two synchronizations of member tables that this instance starts; the
+/// actual interval is random, up to twice as long. In a fleet whose members keep changing, each
+/// instance spends some 300 bytes per second on them.
 const SYNC_INTERVAL_MIN_MS: u64 = 600;
-/// Least time between two exchanges of suspects that this instance begins. After a loss of power
-/// instances keep different parts of what became suspect, and would exchange them with each ping.
+/// Minimum interval between two exchanges of suspect requests that this instance starts. After a
+/// power loss instances hold different subsets of the suspect requests, and would otherwise
+/// exchange them on each ping.
 const SUSPECTS_EXCHANGE_INTERVAL_MIN_MS: u64 = 400;
-/// Members that are asked to ping for us.
+/// Members that are asked for an indirect ping.
 const INDIRECT_PINGS: usize = 2;
 
-/// Where another instance believes the same.
+/// In which data a peer agrees with this instance, by comparison of digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PeerAgreement {
+    /// The member tables are equal.
     members: bool,
-    /// The requests under which servers ended.
+    /// The records of requests suspected of crashing servers are equal.
     suspect_requests: bool,
 }
 
-/// Asks for a sign of life; `None` without one.
+/// Pings a member; `None` if it did not answer.
 async fn ping<L: PeerClient>(
     board: &Blackboard,
     links: &L,
@@ -61,7 +64,7 @@
     };
     board.events.clock.observe(stamp);
     merge_gossip(board, &gossip);
-    // Another process on the same address is no sign of life of the target.
+    // An answer of another process at the same address does not prove that the target is alive.
     if !gossip.iter().any(|row| row.incarnation == target.incarnation) {
         return None;
     }
@@ -69,6 +72,7 @@
     Some(PeerAgreement { members, suspect_requests: board.quarantine.digest() == suspects_digest })
 }
 
+/// Pings a member through others; returns whether one of them reached it.
 async fn indirect_ping<L: PeerClient>(board: &Blackboard, links: &L, target: &MemberRow) -> bool {
     let timeout = Duration::from_millis(board.settings.peers.ping_timeout_ms * 2);
     let helpers = board.members.lock().indirect_pingers(target.incarnation, INDIRECT_PINGS);
@@ -86,17 +90,19 @@
     false
 }
 
-/// Pings members in turn, and compares tables with those that believe something else.
+/// Pings members in turn and synchronizes with those whose digests differ.
 #[derive(Clone, Debug)]
 struct FailureDetector<L> {
     board: Arc<Blackboard>,
     links: L,
-    /// When the next comparison may begin.
+    /// Earliest time of the next synchronization of member tables.
     next_sync_ms: Arc<AtomicU64>,
+    /// Earliest time of the next exchange of suspect requests.
     next_suspects_exchange_ms: Arc<AtomicU64>,
 }
 
 impl<L: PeerClient> FailureDetector<L> {
+    /// Pings one member, directly and then indirectly; makes it a suspect if both fail.
     async fn check_member(self, target: MemberRow) {
         let started_ms = now_ms();
         match ping(&self.board, &self.links, &target).await {
@@ -108,7 +114,7 @@
                     self.sync_members_if_due(target.peer).await;
                 }
             }
-            // What was not read in time may be there.
+            // This instance was stalled itself; the reply may have arrived unread.
             None if is_late(now_ms() - started_ms, self.board.settings.peers.ping_timeout_ms) => {}
             None => {
                 if !indirect_ping(&self.board, &self.links, &target).await
@@ -120,7 +126,7 @@
         }
     }
 
-    /// Exchanges what is known of suspects, unless that was done a moment ago.
+    /// Exchanges records of suspect requests, unless the last exchange was too recent.
     async fn exchange_suspects_if_due(&self, peer: SocketAddr) {
         let now = now_ms();
         if now < self.next_suspects_exchange_ms.load(Ordering::Acquire) {
@@ -131,7 +137,7 @@
         exchange_suspects(&self.board, &self.links, peer).await;
     }
 
-    /// Compares tables, unless that was done a moment ago.
+    /// Synchronizes member tables, unless the last synchronization was too recent.
     async fn sync_members_if_due(&self, peer: SocketAddr) {
         let now = now_ms();
         if now < self.next_sync_ms.load(Ordering::Acquire) {
@@ -141,14 +147,15 @@
         self.next_sync_ms.store(now + pause_ms, Ordering::Release);
         let received = sync_members(&self.board, &self.links, peer).await;
         if received.is_some_and(|rows| rows > GOSSIP_ROWS_MAX) {
-            // The fleet starts: who learned much has much to tell, and little of it is known.
+            // More rows than gossip carries: the fleet is starting. This instance now holds rows
+            // that others lack, so it synchronizes again soon.
             let next_ms = now_ms() + SYNC_INTERVAL_MIN_MS / 4;
             self.next_sync_ms.store(next_ms, Ordering::Release);
         }
     }
 }
 
-/// Declares suspects dead in time, until the process ends.
+/// Declares suspects dead when their timeout passes, until the process ends.
 async fn expire_suspects<L: PeerClient>(detector: &FailureDetector<L>) {
     let FailureDetector { board, links, .. } = detector;
     let mut suspicion = SuspicionTimer::new(board.settings.peers.suspect_timeout_ms, now_ms());
@@ -166,10 +173,10 @@
     }
 }
 
-/// Pings one member each interval until the process ends.
+/// Runs the failure detector: pings one member per interval until the process ends.
 ///
-/// A pause of this process is not taken for the silence of the others: each ping is judged by
-/// its own timeout, and a suspect by the time in which this instance could hear it.
+/// A pause of this process does not count against the others: each ping has its own timeout, and a
+/// suspicion counts only the time in which this instance was able to receive.
 pub async fn run_failure_detector<L: PeerClient>(board: Arc<Blackboard>, links: L) {
     let interval_ms = board.settings.peers.ping_interval_ms;
     let mut ticks = tokio::time::interval(Duration::from_millis(interval_ms));
--- a/src/member/handlers.rs
+++ b/src/member/handlers.rs
@@ -1,4 +1,4 @@
-//! Answers to the membership messages of peers.
+//! Handlers of membership requests from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
-/// Rumours on one ping or answer; bounds the bytes of control traffic.
+/// Most gossiped rows on one ping or reply; bounds the control traffic.
 pub(super) const GOSSIP_ROWS_MAX: usize = 6;
-/// Members up to which a newcomer is told of all.
+/// Up to this many members, the reply to a join lists all of them.
 const JOIN_FULL_LIST_MAX: usize = 32;
-/// The first instances of each zone that a newcomer is told of: as many as may be homes.
+/// Members of each zone in the reply to a join in a larger fleet: the most that can be homes.
 const JOIN_ROWS_PER_ZONE: usize = 8;
 
-/// Takes in rumours.
+/// Merges gossiped rows and publishes the table if any of them changed it.
 pub(super) fn merge_gossip(board: &Blackboard, rows: &[MemberRow]) {
     let mut changed = false;
     let mut members = board.members.lock();
@@ -33,7 +33,7 @@
     }
 }
 
-/// Answers a ping: takes its rumours in and gives ours.
+/// Handles a ping: merges the sender's gossip and replies with gossip of this instance.
 fn handle_ping(
     board: &Blackboard,
     from: &MemberRow,
@@ -46,7 +46,8 @@
     let mut members = board.members.lock();
     let mut reply_gossip = members.take_gossip(GOSSIP_ROWS_MAX, now_ms());
     reply_gossip.push(members.own_row(now_ms()));
-    // A member that was given up must hear so, or it could not refute.
+    // Sends the sender's row back if it is held to be in another state, e.g. dead, so that the
+    // sender can refute it.
     if let Some(row) = members.row(from.incarnation, now_ms())
         && row.state != from.state
     {
@@ -63,9 +64,10 @@
     }
 }
 
-/// Takes a newcomer in, and tells it whom it needs to know at once. The rest it finds by comparing
-/// with one of these: an instance whose address is in all settings would otherwise hand the whole
-/// list to each of hundreds that start together.
+/// Adds a joining member and replies with the members that it needs first.
+///
+/// It learns the rest by anti-entropy with one of these. Otherwise a seed that is in the settings
+/// of every instance would send the full list to each of hundreds that start together.
 fn handle_join(board: &Blackboard, row: &MemberRow) -> PeerReply {
     let changed = board.members.lock().merge(row, now_ms());
     if changed {
@@ -83,7 +85,7 @@
     PeerReply::Members(rows.collect())
 }
 
-/// A ping without rumours.
+/// Builds a ping that carries no gossip.
 pub(super) fn ping_without_gossip(board: &Blackboard) -> PeerRequest {
     let members = board.members.lock();
     PeerRequest::Member(MemberRequest::Ping {
@@ -94,7 +96,7 @@
     })
 }
 
-/// Pings another instance for a peer that could not reach it.
+/// Pings another instance for a peer that could not reach it directly.
 pub async fn handle_indirect_ping<L: PeerClient>(
     board: &Blackboard,
     links: &L,
@@ -104,7 +106,7 @@
     PeerReply::Reached(links.call(target, &ping_without_gossip(board), timeout).await.is_ok())
 }
 
-/// Answers a question about members.
+/// Handles a membership request.
 pub fn handle_member_request(board: &Blackboard, request: MemberRequest) -> PeerReply {
     match request {
         MemberRequest::Join(row) => handle_join(board, &row),
--- a/src/member/joiner.rs
+++ b/src/member/joiner.rs
@@ -1,4 +1,4 @@
-//! Finding the other instances: seeds from the settings and the platform's list.
+//! Discovers other instances, through seeds from the settings and the platform's list.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -20,46 +20,53 @@
 use crate::peer::PeerRequest;
 use crate::store::Roster;
 
-/// An address whose machine is away does not even refuse: others must not wait for it.
+/// Timeout of one join request. A machine that is down does not even refuse the connection, and
+/// must not delay the requests to others.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Interval while no other instance is known, and the time that one address is given before the next
-/// one is asked. After a loss of power of all, each instance gives out the slots of all servers
-/// without knowing of the others until it has found one; a call that is refused costs next to
+/// Interval of join rounds while no other instance is known, and the time to wait for one address
+/// before the next one is tried. After a power loss of the whole fleet, each instance hands out the
+/// slots of all servers on its own until it has found another; a refused call costs next to
 /// nothing.
 const ALONE_INTERVAL_MS: u64 = 40;
-/// Turns while alone between two looks into the platform's list, each of which is paid for.
+/// While no other instance is known, the platform's list is read once in so many rounds, since the
+/// platform charges for each call.
 const ALONE_ROUNDS_PER_LISTING: u64 = 16;
+/// Known instances per round between two reads of the platform's list: an instance that knows 200
+/// others reads it every tenth round.
 const INSTANCES_PER_LISTING: u64 = 20;
-/// Comparisons after a join, at most, and the pause between two: of 500 instances that start within
-/// 0.3 s all then know the same homes within a second.
+/// Most synchronizations after a join, with [`CATCH_UP_PAUSE`] between two: of 500 instances that
+/// start within 0.3 s, all then know the same homes within a second.
 const CATCH_UP_ROUNDS_MAX: u32 = 5;
+/// Pause between two synchronizations after a join.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
-/// A comparison that brings no more than this leaves the rest to rumours.
+/// Catching up ends with a synchronization that brings at most this many rows; gossip brings the
+/// rest.
 const CAUGHT_UP_ROWS_MAX: usize = 6;
-/// Addresses asked in one turn.
+/// Join requests started in one round.
 const JOIN_REQUESTS_MAX: usize = 3;
 
-/// Joins the others by one address after the other.
+/// Joins the fleet through one address after another.
 #[derive(Clone, Debug)]
 struct Joiner<L> {
     board: Arc<Blackboard>,
     links: L,
-    /// Addresses that were asked and have not answered yet: of hundreds of instances that start
-    /// together each asks the same few, and one that is slow to answer must not be asked again.
+    /// Addresses whose join reply is pending. When hundreds of instances start together, all ask
+    /// the same few; one that is slow to reply must not be asked again.
     pending_joins: Arc<Mutex<HashSet<SocketAddr>>>,
 }
 
 impl<L: PeerClient> Joiner<L> {
-    /// Whether no other instance is known.
+    /// Whether no other running instance is known.
     fn is_alone(&self) -> bool {
         self.board.members_view().running_count() <= 1
     }
 
-    /// Addresses of instances that may be there and are not known, in random order.
+    /// Addresses from the seeds and the platform's list at which no member is known, in random
+    /// order.
     async fn unknown_addresses<R: Roster>(&self, roster: &R, listing_due: bool) -> Vec<SocketAddr> {
         let settings = &self.board.settings;
         let mut found: BTreeSet<SocketAddr> = settings.peers.seeds.iter().copied().collect();
-        // Each call to the platform has its price; the seeds are tried first.
+        // The platform charges for each call, so the seeds are tried first.
         if found.is_empty() || listing_due {
             let listed = roster.instances().await;
             self.board.record_store_result(listed.as_ref().err().map(ToString::to_string));
@@ -75,8 +82,8 @@
         unknown
     }
 
-    /// Asks one address, which tells whether it answered; `None` where its answer is still awaited
-    /// from before.
+    /// Sends a join request in a task that returns whether it was answered; `None` while an earlier
+    /// request to this address is pending.
     fn start_join(&self, address: SocketAddr) -> Option<JoinHandle<bool>> {
         if !self.pending_joins.lock().insert(address) {
             return None;
@@ -89,6 +96,7 @@
         }))
     }
 
+    /// Joins through one address; returns whether it was answered.
     async fn join_via(&self, address: SocketAddr) -> bool {
         let own = self.board.members.lock().own_row(now_ms());
         let reply = self
@@ -103,11 +111,11 @@
         true
     }
 
-    /// Compares tables with others until they bring little that is new.
+    /// Synchronizes with random peers until a synchronization brings few rows.
     ///
-    /// When a fleet starts, those that were asked knew of those that came before only, and each
-    /// moment in which instances name different homes to callers spoils requests. Not with the one
-    /// that was asked: it is the same for the whole fleet.
+    /// While a fleet starts, the instances that answer joins know only those that came before, and
+    /// requests fail as long as instances advertise different homes to callers. The instance that
+    /// answered the join is excluded, because it is the same one for the whole fleet.
     async fn catch_up(self, contact: SocketAddr) {
         for _ in 0..CATCH_UP_ROUNDS_MAX {
             let Some(peer) = self.random_peer(contact) else {
@@ -121,7 +129,7 @@
         }
     }
 
-    /// Some other instance that may answer, by chance.
+    /// A random member that may answer, other than the one that answered the join.
     fn random_peer(&self, contact: SocketAddr) -> Option<SocketAddr> {
         let view = self.board.members_view();
         let from = rand::rng().random_range(0..view.rows.len().max(1));
@@ -134,6 +142,7 @@
         after.iter().chain(before).find(matches).map(|row| row.peer)
     }
 
+    /// Merges received rows and publishes the table.
     fn merge_rows(&self, rows: &[MemberRow]) {
         let now_ms = now_ms();
         let mut members = self.board.members.lock();
@@ -144,8 +153,8 @@
         self.board.publish_members();
     }
 
-    /// Asks for the others, each address after a moment without an answer of the one before; tells
-    /// whether one answered in time.
+    /// Sends join requests to some of the addresses, the next one if the one before is not answered
+    /// within [`ALONE_INTERVAL_MS`]; returns whether one was answered in time.
     async fn join_round(&self, unknown: Vec<SocketAddr>) -> bool {
         let joins = unknown.into_iter().filter_map(|address| self.start_join(address));
         for mut answer in joins.take(JOIN_REQUESTS_MAX) {
@@ -159,15 +168,17 @@
     }
 }
 
-/// Joins, and goes on looking: two groups that formed while parted find each other again.
+/// Joins the fleet and keeps looking for unknown instances, so that groups formed during a
+/// partition merge again.
 pub async fn run_joiner<R: Roster, L: PeerClient>(board: Arc<Blackboard>, roster: R, links: L) {
     let interval_ms = board.settings.peers.list_interval_ms;
     let joiner = Joiner { board, links, pending_joins: Arc::default() };
     let mut round = 0;
     let mut pause_ms = ALONE_INTERVAL_MS;
     loop {
-        // The whole fleet together asks the platform about as often as a small one does; it
-        // takes one instance to find another group, and both become one.
+        // The interval of reads grows with the fleet, so that a large fleet as a whole reads the
+        // list about as often as a small one. One instance that finds another group is enough to
+        // merge both.
         let running = joiner.board.members_view().running_count() as u64;
         let rounds_per_listing = if joiner.is_alone() {
             ALONE_ROUNDS_PER_LISTING
@@ -179,8 +190,8 @@
         round += 1;
         let none_unknown = unknown.is_empty();
         let answered = joiner.join_round(unknown).await;
-        // That others joined this one says nothing of whom they know: it may be one of several
-        // that a starting fleet gathers around.
+        // Do not stop just because others have joined this instance: a starting fleet may gather
+        // around several instances that do not know each other.
         pause_ms = match (answered || none_unknown, joiner.is_alone()) {
             (_, true) => ALONE_INTERVAL_MS,
             (true, false) => interval_ms,
--- a/src/member/local_health.rs
+++ b/src/member/local_health.rs
@@ -1,37 +1,38 @@
-//! How well this instance itself runs, which counts for it and not against the others.
+//! Local health: whether this instance itself runs late, which must not count against other
+//! members.
 
-/// A turn that comes this much later than due means that this instance was held up: a machine whose
-/// part of a core is used up stands still for most of a tenth of a second.
+/// A timer that fires this much too late, in milliseconds, shows that this instance was stalled. A
+/// process that has used up its CPU quota is stopped for most of the 100 ms quota period.
 const LATE_THRESHOLD_MS: u64 = 100;
-/// Late turns in a row that are told apart.
+/// Upper bound of the score, in consecutive late ticks.
 const SCORE_MAX: u64 = 8;
 
-/// Whether something that was due after `due_ms` and came after `passed_ms` shows that this instance was
-/// held up.
+/// Whether an event that was due after `due_ms` and happened after `elapsed_ms` shows that this
+/// instance was stalled.
 #[must_use]
 pub const fn is_late(elapsed_ms: u64, due_ms: u64) -> bool {
     elapsed_ms > due_ms + LATE_THRESHOLD_MS
 }
 
-/// The lateness of this instance's own turns.
+/// Tracks whether this instance's own timer ticks are late.
 ///
-/// One that is held up hears late that a suspect lives: the word waits unread while the suspect's time
-/// runs out.
+/// A stalled instance learns late that a suspect has refuted the suspicion: the message waits
+/// unread while the suspicion times out.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalHealth {
-    /// Raised by a late turn, lowered by one in time.
+    /// Raised by one for each late tick, lowered by one for each tick in time.
     score: u64,
 }
 
 impl LocalHealth {
-    /// That of an instance that was not late yet.
+    /// The health of an instance that has not been late.
     #[must_use]
     pub const fn new() -> Self {
         Self { score: 0 }
     }
 
-    /// Takes in a turn that was due after `due_ms` and came after `passed_ms`; returns how much of that
-    /// time counts against nobody.
+    /// Records a tick that was due after `due_ms` and came after `elapsed_ms`; returns the part of
+    /// the elapsed time that does not count towards any suspicion timeout.
     pub fn record_tick(&mut self, elapsed_ms: u64, due_ms: u64) -> u64 {
         if is_late(elapsed_ms, due_ms) {
             self.score = (self.score + 1).min(SCORE_MAX);
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! Membership between instances: who is there, who is suspected, who left.
+//! Fleet membership: failure detection, gossip and anti-entropy between instances.
 
 mod announce;
 mod anti_entropy;
--- a/src/member/request.rs
+++ b/src/member/request.rs
@@ -1,4 +1,4 @@
-//! What instances ask each other about members.
+//! Membership requests between instances.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,15 +6,17 @@
 use super::MemberRow;
 use super::MembersDigest;
 
-/// A question about members, which is answered from what the asked instance believes.
+/// A membership request, answered from the receiver's member table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRequest {
-    /// A newcomer asks for members: all of a small fleet, the first ones of each zone of a large one.
+    /// Joins the fleet. The reply lists all members of a small fleet, the first ones of each zone
+    /// of a large one.
     Join(MemberRow),
-    /// Asks for a sign of life. `summary` is that of what the sender believes of all members.
+    /// Direct ping. `stamp` is the sender's hybrid logical clock, `digest_hash` the hash of its
+    /// [`MembersDigest`].
     Ping { from: MemberRow, stamp: u64, digest_hash: u64, gossip: Vec<MemberRow> },
-    /// Asks in which members the other believes something else.
+    /// Asks for the buckets in which the receiver's member table differs from this digest.
     Compare(MembersDigest),
-    /// Tells of members, and asks for the rows with these fingerprints.
+    /// Sends rows and asks for the rows with the `wanted` fingerprints.
     Exchange { wanted: Vec<u32>, rows: Vec<MemberRow> },
 }
--- a/src/member/ring.rs
+++ b/src/member/ring.rs
@@ -1,19 +1,19 @@
-//! The members that answer, on a ring by their numbers.
+//! The members that may answer, on a ring ordered by incarnation.
 
 use smallvec::SmallVec;
 
-/// Numbers of the members that one member pings: as many as the fleet doubles.
+/// Incarnations of the members that one member pings: about log2 of the fleet size.
 pub(super) type Fingers = SmallVec<[u64; 16]>;
 
-/// Members that answer, in the order of their numbers.
+/// Incarnations of the members that may answer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ring {
-    /// Sorted, so that a place is found without a walk over all.
+    /// Sorted, for binary search.
     members: Vec<u64>,
 }
 
 impl Ring {
-    /// Takes note of whether a member answers.
+    /// Adds a member that may answer, or removes one that does not.
     pub(super) fn set_present(&mut self, incarnation: u64, answers: bool) {
         match (self.members.binary_search(&incarnation), answers) {
             (Err(at), true) => self.members.insert(at, incarnation),
@@ -24,11 +24,12 @@
         }
     }
 
-    /// The members one, two, four, eight and so on places after `own`.
+    /// The members 1, 2, 4, 8 and so on positions after `own` on the ring.
     ///
-    /// Each member is pinged by as many others as it pings, and news takes as few steps as members
-    /// double, but an instance has connections to a few others only: with pings to everyone in turn
-    /// each held one from and to each, some 30 KB apiece, 8 MB on 127 instances.
+    /// Each member is pinged by as many others as it pings, and gossip reaches all in a number of
+    /// hops logarithmic in the fleet size, while each instance is connected to only a few others.
+    /// When every member pinged every other in turn, each had a connection in each direction with
+    /// each other one: some 30 KB apiece, 8 MB with 127 instances.
     pub(super) fn fingers(&self, own: u64) -> Fingers {
         let at = self.members.binary_search(&own);
         let first = at.map_or_else(|position| position, |position| position + 1);
--- a/src/member/row.rs
+++ b/src/member/row.rs
@@ -1,38 +1,42 @@
-//! What instances tell each other about an instance.
+//! The membership record of one instance, as instances exchange it.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How an instance is believed to be; later ones override earlier ones of the same generation.
+/// State of a member as others see it; of the same generation, a later variant overrides an earlier
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
+    /// Answers pings.
     Alive,
-    /// Stopping as planned: serves, but is named in no new answer.
+    /// Shutting down in an orderly way: still serves, but is no longer advertised to callers.
     Leaving,
-    /// Did not answer a direct and two indirect pings.
+    /// Answered neither a direct nor two indirect pings.
     Suspect,
+    /// Remained a suspect until the suspicion timed out, or was replaced by a new process at its
+    /// address.
     Dead,
-    /// Stopped as planned.
+    /// Shut down in an orderly way.
     Left,
 }
 
 impl MemberState {
-    /// Whether new work may be sent there.
+    /// Whether new requests may be sent to the member.
     #[must_use]
     pub const fn accepts_work(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// Whether it is worth a call at all.
+    /// Whether the member may answer a call.
     #[must_use]
     pub const fn may_answer(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect | Self::Leaving)
     }
 
-    /// The name that operators read.
+    /// The state's name in logs and status pages.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -45,42 +49,48 @@
     }
 }
 
-/// One instance; an instance that restarts is another member with another incarnation.
+/// One instance; after a restart it is a new member with a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Random per start of the process.
+    /// Random number, drawn at each process start.
     pub incarnation: u64,
-    /// Raised only by the member itself, to refute what others say of it.
+    /// Raised only by the member itself, to refute a suspicion or to announce a new state.
     pub generation: u32,
     pub state: MemberState,
+    /// Name of the instance.
     pub name: String,
+    /// Availability zone of the instance.
     pub zone: String,
+    /// Address for requests of callers.
     pub caller: SocketAddr,
+    /// Address for calls of operators.
     pub operator: SocketAddr,
+    /// Address for calls of other instances.
     pub peer: SocketAddr,
-    /// Requests a second that its processor and link carry.
+    /// Requests per second that its processor and network link can carry.
     pub capacity_per_s: u32,
-    /// Age of the member when the row was sent; never more than its true age.
+    /// Uptime when the row was sent; never more than the true uptime.
     pub uptime_ms: u64,
-    /// Who answers for its idempotency keys after it left.
+    /// Incarnation of the member that owns its idempotency keys after it left.
     pub successor: Option<u64>,
 }
 
 impl MemberRow {
-    /// Whether this row is news against `other` on the same member.
+    /// Whether this row overrides `other`, a row of the same member.
     #[must_use]
     pub fn overrides(&self, other: &Self) -> bool {
         (self.generation, self.state) > (other.generation, other.state)
     }
 }
 
-/// What names one state of one member in a comparison; `None` for a member that is gone: instances
-/// forget those at different times, and would differ for minutes over members that nobody asks for.
+/// Hash that identifies a member in one state; `None` for a dead or left member. Instances remove
+/// those at different times, and their tables would otherwise differ for minutes over irrelevant
+/// rows.
 ///
-/// Two of five thousand rows share one less than once in three hundred fleets, and then only wait
-/// for a rumour.
+/// Two of 5,000 rows collide in fewer than one of 300 fleets; a collision only delays a row until
+/// gossip brings it.
 #[must_use]
-#[expect(clippy::cast_possible_truncation, reason = "half of the hash is enough")]
+#[expect(clippy::cast_possible_truncation, reason = "32 bits of the hash are enough")]
 pub fn fingerprint(row: &MemberRow) -> Option<u32> {
     let version = u64::from(row.generation) << 8 | row.state as u64;
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&row.incarnation.to_le_bytes(), version);
--- a/src/member/suspicion_timer.rs
+++ b/src/member/suspicion_timer.rs
@@ -1,4 +1,4 @@
-//! When a suspect counts as dead.
+//! Decides when a suspected member is declared dead.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,25 +6,25 @@
 use super::LocalHealth;
 use super::MemberTable;
 
-/// Time between two looks while there are suspects: short, so that a time in which this instance was
-/// held up shows.
+/// Tick interval while there are suspects: short, so that a stall of this instance is detected.
 const SUSPECT_TICK_MS: u64 = 50;
-/// The same while there is none.
+/// Tick interval while there are no suspects.
 const IDLE_TICK_MS: u64 = 250;
 
-/// Judges the suspects of one instance, by the time in which that instance itself ran as it should.
+/// Times suspicions out, counting only the time in which this instance itself was not stalled.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspicionTimer {
+    /// How long a suspect has to refute the suspicion.
     timeout_ms: u64,
     health: LocalHealth,
-    /// When the last turn was.
+    /// Time of the last tick.
     last_tick_ms: u64,
-    /// After how long the next turn is due.
+    /// Interval after which the next tick is due.
     tick_interval_ms: u64,
 }
 
 impl SuspicionTimer {
-    /// Suspects may answer for `timeout_ms`.
+    /// Creates a timer that declares suspects dead after `timeout_ms`.
     #[must_use]
     pub const fn new(timeout_ms: u64, now_ms: u64) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Declares suspects dead whose time is over; returns their peer addresses.
+    /// Declares suspects dead whose timeout has passed; returns their peer addresses.
     pub fn tick(&mut self, members: &mut MemberTable, now_ms: u64) -> Vec<SocketAddr> {
         let elapsed_ms = now_ms.saturating_sub(self.last_tick_ms);
         let stalled_ms = self.health.record_tick(elapsed_ms, self.tick_interval_ms);
@@ -46,7 +46,7 @@
         dead
     }
 
-    /// Time from one turn to the next.
+    /// Interval until the next tick.
     #[must_use]
     pub const fn tick_interval(&self) -> Duration {
         Duration::from_millis(self.tick_interval_ms)
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The members as one instance believes them to be; no I/O.
+//! The member table of one instance; no I/O.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,80 +16,88 @@
 use super::ring::Ring;
 use super::row::fingerprint;
 
-/// How long a member that is gone stays in the table, so that late news cannot revive it.
+/// How long a dead or left member stays in the table, so that a late message cannot bring it back.
 const TOMBSTONE_TTL_MS: u64 = 600_000;
-/// A rumour is told this many times per doubling of the members. Who misses it differs from those
-/// it talks to, and asks them.
+/// Each changed row is gossiped this many times per doubling of the member count. An instance that
+/// misses it is found to differ by a peer's digest and gets it by anti-entropy.
 const GOSSIP_SENDS_PER_DOUBLING: u32 = 1;
-/// Most members known at once; more are refused, so that a faulty peer cannot fill the memory.
+/// Maximum size of the table; further members are rejected, so that a faulty peer cannot exhaust
+/// memory.
 const MEMBERS_MAX: usize = 5_000;
 
+/// A member's row and when it changed.
 #[derive(Clone, Debug)]
 struct MemberEntry {
     row: MemberRow,
-    /// When the member started by our clock, or later: the earliest that any row implied.
+    /// Upper bound of the member's start time by the local clock: the earliest that any row
+    /// implied.
     started_ms: u64,
-    /// When the state became what it is.
+    /// When the member entered its current state.
     state_since_ms: u64,
 }
 
 impl MemberEntry {
-    /// The row with its age of now.
+    /// The row with its current uptime.
     fn row_at(&self, now_ms: u64) -> MemberRow {
         MemberRow { uptime_ms: now_ms.saturating_sub(self.started_ms), ..self.row.clone() }
     }
 }
 
-/// How a row came to this instance.
+/// How a row reached this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
-    /// A few rows that are new to most others, who are told.
+    /// By gossip: the row is new to most others and is gossiped on.
     Gossip,
-    /// One of many rows, which others compare and ask for themselves.
+    /// By anti-entropy: others get the row the same way, so it is not gossiped on.
     Sync,
 }
 
-/// What became of one member since the changes were last taken.
+/// A change of one member since changes were last taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Its row, with its age of now.
+    /// The member's row, with its current uptime.
     Updated(MemberRow),
-    /// It is long gone, and forgotten.
+    /// The member, by incarnation, was removed from the table [`TOMBSTONE_TTL_MS`] after it was
+    /// gone.
     Removed(u64),
 }
 
-/// The membership of one instance, its own row included.
+/// All members that one instance knows, itself included.
 ///
-/// What is done for one member takes the same few steps however many there are; only comparing
-/// tables walks over them.
+/// Operations on one member are logarithmic in the table size, apart from memory moves in the ring;
+/// only anti-entropy scans the table.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
+    /// Incarnation of this instance.
     own_incarnation: u64,
+    /// All members, by incarnation.
     entries: BTreeMap<u64, MemberEntry>,
-    /// The processes that ran at each peer address and may answer: one, but for a moment.
+    /// Members that may answer at each peer address: one, except for a moment after a restart.
     by_peer_address: HashMap<SocketAddr, SmallVec<[u64; 1]>>,
+    /// Members that may answer, from which ping targets are chosen.
     ring: Ring,
+    /// Digest of all rows, kept up to date with each change.
     digest: MembersDigest,
-    /// Members whose rows are still to be told.
+    /// Members whose rows are still to be gossiped.
     gossip_queue: GossipQueue,
-    /// Suspects, with the time since when.
+    /// Suspects, as (time of the suspicion, incarnation).
     suspects: BTreeSet<(u64, u64)>,
-    /// Members that are gone, with the time since when.
+    /// Dead and left members, as (time of that change, incarnation).
     tombstones: BTreeSet<(u64, u64)>,
-    /// Members that changed since the changes were last taken.
+    /// Members that changed since changes were last taken.
     changed: BTreeSet<u64>,
-    /// Pings so far.
+    /// Pings sent so far.
     ping_count: usize,
 }
 
-/// The members for which something lasts for `least_ms` or longer, the first since when.
+/// The incarnations whose time is at least `least_ms` ago, the oldest first.
 fn at_least_since(since: &BTreeSet<(u64, u64)>, least_ms: u64, now_ms: u64) -> Vec<u64> {
     let old = |entry: &&(u64, u64)| now_ms.saturating_sub(entry.0) >= least_ms;
     since.iter().take_while(old).map(|(_, incarnation)| *incarnation).collect()
 }
 
 impl MemberTable {
-    /// A table that knows only the own row.
+    /// A table that holds only the own row.
     #[must_use]
     pub fn new(own: MemberRow, now_ms: u64) -> Self {
         let mut table = Self {
@@ -108,7 +116,8 @@
         table
     }
 
-    /// Puts a row in force in the place of the one known of its member, if any, to be told so often.
+    /// Stores an entry in place of the member's previous one and queues it to be gossiped `sends`
+    /// times.
     fn insert(&mut self, entry: MemberEntry, sends: u32) {
         let incarnation = entry.row.incarnation;
         self.remove(incarnation);
@@ -128,7 +137,7 @@
         self.entries.insert(incarnation, entry);
     }
 
-    /// Takes a member out of everything that is derived from its row.
+    /// Removes a member from the table and from all indexes.
     fn remove(&mut self, incarnation: u64) -> Option<MemberEntry> {
         let entry = self.entries.remove(&incarnation)?;
         self.digest.remove(&entry.row);
@@ -145,19 +154,19 @@
         Some(entry)
     }
 
-    /// The own row with its age of now.
+    /// The own row with its current uptime.
     #[must_use]
     pub fn own_row(&self, now_ms: u64) -> MemberRow {
         self.entries[&self.own_incarnation].row_at(now_ms)
     }
 
-    /// All rows, oldest news included, with their ages of now.
+    /// All rows, dead and left members included, with their current uptimes.
     #[must_use]
     pub fn rows(&self, now_ms: u64) -> Vec<MemberRow> {
         self.entries.values().map(|entry| entry.row_at(now_ms)).collect()
     }
 
-    /// The rows of the members of some parts of the digest, with their ages of now.
+    /// The rows in some buckets of the digest, with their current uptimes.
     #[must_use]
     pub fn rows_in_buckets(&self, buckets: &[usize], now_ms: u64) -> Vec<MemberRow> {
         let selected =
@@ -165,7 +174,7 @@
         selected.map(|(_, entry)| entry.row_at(now_ms)).collect()
     }
 
-    /// The fingerprints of the members of some parts of the digest.
+    /// The fingerprints of the rows in some buckets of the digest.
     #[must_use]
     pub fn fingerprints_in_buckets(&self, buckets: &[usize]) -> Vec<u32> {
         let selected =
@@ -173,7 +182,7 @@
         selected.filter_map(|(_, entry)| fingerprint(&entry.row)).collect()
     }
 
-    /// The rows with these fingerprints, with their ages of now.
+    /// The rows with these fingerprints, with their current uptimes.
     #[must_use]
     pub fn rows_with_fingerprints(&self, fingerprints: &[u32], now_ms: u64) -> Vec<MemberRow> {
         let wanted: HashSet<u32> = fingerprints.iter().copied().collect();
@@ -183,31 +192,31 @@
         selected.map(|entry| entry.row_at(now_ms)).collect()
     }
 
-    /// The row of one member with its age of now.
+    /// The row of one member with its current uptime.
     #[must_use]
     pub fn row(&self, incarnation: u64, now_ms: u64) -> Option<MemberRow> {
         self.entries.get(&incarnation).map(|entry| entry.row_at(now_ms))
     }
 
-    /// What tells whether another table believes the same.
+    /// The digest by which tables are compared.
     #[must_use]
     pub const fn digest(&self) -> &MembersDigest {
         &self.digest
     }
 
-    /// When the member started by our clock, or later.
+    /// Upper bound of the member's start time by the local clock, in milliseconds.
     #[must_use]
     pub fn started_ms(&self, incarnation: u64) -> Option<u64> {
         self.entries.get(&incarnation).map(|entry| entry.started_ms)
     }
 
-    /// Whether any member may answer at this peer address.
+    /// Whether a member that may answer is known at this peer address.
     #[must_use]
     pub fn may_answer_at(&self, peer: SocketAddr) -> bool {
         self.by_peer_address.contains_key(&peer)
     }
 
-    /// What changed since this was last called.
+    /// Takes the changes since the last call.
     pub fn take_changes(&mut self, now_ms: u64) -> Vec<MemberChange> {
         let changed = std::mem::take(&mut self.changed);
         let change = |incarnation| match self.entries.get(&incarnation) {
@@ -217,18 +226,18 @@
         changed.into_iter().map(change).collect()
     }
 
+    /// How many times a changed row is gossiped.
     fn gossip_sends(&self) -> u32 {
         let members = u32::try_from(self.entries.len()).unwrap_or(u32::MAX);
         GOSSIP_SENDS_PER_DOUBLING * (members.ilog2() + 1)
     }
 
-    /// Takes news in, to be told on; tells whether it changed what is believed.
+    /// Merges a gossiped row and queues it to be gossiped on; returns whether the table changed.
     pub fn merge(&mut self, row: &MemberRow, now_ms: u64) -> bool {
         self.merge_row(row, Source::Gossip, now_ms)
     }
 
-    /// Takes in one of many rows that another instance was asked for; tells whether it changed what
-    /// is believed.
+    /// Merges a row received by anti-entropy; returns whether the table changed.
     pub fn merge_synced(&mut self, row: &MemberRow, now_ms: u64) -> bool {
         self.merge_row(row, Source::Sync, now_ms)
     }
@@ -256,8 +265,8 @@
         true
     }
 
-    /// A process that was paused, or cut off, hears that it is believed gone: it is not, and a
-    /// row of a higher generation says so to everyone.
+    /// Refutes a row that reports this instance in another state, e.g. after a pause or a
+    /// partition: raises the own generation, which overrides the report on every instance.
     fn refute(&mut self, row: &MemberRow, now_ms: u64) -> bool {
         let own = &self.entries[&self.own_incarnation];
         if row.generation < own.row.generation || row.state == own.row.state {
@@ -272,7 +281,7 @@
         true
     }
 
-    /// A new process on a peer address means that the one before it is gone.
+    /// Marks the previous process at a peer address dead when a newer one starts there.
     fn supersede_predecessor(&mut self, row: &MemberRow, now_ms: u64) {
         if !row.state.may_answer() {
             return;
@@ -294,7 +303,7 @@
         }
     }
 
-    /// Changes the own state; told to everyone.
+    /// Changes the own state and gossips it.
     pub fn set_own_state(&mut self, state: MemberState, successor: Option<u64>, now_ms: u64) {
         let own = &self.entries[&self.own_incarnation];
         let generation = own.row.generation + 1;
@@ -305,16 +314,18 @@
         );
     }
 
-    /// Marks a member that did not answer; tells whether that is news.
+    /// Marks a member that did not answer as a suspect; returns whether the table changed.
     pub fn suspect(&mut self, incarnation: u64, now_ms: u64) -> bool {
         self.downgrade(incarnation, MemberState::Suspect, now_ms)
     }
 
+    /// Moves a member to a worse state and gossips it; returns whether the table changed.
     fn downgrade(&mut self, incarnation: u64, state: MemberState, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get(&incarnation) else {
             return false;
         };
-        // A leaving member that falls silent has stopped: as a suspect it would take work again.
+        // A leaving member that stops answering has stopped; as a suspect it would be given work
+        // again.
         let is_leaving = entry.row.state == MemberState::Leaving;
         let state = if is_leaving { MemberState::Dead } else { state };
         if entry.row.state >= state {
@@ -328,8 +339,8 @@
         true
     }
 
-    /// Declares suspects dead whose time is over, and forgets who is long gone. Returns the peer
-    /// addresses of those declared dead.
+    /// Declares suspects dead whose timeout has passed and removes expired tombstones. Returns the
+    /// peer addresses of those declared dead.
     pub fn expire_suspects(&mut self, suspect_timeout_ms: u64, now_ms: u64) -> Vec<SocketAddr> {
         let dead = at_least_since(&self.suspects, suspect_timeout_ms, now_ms);
         for incarnation in &dead {
@@ -350,7 +361,8 @@
         !self.suspects.is_empty()
     }
 
-    /// Gives the suspects of now more time: for `missed_ms` this instance could not hear them.
+    /// Extends the timeout of current suspects by `stalled_ms`, for which this instance was
+    /// stalled.
     pub fn extend_suspicion(&mut self, stalled_ms: u64, now_ms: u64) {
         if stalled_ms == 0 {
             return;
@@ -364,20 +376,20 @@
         }
     }
 
-    /// Up to `most` rows that are still news, the least told first.
+    /// Takes up to `most` queued rows to gossip, those sent least often first.
     pub fn take_gossip(&mut self, most: usize, now_ms: u64) -> Vec<MemberRow> {
         let next = self.gossip_queue.take(most);
         next.iter().filter_map(|member| self.row(*member, now_ms)).collect()
     }
 
-    /// The members that this one pings, and is connected to.
+    /// The members that this instance pings and stays connected to.
     #[must_use]
     pub fn ping_targets(&self) -> SmallVec<[&MemberRow; 16]> {
         let fingers = self.ring.fingers(self.own_incarnation);
         fingers.iter().filter_map(|member| Some(&self.entries.get(member)?.row)).collect()
     }
 
-    /// The member to ping next.
+    /// The next member to ping, in round-robin order.
     pub fn next_ping_target(&mut self) -> Option<MemberRow> {
         self.ping_count = self.ping_count.wrapping_add(1);
         let pinged = self.ping_targets();
@@ -385,7 +397,8 @@
         Some(pinged[at].clone())
     }
 
-    /// Up to `most` other members that may ping `target` for us, of those that we are connected to.
+    /// Up to `most` members to ask for an indirect ping of `target`, among those this instance
+    /// pings.
     #[must_use]
     pub fn indirect_pingers(&self, target: u64, most: usize) -> Vec<MemberRow> {
         let helps = |row: &&MemberRow| row.incarnation != target && row.state == MemberState::Alive;
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -1,8 +1,8 @@
-//! Proof on both sides that a connection's ends know the shared secret.
+//! Mutual authentication: both ends of a connection prove that they know the shared secret.
 //!
-//! Each end proves it by a keyed hash over both ends' fresh nonces, so that a recorded proof is
-//! worth nothing. What follows on the connection is neither encrypted nor signed: this keeps
-//! strangers out, not somebody who can change packets on the way.
+//! Each end proves it by a keyed hash over fresh nonces of both ends, so a recorded proof cannot be
+//! replayed. The traffic that follows is neither encrypted nor signed: this keeps strangers out,
+//! but not an attacker who can modify packets in transit.
 
 use hmac::Hmac;
 use hmac::Mac;
@@ -16,7 +16,7 @@
 use crate::errors::Code;
 use crate::errors::Coded;
 
-/// Begins every connection: a name and the version of the messages.
+/// First bytes of the connecting end: protocol name and version of the messages.
 const MAGIC: [u8; 4] = *b"sw\0\x01";
 const NONCE_BYTES: usize = 32;
 const PROOF_BYTES: usize = 32;
@@ -30,8 +30,10 @@
     nonce
 }
 
+/// HMAC-SHA256 over the role of the proving end and both nonces.
 fn proof(secret: &str, role: &str, first: &Nonce, second: &Nonce) -> Proof {
-    let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("any length is a key");
+    let mut mac =
+        Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("HMAC accepts keys of any length");
     mac.update(role.as_bytes());
     mac.update(first);
     mac.update(second);
@@ -42,14 +44,15 @@
     Coded::new(Code::PeerUnauthenticated, why.to_string())
 }
 
+/// Compares proofs in constant time.
 fn verify(expected: &Proof, given: &Proof) -> Result<(), Coded> {
     if bool::from(expected.ct_eq(given)) { Ok(()) } else { Err(auth_error("wrong secret")) }
 }
 
-/// The accepting end.
+/// Authenticates a connection at its accepting end.
 ///
 /// # Errors
-/// `PeerUnauthenticated`; the connection is then closed without another byte.
+/// `PeerUnauthenticated`; the caller then closes the connection without sending another byte.
 pub async fn accept(stream: &mut TcpStream, secret: &str) -> Result<(), Coded> {
     let own = fresh_nonce();
     stream.write_all(&own).await.map_err(auth_error)?;
@@ -66,7 +69,7 @@
     stream.write_all(&proof(secret, "accept", &theirs, &own)).await.map_err(auth_error)
 }
 
-/// The connecting end.
+/// Authenticates a connection at its connecting end.
 ///
 /// # Errors
 /// `PeerUnauthenticated` when either end does not know the secret.
--- a/src/peer/forward.rs
+++ b/src/peer/forward.rs
@@ -1,4 +1,4 @@
-//! A request that one instance passes to another, and its answer.
+//! A request that one instance forwards to another, and the response.
 
 use bytes::Bytes;
 use h2::RecvStream;
@@ -9,57 +9,61 @@
 use crate::quarantine::Fingerprints;
 use crate::route::Outcome;
 
-/// Why a request is passed; each later stage is passed on less often, so that no request can
-/// travel in circles between instances that disagree.
+/// Why a request is forwarded. A request is only forwarded to a later stage, so it cannot loop
+/// between instances that disagree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// Straight from its caller.
+    /// Received directly from its caller.
     Entry,
     /// To the owner of its idempotency key.
     Owner,
     /// To a home of its service.
     Home,
-    /// From a home without a free slot to one that has one.
+    /// From a home without a free slot to a home that has one.
     Spill,
 }
 
-/// A passed request without its body.
+/// Head of a forwarded request; the body follows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardHead {
     pub service: String,
-    /// Of the request as its caller sent it.
+    /// Fingerprints of the request as its caller sent it.
     pub fingerprints: Fingerprints,
     pub method: String,
     /// Path and query.
     pub target: String,
     pub headers: Vec<(String, Vec<u8>)>,
+    /// The idempotency key.
     pub key: Option<String>,
-    /// What the sender holds it to be; the receiver treats it so only if it agrees.
+    /// Whether the sender considers the request idempotent; the receiver treats it so only if it
+    /// agrees.
     pub idempotent: bool,
     pub stage: Stage,
-    /// Time until the deadline; a length, as clocks differ.
+    /// Time until the deadline; a duration, since clocks differ between instances.
     pub remaining_us: u64,
 }
 
-/// The first part of the answer to a passed request.
+/// Head of the response to a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardReplyHead {
     pub outcome: Outcome,
+    /// Result code.
     pub code: u16,
     pub retry_after_ms: u64,
+    /// HTTP status.
     pub status: u16,
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Length of the body where it is known beforehand.
+    /// Length of the body, if known in advance.
     pub body_bytes: Option<u64>,
-    /// Slots that the answering home has free.
+    /// Free slots at the home that answered.
     pub free_slots: u32,
 }
 
-/// The answer to a passed request; the body ends with an error when it was cut short.
+/// Response to a forwarded request; a truncated body ends with an error.
 #[derive(Debug)]
 pub struct ForwardReply {
     pub head: ForwardReplyHead,
-    /// Body bytes that came with the head.
+    /// Body bytes received together with the head.
     pub first: Bytes,
     pub rest: RecvStream,
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages, bounded in size; large ones are compressed.
+//! Encoding of messages: `bincode`, limited in size, compressed when large.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,20 +13,21 @@
 use crate::errors::Code;
 use crate::errors::Coded;
 
-/// Largest encoded message.
+/// Maximum size of an encoded message.
 pub const FRAME_MAX_BYTES: usize = 4 << 20;
 
-/// Messages above this are compressed. A configuration of two thousand routes takes 325 KB as it is
-/// and some 20 KB compressed; sent whole to fifty neighbours over slow links, it took seconds, and
-/// calls between instances give up before. Below this, compressing gains less than it costs.
+/// Messages of at least this size are compressed. A configuration of 2,000 routes takes 325 KB
+/// plain and some 20 KB compressed; sent plain to fifty peers over slow links, it took seconds,
+/// longer than the timeouts of calls between instances. Below this size compression costs more than
+/// it saves.
 const COMPRESS_MIN_BYTES: usize = 4 << 10;
-/// The first byte of a message tells how the rest is written.
+/// First byte of an encoded message: how the rest is encoded.
 const PLAIN: u8 = 0;
 const COMPRESSED: u8 = 1;
 
-/// What instances send each other.
+/// A message between instances.
 pub trait Message: Serialize {
-    /// Bytes of it that are compressed already.
+    /// Number of its bytes that are already compressed.
     fn packed_bytes(&self) -> usize {
         0
     }
@@ -38,29 +39,30 @@
     encode_value(message, message.packed_bytes())
 }
 
-/// Encodes a value of which so many bytes are compressed already.
+/// Encodes a value; `packed_bytes` of it are already compressed and do not count towards the
+/// compression threshold.
 ///
 /// # Panics
-/// Never for the message types of this crate: encoding to memory cannot fail for them.
+/// Never for the message types of this crate, whose encoding into memory cannot fail.
 pub(super) fn encode_value<T: Serialize>(value: &T, packed_bytes: usize) -> Vec<u8> {
     let mut bytes = vec![PLAIN];
     bincode::serde::encode_into_std_write(value, &mut bytes, config::standard())
-        .expect("messages can be encoded");
+        .expect("encoding into memory cannot fail");
     if bytes.len() < COMPRESS_MIN_BYTES + packed_bytes {
         return bytes;
     }
     compress(&bytes[1..]).unwrap_or(bytes)
 }
 
-/// `None` when it cannot be compressed; it is sent as it is then.
+/// Compresses an encoded value; `None` on failure, in which case the value is sent plain.
 fn compress(plain: &[u8]) -> Option<Vec<u8>> {
     let mut encoder = DeflateEncoder::new(vec![COMPRESSED], Compression::fast());
     encoder.write_all(plain).ok()?;
     encoder.finish().ok()
 }
 
-/// The bytes of a message as they were before compression, up to one more than may be there: a
-/// forged one that would grow without end is cut.
+/// Decompresses a message, up to one byte more than the maximum size, so that a decompression bomb
+/// cannot exhaust memory.
 fn decompress(compressed: &[u8]) -> Result<Vec<u8>, Coded> {
     let mut plain = Vec::new();
     let mut bounded = DeflateDecoder::new(compressed).take(FRAME_MAX_BYTES as u64 + 1);
@@ -69,12 +71,12 @@
     Ok(plain)
 }
 
-/// Decodes a message that must fill `bytes`.
+/// Decodes a message, which must take up all of `bytes`.
 ///
-/// The limit bounds what a forged length can make the decoder allocate.
+/// The size limit bounds what a forged length can make the decoder allocate.
 ///
 /// # Errors
-/// `PeerFrame` for bytes that are no such message, `PeerFrameTooLarge` over the limit.
+/// `PeerFrame` for malformed bytes, `PeerFrameTooLarge` above the maximum size.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Coded> {
     match bytes.split_first() {
         Some((&PLAIN, plain)) => decode_plain(plain),
@@ -96,11 +98,12 @@
     Ok(message)
 }
 
-/// Bytes of rows in one message; far below the limit, which the rest of a message needs too.
+/// Maximum encoded size of the rows in one message, well below [`FRAME_MAX_BYTES`] to leave space
+/// for the rest of the message.
 const ROWS_MAX_BYTES: usize = 1 << 20;
 
-/// Splits rows so that each part fits a message. A row that fits none is in no part; the caller
-/// keeps rows below that size.
+/// Splits rows into groups that each fit into one message. Rows larger than that are dropped;
+/// callers keep rows below that size.
 #[must_use]
 pub fn split_rows<T: Serialize + Clone>(rows: &[T]) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, opened when first needed.
+//! A connection to one peer, opened on first use.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -27,36 +27,39 @@
 use crate::clock::now_us;
 use crate::errors::Code;
 
-/// Length prefix of a message that is followed by a body.
+/// Size of the length prefix of a message that is followed by a body.
 const LENGTH_PREFIX_BYTES: usize = 4;
+/// HTTP/2 flow-control window of one stream; that of a connection is four times as large.
 const WINDOW_BYTES: u32 = 1 << 20;
 
-/// Why a peer's answer is missing.
+/// Why a call to a peer brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerError {
-    /// No byte of the message left this instance.
+    /// Nothing of the message was sent.
     NotSent,
-    /// The message was handed over, its answer did not come.
+    /// The message was sent, but no response came; it may have taken effect.
     ResponseLost,
-    /// The peer answered that it does not serve this message.
+    /// The peer answered that it does not serve this message, with a result code.
     Refused(u16),
 }
 
-/// Calls without an answer in a row after which the connection is given up: connections go silent
-/// without being closed, and a new one to the same peer works.
+/// The connection is dropped after this many timed-out calls in a row: a connection can go silent
+/// without being closed, while a new one to the same peer works.
 const TIMEOUTS_MAX: u32 = 2;
 
-/// A link to one peer address.
+/// A connection to one peer address, shared by all calls to it.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
+    /// The HTTP/2 connection, if one is open.
     sender: Mutex<Option<SendRequest<Bytes>>>,
-    /// Calls without an answer in a row.
+    /// Timed-out calls in a row.
     consecutive_timeouts: AtomicU32,
-    /// When the last call began.
+    /// Start of the last call.
     last_used_us: AtomicU64,
 }
 
+/// Connects and authenticates; `None` on failure.
 async fn connect(address: SocketAddr, secret: &str) -> Option<SendRequest<Bytes>> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
@@ -65,7 +68,7 @@
     builder.initial_window_size(WINDOW_BYTES).initial_connection_window_size(4 * WINDOW_BYTES);
     let (sender, connection) = builder.handshake(stream).await.ok()?;
     tokio::spawn(async move {
-        // An error here shows as a lost answer on each stream.
+        // A connection error shows as a lost response on each stream.
         let _ = connection.await;
     });
     Some(sender)
@@ -81,23 +84,24 @@
         }
     }
 
-    /// Time since the last call began.
+    /// Time since the start of the last call.
     pub(super) fn idle_time(&self) -> Duration {
         Duration::from_micros(now_us().saturating_sub(self.last_used_us.load(Ordering::Relaxed)))
     }
 
-    /// Takes note of a call that was not answered in time.
+    /// Records a timed-out call; drops the connection after [`TIMEOUTS_MAX`] in a row.
     fn record_timeout(&self) {
         if self.consecutive_timeouts.fetch_add(1, Ordering::AcqRel) + 1 < TIMEOUTS_MAX {
             return;
         }
         self.consecutive_timeouts.store(0, Ordering::Release);
-        // Whoever holds it opens a new connection already.
+        // If the lock is taken, another call is already opening a new connection.
         if let Ok(mut sender) = self.sender.try_lock() {
             sender.take();
         }
     }
 
+    /// The open connection once it accepts a new stream, or a new connection.
     async fn sender(&self, secret: &str) -> Result<SendRequest<Bytes>, PeerError> {
         let mut guard = self.sender.lock().await;
         if let Some(sender) = guard.take()
@@ -112,7 +116,8 @@
         Ok(ready)
     }
 
-    /// Sends bytes on a new stream and returns the answer's body once its head is there.
+    /// Sends `body` on a new stream and returns the response body once the response headers have
+    /// arrived.
     async fn send_request(
         &self,
         secret: &str,
@@ -134,7 +139,7 @@
         Ok(response.into_body())
     }
 
-    /// Sends an encoded control message and waits for its answer.
+    /// Sends an encoded control message and waits for the response.
     pub(super) async fn call(
         &self,
         secret: &str,
@@ -158,6 +163,7 @@
         }
     }
 
+    /// Forwards a request and waits for the head of the response.
     pub(super) async fn forward(
         &self,
         secret: &str,
@@ -178,13 +184,13 @@
     }
 }
 
-/// The length prefix of a message of `len` bytes.
+/// Encodes the length prefix of a message of `len` bytes.
 #[expect(clippy::cast_possible_truncation, reason = "messages are at most 4 MiB")]
 pub(super) const fn length_prefix(len: usize) -> [u8; LENGTH_PREFIX_BYTES] {
     (len as u32).to_be_bytes()
 }
 
-/// The next chunk of a stream, its flow-control capacity given back.
+/// Reads the next chunk of a stream and returns its flow-control capacity.
 pub(crate) async fn read_chunk(stream: &mut RecvStream) -> Option<Result<Bytes, h2::Error>> {
     let chunk = stream.data().await?;
     if let Ok(bytes) = &chunk {
@@ -193,7 +199,7 @@
     Some(chunk)
 }
 
-/// A whole control message; `None` when it is cut short or too large.
+/// Reads a whole control message; `None` if it is truncated or too large.
 pub(super) async fn read_message(stream: &mut RecvStream) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
     while let Some(chunk) = read_chunk(stream).await {
@@ -205,7 +211,7 @@
     Some(bytes.freeze())
 }
 
-/// A length-prefixed message and the bytes that came behind it.
+/// Reads a length-prefixed message; also returns the bytes received after it.
 pub(super) async fn read_prefixed<T: serde::de::DeserializeOwned>(
     stream: &mut RecvStream,
 ) -> Option<(T, Bytes)> {
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -1,4 +1,4 @@
-//! All links of one instance.
+//! The connections of one instance to all peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,30 +19,32 @@
 use super::encode;
 use super::link::Link;
 
-/// A peer that cannot be connected within this counts as unreachable.
+/// A peer is unreachable if a connection to it cannot be opened within this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Members are pinged in turn, those of 500 instances every 2.3 s: links that are used go on.
+/// Links unused for this long are closed. The members that an instance pings are each used more
+/// often, every 2.3 s in a fleet of 500, so their links stay open.
 const IDLE_MAX: Duration = Duration::from_secs(5);
+/// Secret used when the settings have none, e.g. for an instance that runs alone.
 const DEFAULT_SECRET: &str = "alone";
 
-/// Opens links on demand and shares them; clones share.
+/// Opens links on demand; clones share them.
 #[derive(Clone, Debug)]
 pub struct Links {
     secret: Arc<str>,
     by_address: Arc<Mutex<HashMap<SocketAddr, Arc<Link>>>>,
-    /// Bytes of control messages sent, for the budget of control traffic.
+    /// Bytes of control messages sent, to check the budget for control traffic.
     control_bytes: Arc<AtomicU64>,
 }
 
 impl Links {
-    /// Links that prove themselves by `secret`.
+    /// Links that authenticate with `secret`.
     #[must_use]
     pub fn new(secret: &str) -> Self {
         let secret = if secret.is_empty() { DEFAULT_SECRET } else { secret };
         Self { secret: secret.into(), by_address: Arc::default(), control_bytes: Arc::default() }
     }
 
-    /// The secret that peers must know.
+    /// The shared secret that authenticates peers.
     #[must_use]
     pub fn secret(&self) -> &str {
         &self.secret
@@ -59,10 +61,10 @@
         Arc::clone(links.entry(address).or_insert_with(|| Arc::new(Link::new(address))))
     }
 
-    /// Passes a request on; the deadline is the caller's to watch.
+    /// Forwards a request to another instance. The caller enforces the deadline.
     ///
     /// # Errors
-    /// Tells whether the request may have arrived.
+    /// The error tells whether the request may have arrived.
     pub async fn forward(
         &self,
         address: SocketAddr,
@@ -85,7 +87,7 @@
         self.link(address).call(&self.secret, encoded, timeout).await
     }
 
-    /// Each link holds some 30 KB on both ends.
+    /// A link holds some 30 KB at each end.
     fn close_idle(&self) {
         self.by_address.lock().retain(|_, link| link.idle_time() < IDLE_MAX);
     }
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -1,4 +1,4 @@
-//! The accepting end of links.
+//! Accepts connections from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,38 +31,40 @@
 use crate::route::AnswerBody;
 use crate::task::TaskGuard;
 
+/// Maximum number of connections from peers; further ones are closed.
 const CONNECTIONS_MAX: usize = 4_096;
-/// A connection that has not proved itself within this is closed.
+/// A connection that has not authenticated within this time is closed.
 const AUTH_TIMEOUT: Duration = Duration::from_secs(2);
+/// HTTP/2 flow-control window of one stream; that of a connection is four times as large.
 const WINDOW_BYTES: u32 = 1 << 20;
 
-/// What serves the messages of peers.
+/// Serves messages of peers.
 pub trait PeerService: Clone + Send + Sync + 'static {
     /// Answers a control message.
     fn control(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
 
-    /// Runs a passed request.
+    /// Runs a forwarded request.
     fn forward(
         &self,
         head: ForwardHead,
         body: Bytes,
     ) -> impl Future<Output = (ForwardReplyHead, AnswerBody)> + Send;
 
-    /// Most bytes that the body of a passed request may have.
+    /// Maximum body size of a forwarded request.
     fn body_limit_bytes(&self) -> usize;
 
-    /// Takes note of a connection that was refused.
+    /// Called for each rejected connection.
     fn connection_refused(&self, from: SocketAddr, why: &str);
 }
 
-/// A listener that runs until it is dropped; connections accepted go on.
+/// A listener that runs until dropped; connections already accepted stay open.
 #[derive(Debug)]
 pub struct PeerListener {
     _task: TaskGuard,
 }
 
 impl PeerListener {
-    /// Accepts links on `listener`, each end proving `secret`.
+    /// Accepts connections on `listener` that authenticate with `secret`.
     pub fn spawn<S: PeerService>(listener: TcpListener, secret: Arc<str>, service: S) -> Self {
         let task = TaskGuard::spawn(accept_all(listener, secret, service));
         Self { _task: task }
@@ -162,8 +164,8 @@
             return None;
         }
     }
-    // When the passing instance resets the stream, its caller has left or another attempt
-    // answered first; dropping the work frees the slot.
+    // The forwarding instance resets the stream when its caller has disconnected or another attempt
+    // has answered first; dropping the work releases its slot.
     let work = service.forward(head, whole.freeze());
     let (head, body) = tokio::select! {
         done = work => done,
@@ -179,7 +181,7 @@
     Some(())
 }
 
-/// Sends a body; one that is cut short ends with a reset, never as if it were whole.
+/// Sends a body; a truncated one ends with a stream reset, so that it cannot be taken for complete.
 async fn send_body(stream: &mut SendStream<Bytes>, mut body: AnswerBody) {
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
@@ -199,7 +201,7 @@
 async fn send_chunk(stream: &mut SendStream<Bytes>, mut bytes: Bytes) -> Option<()> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        // `poll_capacity` tells of new capacity only; what is there already must be asked first.
+        // `poll_capacity` only reports newly assigned capacity; check for existing capacity first.
         let mut granted = stream.capacity();
         if granted == 0 {
             granted = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await?.ok()?;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the control plane between instances.
+//! Control messages between instances.
 
 use std::net::SocketAddr;
 
@@ -15,171 +15,181 @@
 use crate::store::Item;
 use crate::store::ItemEvent;
 
-/// Slots that a home of a service has free, told to its other homes.
+/// Load of one home of a service, sent to its other homes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadNote {
+    /// Name of the service.
     pub service: String,
+    /// Incarnation of the sender.
     pub from: u64,
+    /// Free slots at the sender.
     pub free_slots: u32,
+    /// Requests queued at the sender.
     pub queued: u32,
 }
 
-/// A home asks another instance for its share of measuring budgets.
+/// A home's request for its share of the probe budgets of some services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRequest {
     pub from: u64,
     pub services: Vec<String>,
 }
 
-/// Requests that the sender has at one backend server.
+/// The sender's in-flight requests at one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoadRow {
-    /// Hash of the server's id and start; two of some thousand servers share one less than once in
-    /// a million, and then only look fuller than they are.
+    /// Hash of the server's id and start time. Among some thousand servers, a collision occurs less
+    /// than once in a million, and only makes two servers look more loaded than they are.
     pub server_hash: u32,
     pub in_flight: u16,
-    /// How long work takes there now, 100 as usual; 0 where the sender does not know it.
+    /// Current service time relative to the usual one, in percent; 0 if the sender does not know
+    /// it.
     pub slowdown_percent: u16,
 }
 
-/// What changed in the loads of one instance since it was last heard.
+/// Changes of one instance's loads since its last message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoads {
     pub from: u64,
     pub rows: Vec<ServerLoadRow>,
 }
 
-/// A part of the platform's store that instances pass on to each other.
+/// A part of the platform's store that instances replicate to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Feed {
     Config,
     Servers,
-    /// Some backend servers of each service, for an instance that is no home and seldom gets a request.
+    /// Some backend servers of each service, for an instance that is not a home and rarely gets a
+    /// request.
     SomeServers {
-        /// Of the availability zone's name, see [`zone_hash`].
+        /// Hash of the availability zone's name, see [`zone_hash`].
         zone: u64,
     },
 }
 
-/// The hash by which instances name an availability zone to each other.
+/// The hash by which instances refer to an availability zone.
 #[must_use]
 pub fn zone_hash(zone: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(zone.as_bytes())
 }
 
-/// What an instance that knows a part of the store tells one that asks.
+/// The data of a response to a feed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedReply {
-    /// All events after the revision asked for, up to `revision`.
+    /// All events after the requested revision, up to `revision`.
     Events { events: Packed<Vec<ItemEvent>>, revision: u64 },
-    /// All items, complete up to `revision`.
+    /// A snapshot of all items at `revision`.
     All { items: Packed<Vec<Item>>, revision: u64 },
-    /// It does not know that part itself.
+    /// The responder does not have that part.
     Unknown,
 }
 
-/// The answer to a question for a part of the store.
+/// Response to a feed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedResponse {
     pub reply: FeedReply,
-    /// How long ago the answering instance was last certain that nothing is missing.
+    /// Time since the responder last confirmed that its copy is complete.
     pub age_ms: u64,
-    /// When that is proved to have been the store's newest, from when the question came; negative where that
-    /// was before. `None` without a proof.
+    /// Time at which the responder's copy was last proved to be the store's newest, relative to the
+    /// arrival of the request; negative if before it. `None` without a proof.
     pub proof_after_ms: Option<i64>,
-    /// What the homes of each zone must carry, as the answering instance knows from the servers; 0 where it
-    /// knows none.
+    /// Requests per second that the homes of each zone must be able to carry, as far as the
+    /// responder knows the servers; 0 if it knows none.
     pub zone_demand_per_s: u32,
 }
 
-/// What one instance asks another.
+/// A request from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     Member(MemberRequest),
-    /// Asks for a ping of another instance, which the sender could not reach.
+    /// Asks for an indirect ping of an instance that the sender could not reach.
     IndirectPing {
         target: SocketAddr,
     },
-    /// Asks for the summary of the configuration unless it has this digest.
+    /// Asks for the configuration summary unless the receiver's configuration has this digest.
     Digest {
         digest: u64,
     },
-    /// Changes of configuration; merging them twice does no harm.
+    /// Configuration changes; merging them is idempotent.
     Changes(Vec<(String, Versioned)>),
-    /// Asks for these services of the configuration.
+    /// Asks for the configuration of these services.
     Fetch(Vec<String>),
     Load(LoadNote),
-    /// A backend server that was seen leaving (`true`) or seen back (`false`).
+    /// The sender has seen a backend server begin to drain (`true`) or return (`false`).
     ServerLeaving {
         service: String,
         server: String,
         leaving: bool,
     },
-    /// Backend servers that the platform lists as leaving, all of them.
+    /// All backend servers that the platform lists as draining.
     ServersLeaving(Vec<SocketAddr>),
     Grant(GrantRequest),
     ServerLoads(ServerLoads),
-    /// Asks for what changed after a revision; held for up to `hold_ms` while nothing did.
+    /// Long poll for changes after a revision; the receiver holds it for up to `hold_ms` while
+    /// there are none.
     Feed {
         feed: Feed,
         after: Option<u64>,
         hold_ms: u64,
     },
-    /// Requests under which servers ended; the other answers with those of them that it knows
-    /// otherwise, and where these are `all` that the sender knows, with any others too.
+    /// Records of requests suspected of crashing servers. The receiver answers with those of them
+    /// that it holds in another state and, if `complete` says that these are all the sender has,
+    /// with any others too.
     Suspects {
         records: Vec<SuspectRecord>,
         complete: bool,
     },
-    /// Asks for tokens of a workspace's quota, in thousandths.
+    /// Asks for tokens of a workspace's quota, in millitokens.
     QuotaTokens {
         workspace: String,
         wanted_millitokens: u32,
     },
-    /// Outcomes of an instance that stops; the receiver answers for its keys from now on.
+    /// Recorded outcomes of an instance that stops; the receiver becomes the owner of its
+    /// idempotency keys.
     HandOver {
         part: OwnerSnapshot,
         last: bool,
     },
 }
 
-/// What the other answers.
+/// A reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     Done,
     Members(Vec<MemberRow>),
     Ack {
         stamp: u64,
-        /// Of what the answering instance believes of all members.
+        /// Hash of the responder's members digest.
         digest_hash: u64,
-        /// Of the requests under which servers ended.
+        /// Digest of the responder's records of suspect requests.
         suspects_digest: u64,
         gossip: Vec<MemberRow>,
     },
-    /// The parts of the members in which the digests differ, and the fingerprints of what the
-    /// answering instance believes there.
+    /// The buckets in which the two members digests differ, and the fingerprints of the responder's
+    /// rows in them.
     Differing {
         buckets: Vec<usize>,
         fingerprints: Vec<u32>,
     },
+    /// Whether an indirect ping was answered.
     Reached(bool),
     Suspects(Vec<SuspectRecord>),
-    /// Revision of each service, as far as the digests differ.
+    /// Revision of each service, sent if the digests differ.
     Summary(Vec<(String, u64)>),
     Changes(Vec<(String, Versioned)>),
-    /// Probes a second granted for each service asked, for the asker's `grant_ms` from asking.
+    /// Probes per second granted for each requested service, valid for `grant_ms` from the request.
     Granted(Vec<u32>),
-    /// Slots that the answering home has free.
+    /// Free slots at the responder.
     FreeSlots(u32),
     Feed(FeedResponse),
-    /// Tokens that the answering instance has given away, in thousandths.
+    /// Tokens that the responder gives away, in millitokens.
     QuotaTokens(u32),
-    /// The request was not served; a result code.
+    /// The request was not served; contains a result code.
     Failed(u16),
 }
 
 impl FeedReply {
-    /// Bytes of it that are compressed already.
+    /// Number of its bytes that are already compressed.
     fn packed_bytes(&self) -> usize {
         match self {
             Self::Events { events, .. } => events.bytes().len(),
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Links between instances: authenticated connections that carry `h2` streams of `bincode`.
+//! Communication between instances: authenticated HTTP/2 connections that carry `bincode` messages.
 
 mod auth;
 mod forward;
--- a/src/peer/packed.rs
+++ b/src/peer/packed.rs
@@ -1,4 +1,4 @@
-//! A value that many peers are told.
+//! A value that is encoded once and sent to many peers.
 
 use std::ops::Deref;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use super::frame::decode;
 use super::frame::encode_value;
 
-/// Written and compressed once, for whoever is told first; clones share.
+/// A value whose encoded and compressed form is computed on first use and shared by clones.
 #[derive(Clone, Debug)]
 pub struct Packed<T>(Arc<Inner<T>>);
 
 #[derive(Debug)]
 struct Inner<T> {
     value: T,
-    /// The value as a frame of its own, once somebody was told.
+    /// The value encoded as a frame, once it has been sent.
     bytes: OnceLock<Bytes>,
 }
 
 impl<T: Serialize> Packed<T> {
-    /// The value as it travels.
+    /// The encoded value.
     #[must_use]
     pub fn bytes(&self) -> &Bytes {
         self.0.bytes.get_or_init(|| encode_value(&self.0.value, 0).into())
@@ -62,7 +62,8 @@
 }
 
 impl<'de, T: DeserializeOwned> Deserialize<'de> for Packed<T> {
-    /// What was received is not kept beside the value: who hands it on mostly tells others more or less.
+    /// The received bytes are not kept: an instance that relays the value usually sends more or
+    /// less of it.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let bytes = Bytes::deserialize(deserializer)?;
         let value: T = decode(&bytes).map_err(serde::de::Error::custom)?;
--- a/src/peer/peer_client.rs
+++ b/src/peer/peer_client.rs
@@ -1,4 +1,4 @@
-//! How an instance calls another.
+//! Calls to other instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,12 +7,13 @@
 use super::PeerReply;
 use super::PeerRequest;
 
-/// Calls to other instances; links do so, and tests with hundreds of instances in one process.
+/// Calls to other instances; implemented by the network links, and by tests that run hundreds of
+/// instances in one process.
 pub trait PeerClient: Clone + Send + Sync + 'static {
-    /// Sends a control message and waits for its answer.
+    /// Sends a control message and waits for the response.
     ///
     /// # Errors
-    /// Tells whether the message may have arrived.
+    /// The error tells whether the message may have arrived.
     fn call(
         &self,
         address: SocketAddr,
@@ -20,9 +21,9 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<PeerReply, PeerError>> + Send;
 
-    /// Closes links that are not used any more.
+    /// Closes links that have been idle for too long.
     fn close_idle(&self);
 
-    /// Drops the link to a peer that is gone.
+    /// Drops the link to a peer that is dead.
     fn drop_link(&self, address: SocketAddr);
 }
--- a/src/store/any_store.rs
+++ b/src/store/any_store.rs
@@ -1,4 +1,4 @@
-//! The store that the settings name.
+//! The store selected by the settings.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::StoreError;
 use crate::conf::PlatformSettings;
 
-/// One of the implementations, told apart without `dyn`.
+/// One of the store implementations; an enum instead of `dyn`.
 #[derive(Clone, Debug)]
 pub enum AnyStore {
     Memory(MemoryStore),
@@ -21,7 +21,7 @@
 }
 
 impl AnyStore {
-    /// The platform's store, or one in memory where the settings name no platform.
+    /// Opens the platform's store, or one in memory if the settings have no platform.
     #[must_use]
     pub fn open(platform: Option<&PlatformSettings>) -> Self {
         match platform {
--- a/src/store/consul_store.rs
+++ b/src/store/consul_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store over Consul's HTTP interface.
+//! The platform's store over Consul's HTTP API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,17 +19,19 @@
 use super::StoreError;
 use crate::conf::PlatformSettings;
 
+/// Response header that carries the store's index.
 const INDEX_HEADER: &str = "x-consul-index";
-/// Names in the platform's list of machines.
+/// Service names in the platform's catalog.
 const INSTANCES: &str = "sorrelwick";
 const BACKEND_SERVERS: &str = "backend-servers";
 
-/// A [`Store`] and [`Roster`] over HTTP; clones share their connections.
+/// A [`Store`] and [`Roster`] over HTTP; clones share connections.
 #[derive(Clone, Debug)]
 pub struct ConsulStore {
     http: HttpClient,
 }
 
+/// An entry of the key-value API.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct KvRow {
@@ -38,6 +40,7 @@
     modify_index: u64,
 }
 
+/// An entry of the service catalog.
 #[derive(Deserialize)]
 struct CatalogRow {
     #[serde(rename = "ServiceID")]
@@ -58,6 +61,7 @@
     state: String,
 }
 
+/// The response to the creation of a session.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct SessionRow {
@@ -84,8 +88,8 @@
         return Ok(reply);
     }
     let text = String::from_utf8_lossy(&reply.body).into_owned();
-    // A gateway in between may fail after the store has written; only a refusal that the store
-    // itself worded by a 4xx tells that nothing changed.
+    // An intermediary may return a 5xx after the store has written; only a 4xx proves that nothing
+    // changed.
     if reply.status.is_client_error() {
         return Err(StoreError::Refused(format!("{}: {text}", reply.status)));
     }
@@ -93,13 +97,14 @@
 }
 
 impl ConsulStore {
-    /// A client of the service at the platform's address; connects with the first call.
+    /// Creates a client of the store at the platform's address; it connects on the first call.
     #[must_use]
     pub fn open(platform: &PlatformSettings) -> Self {
         let call_timeout = Duration::from_millis(platform.call_timeout_ms);
         Self { http: HttpClient::open(platform.address, call_timeout) }
     }
 
+    /// Makes one call; `extra_wait` extends the timeout by the time the store may hold the call.
     async fn call(
         &self,
         method: &str,
@@ -113,11 +118,13 @@
         Ok(Reply { status: reply.status, index, body: reply.body })
     }
 
+    /// Makes a PUT whose response body is `true` or `false`.
     async fn put_returning_bool(&self, path: &str, value: &[u8]) -> Result<bool, StoreError> {
         let reply = self.call("PUT", path, value, Duration::ZERO).await?;
         Ok(expect_ok(reply)?.body.trim_ascii() == b"true")
     }
 
+    /// The catalog entries of one service name; entries with an invalid address are skipped.
     async fn list(&self, name: &str) -> Result<Vec<RosterEntry>, StoreError> {
         let path = format!("/v1/catalog/service/{name}");
         let reply = expect_ok(self.call("GET", &path, &[], Duration::ZERO).await?)?;
@@ -148,6 +155,7 @@
     rows.into_iter().map(decode).collect()
 }
 
+/// Accepts a success or 404 response.
 fn ok_or_not_found(reply: Reply) -> Result<Reply, StoreError> {
     if reply.status == StatusCode::NOT_FOUND { Ok(reply) } else { expect_ok(reply) }
 }
@@ -163,7 +171,7 @@
         let path = format!("/v1/kv/{prefix}?recurse&index={index}&wait={}ms", wait.as_millis());
         let reply = ok_or_not_found(self.call("GET", &path, &[], wait).await?)?;
         if index > 0 && reply.index == index {
-            // The wait is over without a change; reading all entries again would bring nothing.
+            // The wait timed out without a change; decoding all entries again is unnecessary.
             return Ok(Listing { index, entries: Vec::new() });
         }
         Ok(Listing { index: reply.index, entries: entries(&reply)? })
--- a/src/store/event_store.rs
+++ b/src/store/event_store.rs
@@ -1,4 +1,4 @@
-//! A store whose watches deliver events in the order of one revision counter.
+//! Interface of a store whose watches deliver events ordered by a single revision counter.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use super::StoreError;
 
-/// One key as it was written.
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
     pub key: String,
     pub value: Vec<u8>,
-    /// The store's counter at the last change of the key.
+    /// The store's revision at the last change of the key.
     pub revision: u64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl ItemEvent {
-    /// The store's counter at the change.
+    /// The store's revision at the change.
     #[must_use]
     pub const fn revision(&self) -> u64 {
         match self {
@@ -34,37 +34,38 @@
     }
 }
 
-/// What is asked of a reading.
+/// Required freshness of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// All that was acknowledged before.
+    /// Linearizable: includes all writes acknowledged before.
     Latest,
-    /// It may be seconds old, and costs a tenth.
+    /// May be seconds old; costs a tenth.
     Stale,
 }
 
-/// Some of the keys below a prefix, in the order of their names. Pages are not a snapshot.
+/// Some of the keys below a prefix, sorted. Successive pages are not one snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     pub items: Vec<Item>,
-    /// Whether more keys follow after the last one of this page.
+    /// Whether more keys follow after this page.
     pub more: bool,
-    /// The store's counter when the page was read; says nothing of a page that may be old.
+    /// The store's revision when the page was read; meaningless for a stale read.
     pub revision: u64,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchResult {
-    /// Events after the revision asked for, and where to go on; none when the wait was over.
+    /// Events after the requested revision, and the revision to continue from; empty if the wait
+    /// timed out.
     Events { events: Vec<ItemEvent>, revision: u64 },
-    /// The store no longer has the events after the revision asked for: read everything again.
+    /// The store has compacted the events after the requested revision: read everything again.
     HistoryLost,
 }
 
-/// The platform's store as the gateway needs it; each method is one call by the platform's count.
+/// The platform's store as the gateway uses it; the platform charges each method as one call.
 pub trait EventStore: Clone + Send + Sync + 'static {
-    /// Keys below `prefix` that follow after the key `after`.
+    /// Lists keys below `prefix` that follow after the key `after`.
     fn list_page(
         &self,
         prefix: &str,
@@ -72,7 +73,7 @@
         freshness: Freshness,
     ) -> impl Future<Output = Result<Page, StoreError>> + Send;
 
-    /// Events below `prefix` after `revision`, as soon as there is one or when `wait` is over.
+    /// Waits for events below `prefix` after `revision`, for up to `wait`.
     fn events(
         &self,
         prefix: &str,
@@ -80,16 +81,16 @@
         wait: Duration,
     ) -> impl Future<Output = Result<WatchResult, StoreError>> + Send;
 
-    /// Whether the store serves this instance at all; the cheapest call that tells.
+    /// Checks that the store serves this instance, by its cheapest call.
     fn check_alive(&self) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Opens a lease that lapses unless it is renewed within `ttl`; returns its number.
+    /// Opens a lease that expires unless renewed within `ttl`; returns its id.
     fn open_lease(&self, ttl: Duration) -> impl Future<Output = Result<u64, StoreError>> + Send;
 
-    /// Renews a lease; `false` when it has lapsed.
+    /// Renews a lease; `false` if it has expired.
     fn renew_lease(&self, lease: u64) -> impl Future<Output = Result<bool, StoreError>> + Send;
 
-    /// Writes a key that goes when the lease ends; `false` when there is no such lease.
+    /// Writes a key that is deleted when the lease ends; `false` if there is no such lease.
     fn write_leased(
         &self,
         key: &str,
--- a/src/store/http_client.rs
+++ b/src/store/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store over HTTP/1.1, with the connections kept between them.
+//! HTTP/1.1 client of the platform's store with pooled connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,17 +20,20 @@
 
 use super::StoreError;
 
+/// Maximum size of a response body.
 const RESPONSE_MAX_BYTES: usize = 64 << 20;
+/// Maximum number of pooled idle connections.
 const IDLE_CONNS_MAX: usize = 4;
-/// A connection that went silent while a watch waits on it is found by the kernel's probes:
-/// after this time without a byte, and then after so many lost probes at this interval.
+/// TCP keepalive, which detects a dead connection while a watch waits on it: the idle time before
+/// the first probe, the interval between probes, and the number of lost probes before the
+/// connection is closed.
 const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_PROBES: u32 = 2;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// A client of one address; clones share their connections.
+/// A client of one address; clones share connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     address: SocketAddr,
@@ -38,7 +41,7 @@
     idle: Arc<Mutex<Vec<Sender>>>,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct HttpReply {
     pub status: StatusCode,
@@ -55,7 +58,7 @@
 }
 
 impl HttpClient {
-    /// A client that connects with the first call; each call may take `call_timeout`.
+    /// Creates a client that connects on the first call; each call times out after `call_timeout`.
     #[must_use]
     pub fn open(address: SocketAddr, call_timeout: Duration) -> Self {
         Self { address, call_timeout, idle: Arc::default() }
@@ -71,11 +74,12 @@
         SockRef::from(&stream).set_tcp_keepalive(&keepalive).map_err(unreachable)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(unreachable)?;
-        // A fault of the connection shows as a lost answer of the call that uses it.
+        // A connection error shows as a lost response of the call that uses it.
         tokio::spawn(connection);
         Ok(sender)
     }
 
+    /// A pooled connection that is ready, or a new one.
     async fn sender(&self) -> Result<Sender, StoreError> {
         loop {
             let idle = self.idle.lock().pop();
@@ -91,10 +95,10 @@
             .unwrap_or_else(|_| Err(unreachable("connect timed out")))
     }
 
-    /// Makes one call; `extra_wait` is the time that the store itself may wait.
+    /// Makes one call; `extra_wait` extends the timeout by the time the store may hold the call.
     ///
     /// # Errors
-    /// Tells whether the call may have taken effect.
+    /// The error tells whether the call may have taken effect.
     pub async fn call(
         &self,
         method: &str,
@@ -113,7 +117,7 @@
         let exchange = async {
             let response = match sender.try_send_request(request).await {
                 Ok(response) => response,
-                // The message comes back only if none of it was written.
+                // hyper returns the request only if nothing of it was written.
                 Err(mut err) => {
                     let unsent = err.take_message().is_some();
                     let why = err.into_error().to_string();
@@ -126,7 +130,8 @@
             let body = limited.collect().await.map_err(response_lost)?.to_bytes();
             Ok(HttpReply { status, headers, body })
         };
-        // A connection whose answer did not come is not used again: dropping the sender closes it.
+        // On a timeout or error the sender is dropped, which closes the connection instead of
+        // reusing it.
         let reply = tokio::time::timeout(self.call_timeout + extra_wait, exchange)
             .await
             .unwrap_or_else(|_| Err(response_lost("timed out")))?;
--- a/src/store/memory_store.rs
+++ b/src/store/memory_store.rs
@@ -1,4 +1,4 @@
-//! The store of a daemon that runs alone; it ends with the process.
+//! In-memory store of an instance that runs alone; it is lost when the process ends.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -16,15 +16,17 @@
 use super::Store;
 use super::StoreError;
 
+/// Contents of the store.
 #[derive(Debug, Default)]
 struct Rows {
     index: u64,
     entries: BTreeMap<String, Entry>,
     leases: HashSet<String>,
+    /// The lease that holds each key.
     holders: BTreeMap<String, String>,
 }
 
-/// An in-memory [`Store`]; clones share their rows.
+/// An in-memory [`Store`]; clones share their contents.
 #[derive(Clone, Debug)]
 pub struct MemoryStore {
     rows: Arc<Mutex<Rows>>,
@@ -53,7 +55,7 @@
 
     async fn watch(&self, prefix: &str, index: u64, wait: Duration) -> Result<Listing, StoreError> {
         let mut changed = self.changed.subscribe();
-        // Passing the time limit is no fault: the listing of that moment is the answer.
+        // A timeout is not an error: the current listing is returned.
         let _ =
             tokio::time::timeout(wait, changed.wait_for(|now| *now > index || index == 0)).await;
         let rows = self.rows.lock();
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: a key-value store with leases and watches, and the list of instances.
+//! Clients of the platform: a key-value store with leases and watches, and its lists of machines.
 
 mod any_store;
 mod consul_store;
--- a/src/store/platform.rs
+++ b/src/store/platform.rs
@@ -1,44 +1,45 @@
-//! What sorrelwick needs of the platform; another platform's interface is one new file.
+//! Interfaces of the platform; support for another platform is one new implementation of them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// One key with its value.
+/// A key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub key: String,
     pub value: Vec<u8>,
-    /// Grows with each change of the key; the expected index of a compare-and-swap.
+    /// Grows with each change of the key; expected by a compare-and-swap.
     pub index: u64,
 }
 
 /// The keys below a prefix at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// What the next watch waits to be passed.
+    /// The index that the next watch passes, to wait until the store is beyond it.
     pub index: u64,
     pub entries: Vec<Entry>,
 }
 
-/// A lease, by the name the store gave it.
+/// A lease, by the id that the store gave it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease(pub String);
 
-/// One machine in the platform's list, which lags.
+/// One machine in the platform's list, which may lag.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterEntry {
     pub id: String,
     pub address: SocketAddr,
     pub zone: String,
+    /// Whether the machine is draining.
     pub leaving: bool,
 }
 
-/// Why a call to the platform brought no answer.
+/// Why a call to the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// Nothing was sent, so nothing changed.
     Unreachable(String),
-    /// The call was sent and its answer is missing: it may have taken effect.
+    /// The call was sent but no response arrived: it may have taken effect.
     ResponseLost(String),
     /// The store answered with an error; nothing changed.
     Refused(String),
@@ -56,13 +57,13 @@
 
 impl std::error::Error for StoreError {}
 
-/// The key-value service: each method is one call by the platform's count.
+/// The key-value store; the platform charges each method as one call.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// The entry of `key`, as of now.
+    /// The current entry of `key`.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Entry>, StoreError>> + Send;
 
-    /// All entries below `prefix`, once the store has passed `index`; none when `wait` is over
-    /// without a change. Index 0 answers at once.
+    /// Waits until the store's index exceeds `index` and returns all entries below `prefix`; none
+    /// if `wait` passes without a change. Index 0 returns at once.
     fn watch(
         &self,
         prefix: &str,
@@ -70,7 +71,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Listing, StoreError>> + Send;
 
-    /// Writes if the key still has `index` (0: does not exist); tells whether it wrote.
+    /// Writes if the key still has `index` (0: does not exist); returns whether it wrote.
     fn put_if(
         &self,
         key: &str,
@@ -78,16 +79,17 @@
         index: u64,
     ) -> impl Future<Output = Result<bool, StoreError>> + Send;
 
-    /// Opens a lease that lapses unless it is renewed within `ttl`.
+    /// Opens a lease that expires unless renewed within `ttl`.
     fn lease_open(&self, ttl: Duration) -> impl Future<Output = Result<Lease, StoreError>> + Send;
 
-    /// Renews a lease; `false` when it has lapsed.
+    /// Renews a lease; `false` if it has expired.
     fn lease_renew(&self, lease: &Lease) -> impl Future<Output = Result<bool, StoreError>> + Send;
 
-    /// Ends a lease and frees what it holds.
+    /// Ends a lease and releases the keys it holds.
     fn lease_close(&self, lease: &Lease) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Takes `key` for the lease unless another lease holds it; tells whether it is held now.
+    /// Acquires `key` for the lease unless another lease holds it; returns whether this lease now
+    /// holds it.
     fn acquire(
         &self,
         key: &str,
@@ -101,6 +103,6 @@
     /// Instances of sorrelwick, by peer address.
     fn instances(&self) -> impl Future<Output = Result<Vec<RosterEntry>, StoreError>> + Send;
 
-    /// Backend servers of all services, by their address.
+    /// Backend servers of all services, by address.
     fn backend_servers(&self) -> impl Future<Output = Result<Vec<RosterEntry>, StoreError>> + Send;
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Promise: a configuration that was accepted is in force everywhere within seconds, and never
-//! reverts.
+//! Guarantee: an accepted configuration is active on all instances within seconds and is never
+//! reverted.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -17,11 +17,12 @@
 
 use common::property;
 
-/// 16 s is promised; every wait below is far under it unless the machine stands still.
+/// Guaranteed time until a change is active everywhere. Every wait below is far shorter, unless the
+/// machine stalls.
 const PROPAGATION_MAX: Duration = Duration::from_secs(16);
 
-/// Merging agrees with a map under one lock that keeps the highest revision, whatever the order
-/// and however often each row comes; digests are equal exactly when the revisions are.
+/// Merging matches a map that keeps the highest revision, whatever the order and repetition of
+/// rows; the same rows merged in another order give the same digest.
 #[test]
 fn merging_matches_a_reference_map() {
     property(300, |u| {
@@ -53,9 +54,9 @@
     });
 }
 
-/// Story: two operators change the same service at the same moment, at two instances, again and
-/// again. Each time exactly one is told it was accepted, the other that it came second; every
-/// accepted change is in force everywhere, none is overwritten unseen.
+/// Guards against an unnoticed overwrite: two operators change the same service at the same moment,
+/// through two instances. Exactly one change is accepted and becomes active everywhere; the other
+/// is a conflict.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_concurrent_edits_one_wins_and_the_other_conflicts() {
     let bed = Bed::start(BedPlan::default()).await;
@@ -82,15 +83,15 @@
     }
 }
 
-/// Story: an operator's change is written, and the store's answer is lost. The operator must be
-/// told that it was accepted, because it was; telling "failed" would make it be made twice.
+/// Guards against an accepted change that is reported as failed because the store's response was
+/// lost; the operator would repeat it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_with_a_lost_response_is_reported_as_accepted() {
     let bed = Bed::start(BedPlan::default()).await;
     let mut service = bed.create("orders").await;
     for round in 1..=5 {
         service.timeout_ms = 1_000 + round;
-        // Other calls may take the lost answer; so each turn loses a few.
+        // Other calls may lose their response instead, so each round loses two.
         bed.platform().switches.lose_answers.store(2, Ordering::Release);
         let committed = bed.put(0, &service, round.into()).await;
         assert_eq!(committed, Ok(u64::from(round) + 1));
@@ -99,7 +100,7 @@
     assert!(took < PROPAGATION_MAX, "{took:?}");
 }
 
-/// The same, without the tool's own repetition of a change whose outcome is unknown.
+/// The same without the command-line tool, which itself repeats a change whose outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_response_is_resolved_by_reading_back() {
     use sorrelwick::catalog::Committer;
@@ -110,13 +111,14 @@
     let committer = Committer::new(AnyStore::open(settings.platform.as_ref()));
     for expected in 0..5 {
         let service = bed.service("resolved");
-        // The other writes of this bed are its shard's; so each turn loses a few.
+        // The only other writes, which may lose their response instead, are those of the instance's
+        // shard.
         bed.platform().switches.lose_answers.store(1, Ordering::Release);
         let edit = Edit::Put { service, expected };
         let row = committer.commit("resolved", &edit, Uuid::new_v4()).await.expect("resolved");
         assert_eq!(row.revision, expected + 1);
     }
-    // Another's change on top of ours does not make ours undone.
+    // A later change by another operator does not undo ours.
     let mine = Uuid::new_v4();
     let edit = Edit::Budget { per_s: 1 };
     committer.commit("resolved", &edit, mine).await.expect("accepted");
@@ -124,13 +126,14 @@
         .commit("resolved", &Edit::Budget { per_s: 2 }, Uuid::new_v4())
         .await
         .expect("accepted");
-    let again = committer.commit("resolved", &edit, mine).await.expect("it was made");
+    let again =
+        committer.commit("resolved", &edit, mine).await.expect("the change was committed before");
     assert_eq!((again.revision, again.service.map(|s| s.measuring_budget_per_s)), (7, Some(2)));
 }
 
-/// Story: the store goes down. What is in force stays in force, a change is refused rather than
-/// lost, and an instance that starts now gets the configuration from the others. When the store
-/// is back, so are changes; nothing went back to an older revision meanwhile.
+/// Guards against losing configuration while the store is down: the active configuration stays, a
+/// change is refused rather than lost, and a new instance gets the configuration from its peers.
+/// Changes are accepted again once the store is back, and no revision goes back meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_outage_reverts_nothing_and_new_instances_sync_from_peers() {
     let mut bed = Bed::start(BedPlan::default()).await;
@@ -147,13 +150,13 @@
     assert!(took < PROPAGATION_MAX, "{took:?}");
     bed.start_platform().await;
     service.timeout_ms = 4_321;
-    until("changes are taken again", async || bed.put(3, &service, 2).await.is_ok()).await;
+    until("changes are accepted again", async || bed.put(3, &service, 2).await.is_ok()).await;
     let took = bed.until_in_force("orders", 3).await;
     assert!(took < PROPAGATION_MAX, "{took:?}");
 }
 
-/// Story: changes come one after the other while the store is slow, restarts, and loses answers.
-/// An observer on each instance writes down every revision that it sees: none ever goes down.
+/// Guards against a revision that goes down while changes are made and the store is slow, restarts
+/// and loses responses. An observer per instance checks every revision it sees.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_instance_ever_shows_a_lower_revision() {
     let mut bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
@@ -188,7 +191,7 @@
                 revision = committed;
                 true
             }
-            // After an unknown commit the next try tells, by a conflict with our own change.
+            // After an unknown commit, the next attempt conflicts with our own change.
             Err(err) if err.code == Code::Conflict => {
                 revision += 1;
                 true
@@ -201,8 +204,8 @@
     assert!(watching.try_join_next().is_none(), "an observer saw a revision go down");
 }
 
-/// Story: a service is deleted and made anew under the same name. Rows of its first life that
-/// come late from a peer must not bring it back.
+/// Guards against rows of a deleted service that arrive late from a peer and restore it, after
+/// which a new service of the same name is created.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_rows_do_not_restore_a_deleted_service() {
     let bed = Bed::start(BedPlan::default()).await;
@@ -210,13 +213,13 @@
     let old = bed.boards()[0].catalog.lock().get("orders").cloned().expect("in force");
     let deleted = bed.operator(1).delete("orders", 1).await.expect("deleted");
     assert_eq!(deleted.revision, 2);
-    until("it is gone everywhere", async || {
+    until("the service is gone everywhere", async || {
         bed.boards().iter().all(|board| !board.services().contains_key("orders"))
     })
     .await;
     for board in bed.boards() {
         let updated = sorrelwick::catalog::merge_rows(&board, vec![("orders".into(), old.clone())]);
-        assert!(updated.is_empty(), "a late row brought the service back");
+        assert!(updated.is_empty(), "a late row restored the service");
     }
     service.timeout_ms = 777;
     assert_eq!(bed.put(2, &service, 0).await, Ok(3));
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -1,4 +1,4 @@
-//! What an instance spends on itself grows no faster than what it knows.
+//! The cost of an instance's own control work grows no faster than the data it holds.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     dispatcher
 }
 
-/// The shortest of many runs, which other work on the machine disturbs least.
+/// The shortest of 30 runs, the one least disturbed by other work on the machine.
 fn shortest(mut work: impl FnMut()) -> Duration {
     let run = |_| {
         let started = Instant::now();
@@ -56,10 +56,10 @@
     (0..30).map(run).min().unwrap()
 }
 
-/// Callers of a large fleet get their answers late while nothing is wrong anywhere: each instance
-/// lists its requests at all servers forty times a second for each home, and with 400 servers
-/// spent a third of its processor on looking each one up in a list. Ten times the servers may
-/// cost ten times the work, with some room for caches; a search in a list costs a hundred times.
+/// Guards against late responses in a large fleet that has no other fault: each instance lists its
+/// requests at all servers 40 times per second for each home; with 400 servers a linear search per
+/// server took a third of its processor. Ten times the servers may take ten times as long, plus a
+/// margin for caches; a search in a list takes a hundred times as long.
 #[test]
 fn collecting_loads_is_linear_in_the_servers() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
@@ -68,8 +68,8 @@
     assert!(took_many < took_few * 30, "{took_few:?} for 400 servers, {took_many:?} for 4,000");
 }
 
-/// As above for the requests themselves: what is believed of a server is looked up some times for
-/// each request, and must not take longer the more servers there are.
+/// The same for requests: each looks servers up several times, which must not take longer with more
+/// servers.
 #[test]
 fn server_lookup_time_is_independent_of_the_server_count() {
     let look_up = |dispatcher: &Dispatcher| {
@@ -85,8 +85,9 @@
     assert!(many < few * 5, "{few:?} among 400 servers, {many:?} among 4,000");
 }
 
-/// Forty homes that each hear of thirty-nine others some times a second, of 800 servers, did nothing
-/// else: each word went through all servers. A word costs as much as it names servers.
+/// Guards against a cost per message that depends on all servers: forty homes, each of which
+/// received loads of thirty-nine others several times per second, did nothing else with 800
+/// servers. The cost must depend on the servers in the message only.
 #[test]
 fn applying_a_peer_load_is_independent_of_the_server_count() {
     let apply = |dispatcher: &Dispatcher| {
@@ -106,8 +107,8 @@
     assert!(many < few * 5, "{few:?} among 400 servers, {many:?} among 4,000");
 }
 
-/// What an instance has at servers is told to each home some times a second. One that has nothing
-/// anywhere, as nearly all of a large fleet, finds that out without going through the servers.
+/// In-flight requests are reported to each home several times per second. An instance without any,
+/// as nearly all of a large fleet, must find that out without a scan of the servers.
 #[test]
 fn an_idle_instance_finds_no_loads_without_a_scan() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
@@ -147,9 +148,10 @@
     board
 }
 
-/// Hundreds of instances start, and each hears of the others one after the other. Each change of one
-/// made all rows anew, found each among all, and sorted them for each look at the homes: half of the
-/// processor of a calm fleet of 472.
+/// Guards against a cost per member change that depends on the fleet: when hundreds of instances
+/// start, each learns of the others one by one. Each change rebuilt all rows and searched them
+/// linearly, and each selection of homes sorted them, which took half of the processor of an idle
+/// fleet of 472.
 #[test]
 fn a_member_change_is_independent_of_the_member_count() {
     let change = |board: &Blackboard| {
@@ -171,13 +173,13 @@
     let after = few.members_view();
     let copied =
         before.rows.iter().zip(&after.rows).filter(|(one, other)| !Arc::ptr_eq(one, other));
-    assert_eq!(copied.count(), 1, "rows of members that did not change were made anew");
+    assert_eq!(copied.count(), 1, "rows of unchanged members were rebuilt");
 }
 
-/// In a burst all servers are full and hundreds of requests wait. Each answer anywhere asks whether
-/// one of them can be served, and trying each of them on each server took more than the processor
-/// had: the instance answered no pings, was taken for dead, and its callers fell upon smaller ones.
-/// Asking must cost about the same with a thousand waiting as with ten.
+/// Guards against trying every queued request on every server at each response. In a burst, with
+/// all servers full and hundreds of requests queued, that took more than the processor had: the
+/// instance answered no pings, was declared dead, and its callers overloaded smaller ones. The
+/// check must cost about the same with 1,000 queued requests as with ten.
 #[test]
 fn a_long_queue_before_full_servers_costs_no_more_than_a_short_one() {
     let dispatch_with_queue = |queued: u64| {
@@ -200,7 +202,7 @@
             ticket += 1;
         }
         for number in 0..queued {
-            pool.enqueue(ticket + number, spec.clone(), 1_000).expect("its aim is far off");
+            pool.enqueue(ticket + number, spec.clone(), 1_000).expect("its target is far off");
         }
         shortest(|| {
             let served = pool.dispatch_queued("burnaby", 1_000, &mut || 0.5);
@@ -208,5 +210,5 @@
         })
     };
     let (short, long) = (dispatch_with_queue(10), dispatch_with_queue(1_000));
-    assert!(long < short * 5, "{short:?} with 10 waiting, {long:?} with 1,000");
+    assert!(long < short * 5, "{short:?} with 10 queued, {long:?} with 1,000");
 }
--- a/tests/fuzz.rs
+++ b/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! What reads bytes from outside neither panics nor takes memory without bound.
+//! Parsers of external input neither panic nor allocate without bound.
 
 use sorrelwick::command::read_declaration;
 use sorrelwick::conf::parse_settings;
@@ -19,7 +19,7 @@
 
 use common::property;
 
-/// Any bytes as a peer's frame: an error or a message, and what decodes encodes to the same.
+/// Arbitrary bytes as a peer frame give an error or a message that survives a round trip.
 #[test]
 fn peer_frames() {
     property(2_000, |u| {
@@ -34,7 +34,7 @@
     });
 }
 
-/// A frame that claims to hold more than any frame may is refused before memory is taken for it.
+/// A frame with a forged length above the maximum is rejected before memory is allocated for it.
 #[test]
 fn a_forged_length_allocates_nothing() {
     // Variant 4 (`Changes`), then a length of 2^60 in bincode's variable encoding.
@@ -62,7 +62,7 @@
     });
 }
 
-/// Random changes to valid settings and declarations: an error or a value, never a panic.
+/// Randomly mutated settings and declarations give an error or a value, never a panic.
 #[test]
 fn settings_and_declarations() {
     const DECLARATION: &str = r#"{ name: "orders", kinds: [{ name: "o", path_prefix: "/", idempotent: false }],
@@ -92,7 +92,7 @@
     });
 }
 
-/// Any bytes as a value in the store.
+/// Arbitrary bytes as a value in the store cause no panic.
 #[test]
 fn rows_of_the_store() {
     property(1_000, |u| {
@@ -103,7 +103,8 @@
     });
 }
 
-/// A message of some kilobytes that would grow to gigabytes must not take the memory of an instance.
+/// A message of some kilobytes that decompresses to gigabytes must not exhaust an instance's
+/// memory.
 #[test]
 fn a_decompression_bomb_is_rejected() {
     use std::io::Write;
--- a/tests/local_health.rs
+++ b/tests/local_health.rs
@@ -1,4 +1,4 @@
-//! Instances that are held up themselves, and what they believe of the others.
+//! Instances that are stalled themselves, and whether they declare others dead wrongly or too late.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -10,20 +10,20 @@
 
 const INSTANCES: u64 = 500;
 const SUSPECT_TIMEOUT_MS: u64 = 600;
-/// One of so many is held up during the suspicion.
+/// One of this many instances is stalled during the suspicion.
 const STALLED_EVERY: u64 = 5;
-/// A word reaches an instance within this.
+/// Maximum delay until the refutation reaches an instance.
 const REFUTATION_DELAY_MAX_MS: u64 = 400;
-/// An instance that runs as it should is this late at most.
+/// Maximum lateness of the timers of an instance that is not stalled.
 const JITTER_MS: u64 = 20;
 const END_MS: u64 = 6_000;
 
-/// An instance that judges a suspect, and the times at which it cannot run.
+/// An instance that times a suspicion out, and the times at which it is stalled.
 struct Observer {
     members: MemberTable,
     suspicion: SuspicionTimer,
     next_ms: u64,
-    /// Words that wait to be read, with the time at which they came.
+    /// Received messages that are still unread, with their time of arrival.
     unread: Vec<(u64, MemberRow)>,
     stalled: std::ops::Range<u64>,
     dead_ms: Option<u64>,
@@ -44,7 +44,7 @@
         Self { members, suspicion, next_ms: 0, unread: Vec::new(), stalled, dead_ms: None }
     }
 
-    /// Runs what is due at this time: its timers first, then what it has to read.
+    /// Runs what is due at this time: timers first, then unread messages.
     fn run(&mut self, now_ms: u64, random: &mut Pcg64) {
         if self.stalled.contains(&now_ms) {
             return;
@@ -68,7 +68,8 @@
     }
 }
 
-/// All suspect the same instance at time 0; where it lives, its word to that comes within a moment.
+/// All observers suspect the same instance at time 0; if it lives, its refutation arrives shortly
+/// after.
 fn simulate(alive: bool, seed: u64) -> Vec<Observer> {
     let mut random = Pcg64::seed_from_u64(seed);
     let suspect = member_row(1);
@@ -90,28 +91,28 @@
     observers
 }
 
-/// Guards against an instance that is held up itself and gives up one that lives, whose word it has not
+/// Guards against a stalled instance that declares a live member dead whose refutation it has not
 /// read yet.
 #[test]
 fn a_stalled_instance_declares_no_live_member_dead() {
     for seed in 0..20 {
         let observers = simulate(true, seed);
         let wrong = observers.iter().filter(|observer| observer.dead_ms.is_some()).count();
-        assert_eq!(wrong, 0, "seed {seed}: {wrong} of {INSTANCES} gave it up");
+        assert_eq!(wrong, 0, "seed {seed}: {wrong} of {INSTANCES} declared it dead");
     }
 }
 
-/// Guards against a dead instance that is believed in for much longer than its time, by those who run as
-/// they should and by those who did not for a while.
+/// Guards against a dead instance that stays a suspect for much longer than the timeout, on
+/// observers that were stalled for a while and on those that were not.
 #[test]
 fn a_dead_instance_is_declared_dead_in_time() {
     for observer in simulate(false, 1) {
-        let dead_ms = observer.dead_ms.expect("given up at last");
+        let dead_ms = observer.dead_ms.expect("declared dead in the end");
         if observer.stalled.is_empty() {
             assert!(dead_ms < SUSPECT_TIMEOUT_MS + 250, "after {dead_ms} ms");
         } else {
             let since_ms = dead_ms.saturating_sub(observer.stalled.end);
-            assert!(since_ms < SUSPECT_TIMEOUT_MS + 250, "{since_ms} ms after it was held up");
+            assert!(since_ms < SUSPECT_TIMEOUT_MS + 250, "{since_ms} ms after the stall");
         }
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership between instances: found, suspected, contradicted, gone.
+//! Membership: discovery, suspicion, refutation and death of instances.
 
 use std::sync::Arc;
 
@@ -23,10 +23,10 @@
     MemberRow { generation, state, ..member_row(incarnation) }
 }
 
-/// Bits of a stamp below its milliseconds.
+/// Bits of a hybrid logical clock timestamp below its milliseconds.
 const STAMP_COUNTER_BITS: u32 = 16;
 
-/// What an instance believed of members, with its time in milliseconds.
+/// The member events of an instance, each with its time in milliseconds.
 fn member_changes(board: &Blackboard) -> Vec<String> {
     let events = board.events.after(0);
     let stamped = events.iter().map(|event| (event.stamp, event.kind.name_and_detail()));
@@ -34,8 +34,8 @@
     members.map(|(stamp, (_, text))| format!("{} {text}", stamp >> STAMP_COUNTER_BITS)).collect()
 }
 
-/// However rows come, in whatever order and how often: two tables that saw the same rows believe
-/// the same, and a member is never made younger in its own word.
+/// Guards against a merge that depends on the order or number of rows: tables that merged the same
+/// rows must be equal.
 #[test]
 fn the_order_of_rows_does_not_matter() {
     const STATES: [MemberState; 4] =
@@ -59,9 +59,9 @@
     });
 }
 
-/// Story: an instance is frozen for longer than the others wait, and wakes. It must hear that it
-/// was given up, say that it lives, and be believed; without it keys of its own would be refused
-/// for ever.
+/// Guards against an instance that stays dead for others after a pause longer than their timeout.
+/// It must learn that it was declared dead, refute that and be alive again; otherwise its
+/// idempotency keys would be refused for ever.
 #[test]
 fn a_member_declared_dead_refutes_and_is_alive_again() {
     let mut frozen = MemberTable::new(row(1, 0, MemberState::Alive), 0);
@@ -77,8 +77,8 @@
     assert_eq!(row_of_frozen(&other).expect("known").state, MemberState::Alive);
 }
 
-/// Story: an instance that is leaving stops answering. It must not become a suspect, because a
-/// suspect gets work.
+/// Guards against a leaving instance that stops answering and becomes a suspect, to which work is
+/// sent.
 #[test]
 fn a_leaving_member_that_falls_silent_gets_no_work() {
     let mut table = MemberTable::new(row(1, 0, MemberState::Alive), 0);
@@ -88,8 +88,8 @@
     assert!(!seen.state.accepts_work());
 }
 
-/// Homes and keepers: all instances agree, every server has one keeper, shares are even, and a
-/// member that goes moves no home but its own.
+/// Homes and keepers: every server has one keeper, servers are spread evenly, and removing a member
+/// that is not a home moves no home.
 #[test]
 fn homes_are_stable_and_every_server_has_one_keeper() {
     property(200, |u| {
@@ -127,16 +127,15 @@
                 .map(|&at| rest[at].incarnation)
                 .collect();
             let before: Vec<u64> = chosen.iter().map(|home| home.incarnation).collect();
-            assert_eq!(before, after, "a member that was no home moved one");
+            assert_eq!(before, after, "removing a member that is not a home moved a home");
         }
         Ok(())
     });
 }
 
-/// Story: an instance hears of several others in the same moment, on several connections. The
-/// snapshot that requests go by must contain them all. Cause: of two tasks that publish at once,
-/// the one with the older rows stored its snapshot last, and nothing corrected it until the next
-/// change.
+/// Guards against a published snapshot that lacks a member: an instance hears of several others at
+/// once on several connections; of two tasks that publish at once, the one with the older rows
+/// stored its snapshot last, and nothing corrected it until the next change.
 #[test]
 fn members_heard_of_at_once_are_all_published() {
     use sorrelwick::board::Blackboard;
@@ -159,8 +158,8 @@
     }
 }
 
-/// Story: of nineteen instances one is killed and two start. All others notice, and nobody else
-/// is lost on the way.
+/// Of 19 instances one is killed and two start. Guards against instances that miss this, or declare
+/// a live instance dead on the way.
 #[tokio::test(flavor = "multi_thread")]
 async fn nineteen_instances_notice_who_dies_and_who_comes() {
     let mut bed = Bed::start(BedPlan { instances: 19, backends: 1, ..BedPlan::default() }).await;
@@ -171,15 +170,15 @@
     bed.until_joined().await;
     let lost = |board: &Arc<Blackboard>| board.counters.get(Counter::MembersLost);
     for board in bed.boards().iter().filter(|board| lost(board) > 1) {
-        // Who was given up, and what was heard of it before and after.
+        // Print which members were declared dead, and their changes before and after.
         println!("{}: {:#?}", board.settings.instance.name, member_changes(board));
     }
     let lost: Vec<u64> = bed.boards().iter().map(lost).collect();
-    assert!(lost.iter().all(|lost| *lost <= 1), "somebody else was given up: {lost:?}");
+    assert!(lost.iter().all(|lost| *lost <= 1), "a live member was declared dead: {lost:?}");
 }
 
-/// Story: two groups that were parted (each knows only its own seeds, the list is empty) hear of
-/// one common instance, and become one.
+/// Guards against two groups that stay separate after a partition: each knows only its own seeds
+/// and the platform's list is empty, then both hear of one common instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_groups_merge() {
     let mut bed = Bed::start(BedPlan { instances: 2, backends: 1, ..BedPlan::default() }).await;
