--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -23,30 +23,30 @@
 use crate::gateway::AddressHandler;
 use crate::gateway::Admission;
 use crate::gateway::CallerHandler;
-use crate::gateway::CopyAge;
 use crate::gateway::CurrentRouteTable;
 use crate::gateway::Dialect;
 use crate::gateway::Dispatcher;
 use crate::gateway::Follower;
 use crate::gateway::Forwarder;
 use crate::gateway::HomePlanner;
-use crate::gateway::LoadShare;
+use crate::gateway::LoadReporter;
 use crate::gateway::MemoryBudget;
 use crate::gateway::Mirror;
+use crate::gateway::MirrorAge;
 use crate::gateway::OperatorSink;
 use crate::gateway::Prober;
+use crate::gateway::QuarantineStore;
 use crate::gateway::QuotaLimiter;
 use crate::gateway::ReadinessHandler;
 use crate::gateway::Registry;
 use crate::gateway::ServerSink;
 use crate::gateway::SpentTimeEstimator;
-use crate::gateway::SuspectKeeper;
 use crate::gateway::run_store_check;
 use crate::listener::HttpListener;
 use crate::member::MemberState;
 use crate::member::announce;
+use crate::member::run_failure_detector;
 use crate::member::run_joiner;
-use crate::member::run_swim;
 use crate::peer::Feed;
 use crate::peer::Links;
 use crate::peer::PeerListener;
@@ -134,7 +134,7 @@
 
 /// What this instance knows of the store, for itself and for others that ask.
 struct Copies<D> {
-    config_age: Arc<CopyAge>,
+    config_age: Arc<MirrorAge>,
     config: Arc<Mirror<OperatorSink<D>>>,
     servers: Arc<Mirror<ServerSink<D>>>,
 }
@@ -150,7 +150,7 @@
     dispatcher: &Dispatcher,
 ) -> Copies<D> {
     let keys = dialect.store_keys();
-    let config_age = Arc::new(CopyAge::default());
+    let config_age = Arc::new(MirrorAge::default());
     let operators = OperatorSink {
         dialect: dialect.clone(),
         table: Arc::clone(table),
@@ -208,19 +208,19 @@
         let (config_copy, servers_copy) = (Arc::clone(&config), Arc::clone(&servers));
         let checked = run_store_check(store.clone(), Arc::clone(&board), config_copy, servers_copy);
         tasks.spawn(checked);
-        let keeper = SuspectKeeper {
+        let keeper = QuarantineStore {
             dialect: dialect.clone(),
             store: store.clone(),
             board: Arc::clone(&board),
         };
         if !gateway.first_start {
             // At the first start of all there is nothing to read.
-            tasks.spawn(keeper.clone().read());
+            tasks.spawn(keeper.clone().load_when_first_home());
         }
-        tasks.spawn(keeper.write_all());
+        tasks.spawn(keeper.run_writer());
         let registry = Registry { dialect: dialect.clone(), store, board: Arc::clone(&board) };
         tasks.spawn(registry.clone().run());
-        tasks.spawn(run_swim(Arc::clone(&board), links.clone()));
+        tasks.spawn(run_failure_detector(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), registry, links.clone()));
         tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         tasks.spawn(dispatcher.clone().run());
@@ -237,7 +237,7 @@
         };
         tasks.spawn(prober.run());
 
-        let load_share = LoadShare {
+        let load_share = LoadReporter {
             board: Arc::clone(&board),
             links: links.clone(),
             dispatcher: dispatcher.clone(),
@@ -248,7 +248,7 @@
             table: Arc::clone(&table),
             quotas: Arc::clone(&quotas),
         };
-        let quota_gate = QuotaLimiter {
+        let quota_limiter = QuotaLimiter {
             board: Arc::clone(&board),
             links: links.clone(),
             table: Arc::clone(&table),
@@ -262,7 +262,7 @@
             dispatcher: dispatcher.clone(),
             config,
             servers,
-            quota_gate: quota_gate.clone(),
+            quota_gate: quota_limiter.clone(),
         };
         let forwarder = Forwarder {
             dialect: dialect.clone(),
@@ -271,14 +271,14 @@
             admission: admission.clone(),
             response_memory: Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE)),
         };
-        let room = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE));
-        let patience = Arc::new(SpentTimeEstimator::default());
-        let callers = CallerHandler { forwarder, room, patience, quota_gate };
+        let body_memory = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE));
+        let spent_time = Arc::new(SpentTimeEstimator::default());
+        let callers = CallerHandler { forwarder, body_memory, spent_time, quota_limiter };
         let readiness =
             ReadinessHandler { dialect: dialect.clone(), board: Arc::clone(&board), table };
         let addresses = AddressHandler { dialect, board: Arc::clone(&board), admission };
         let secret: Arc<str> = links.secret().into();
-        board.note(EventKind::Started);
+        board.record_event(EventKind::Started);
         Ok(Self {
             callers: HttpListener::spawn(sockets.callers, callers, connections_max),
             tasks,
@@ -302,8 +302,8 @@
     /// on for callers that keep an old answer; then closes connections as they become idle.
     pub async fn stop(mut self) {
         self.board.set_phase(Phase::Leaving);
-        self.board.note(EventKind::Stopping);
-        self.board.members.lock().set_own(MemberState::Leaving, None, now_ms());
+        self.board.record_event(EventKind::Stopping);
+        self.board.members.lock().set_own_state(MemberState::Leaving, None, now_ms());
         self.board.publish_members();
         let serve_on = self.grace * SERVE_ON_PERCENT / 100;
         let started = tokio::time::Instant::now();
@@ -316,7 +316,7 @@
         while self.board.requests_in_flight() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(STOP_TURN).await;
         }
-        self.board.members.lock().set_own(MemberState::Left, None, now_ms());
+        self.board.members.lock().set_own_state(MemberState::Left, None, now_ms());
         self.board.publish_members();
         // Who misses this finds out by itself; the process must end within the grace.
         let _ = tokio::time::timeout(LAST_WORD, announce(&self.board, &self.links)).await;
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -1,34 +1,34 @@
-//! Which backend server a request goes to, who waits and who is refused; no I/O.
+//! Selection of backend servers, queuing and refusal of requests; no I/O.
 
-mod ask;
+mod available_server;
 mod concurrency_limit;
-mod near_part;
-mod repeat_budget;
-mod send_end;
+mod request_spec;
+mod retry_budget;
+mod send_outcome;
+mod server_exclusion;
 mod server_health;
-mod server_track;
+mod server_subset;
 mod service_pool;
 mod service_queue;
-mod service_rooms;
 mod service_times;
-mod start_bounds;
-mod withheld;
+mod start_limits;
+mod tracked_server;
 
-pub use ask::Refusal;
-pub use ask::RequestSpec;
-pub use ask::ServerChoice;
 pub use concurrency_limit::ConcurrencyLimit;
-pub use near_part::SUBSET_MAX;
-pub use near_part::ServerSubset;
-pub use repeat_budget::RetryAllowance;
-pub use repeat_budget::RetryBudget;
-pub use repeat_budget::RetryNeed;
-pub use send_end::SendOutcome;
+pub use request_spec::Refusal;
+pub use request_spec::RequestSpec;
+pub use request_spec::ServerChoice;
+pub use retry_budget::RetryAllowance;
+pub use retry_budget::RetryBudget;
+pub use retry_budget::RetryNeed;
+pub use send_outcome::SendOutcome;
+pub use server_exclusion::ServerExclusion;
 pub use server_health::ServerHealth;
-pub use server_track::InFlightRequest;
-pub use server_track::TrackedServer;
-pub use server_track::server_key;
+pub use server_subset::SUBSET_MAX;
+pub use server_subset::ServerSubset;
 pub use service_pool::ServicePool;
 pub use service_times::ServiceTimes;
-pub use start_bounds::StartLimits;
-pub use withheld::ServerExclusion;
+pub use start_limits::StartLimits;
+pub use tracked_server::InFlightRequest;
+pub use tracked_server::TrackedServer;
+pub use tracked_server::server_key;
--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -1,4 +1,4 @@
-//! Everything that the controllers of one instance share.
+//! Shared state of one instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -31,46 +31,50 @@
 use crate::quarantine::Quarantine;
 use crate::route::ServiceState;
 
-/// The services in force, by name.
+/// The active services, by name.
 pub type ServiceMap = HashMap<String, Arc<ServiceState>>;
 
-/// Members that are noted one by one when they change at once; more of them come from a comparison
-/// with another instance, where one line tells as much.
-const MEMBERS_NOTED_MAX: usize = 8;
+/// Up to this many member changes are logged one by one. More at once come from anti-entropy and
+/// are logged as one summary.
+const MEMBERS_LOGGED_MAX: usize = 8;
 
-/// Where the process is in its life.
+/// Phase in the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Running,
-    /// Named in no new answer; still serves.
+    /// Shutting down: still serves, but is no longer advertised to callers.
     Leaving,
     Stopped,
 }
 
-/// The shared state of one instance. The request path reads snapshots and atomics only.
+/// Shared state of one instance: written by controllers, read by the request path, which reads only
+/// snapshots and atomics.
 #[derive(Debug)]
 pub struct Blackboard {
     pub settings: Settings,
-    /// Random per start of the process.
+    /// Random number, drawn at each process start.
     pub incarnation: u64,
-    /// Written by the membership controllers.
+    /// The member table, written by the membership controllers.
     pub members: Mutex<MemberTable>,
-    /// Written by the catalog controllers.
+    /// The configuration, written by the catalog controllers.
     pub catalog: Mutex<Catalog>,
     pub outcomes: OutcomeTable,
-    /// Requests that are refused, since they crash servers.
+    /// Requests that are rejected because they crash servers.
     pub quarantine: Quarantine,
     pub counters: Counters,
     pub latencies: Latencies,
     pub events: EventRing,
-    /// Told when a request begins to wait for a slot, here or at a co-home.
+    /// Notified when a request starts to wait for a slot, here or at another home of the service.
     pub queue_formed: Notify,
-    /// Locked while changes are taken out of the table and put in here: of two tasks that do so at
-    /// once, the one with the older changes could otherwise put them in last, and hide a member.
-    /// Changed in place, unless somebody holds a snapshot of it at that moment.
+    /// The published members. The write lock is held while changes are taken from the member table
+    /// and applied: otherwise, of two tasks that publish at once, the one with older changes could
+    /// apply them last and hide a member. Changed in place unless a reader holds the current
+    /// snapshot.
     view: RwLock<Arc<MembersView>>,
     services: ArcSwap<ServiceMap>,
+    /// Counts changes that the placement depends on.
     changed: watch::Sender<u64>,
+    /// Whether the last call to the platform's store succeeded.
     store_up: AtomicBool,
     evacuated_zones: ArcSwap<Vec<Arc<str>>>,
     zone_demand_per_s: AtomicU32,
@@ -78,16 +82,17 @@
     in_flight: Arc<AtomicUsize>,
 }
 
-/// Counts a caller's request until its answer is there.
+/// Counts a caller's request as in flight until dropped.
 #[derive(Debug)]
-pub struct InFlight(Arc<AtomicUsize>);
+pub struct InFlightGuard(Arc<AtomicUsize>);
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
+/// The member row of this instance at its start.
 fn own_row(settings: &Settings, incarnation: u64) -> MemberRow {
     MemberRow {
         incarnation,
@@ -134,130 +139,131 @@
         board
     }
 
-    /// Records a change of state in the time line and the log.
-    pub fn note(&self, kind: EventKind) {
-        let (name, detail) = kind.text();
+    /// Records an event in the event ring and the log.
+    pub fn record_event(&self, kind: EventKind) {
+        let (name, detail) = kind.name_and_detail();
         info!(event = name, instance = self.settings.instance.name.as_str(); "{name} {detail}");
         self.events.push(kind);
     }
 
-    /// Snapshot of the members.
+    /// A snapshot of the members.
     #[must_use]
     pub fn members_view(&self) -> Arc<MembersView> {
         Arc::clone(&self.view.read())
     }
 
-    /// Makes changes of the member table visible to the request path, and notes them.
+    /// Publishes changes of the member table to the request path and logs them.
     pub fn publish_members(&self) {
         let mut view = self.view.write();
-        let changes = self.members.lock().take_changes(now_ms());
-        if changes.is_empty() {
+        let subscribe_changes = self.members.lock().take_changes(now_ms());
+        if subscribe_changes.is_empty() {
             return;
         }
-        self.note_members(&view, &changes);
-        let view_now = Arc::make_mut(&mut view);
-        for change in changes {
-            view_now.apply(change);
+        self.record_member_changes(&view, &subscribe_changes);
+        let current = Arc::make_mut(&mut view);
+        for change in subscribe_changes {
+            current.apply(change);
         }
         drop(view);
-        self.touch();
+        self.notify_changed();
     }
 
-    /// Notes the members whose state changed; many at once in one line.
-    fn note_members(&self, before: &MembersView, changes: &[MemberChange]) {
-        let states = changes.iter().filter_map(|change| {
-            let MemberChange::Believed(row) = change else {
+    /// Records the members whose state changed; many at once as one event.
+    fn record_member_changes(&self, before: &MembersView, changes: &[MemberChange]) {
+        let updated = changes.iter().filter_map(|change| {
+            let MemberChange::Updated(row) = change else {
                 return None;
             };
             let known = before.row(row.incarnation).map(|row| row.state);
             (known != Some(row.state)).then_some(row)
         });
-        let states: Vec<&MemberRow> = states.collect();
-        let dead = states.iter().filter(|row| row.state == MemberState::Dead).count();
+        let updated: Vec<&MemberRow> = updated.collect();
+        let dead = updated.iter().filter(|row| row.state == MemberState::Dead).count();
         self.counters.add_many(super::Counter::MembersLost, dead as u64);
-        if states.len() > MEMBERS_NOTED_MAX {
+        if updated.len() > MEMBERS_LOGGED_MAX {
             let known = before.rows.len();
-            return self.note(EventKind::Members { changed: states.len(), dead, known });
+            return self.record_event(EventKind::Members { changed: updated.len(), dead, known });
         }
-        for row in states {
+        for row in updated {
             let (name, incarnation) = (row.name.clone(), row.incarnation);
-            self.note(EventKind::Member { name, incarnation, state: row.state.name() });
+            self.record_event(EventKind::Member { name, incarnation, state: row.state.name() });
         }
     }
 
-    /// Snapshot of the services in force.
+    /// A snapshot of the active services.
     #[must_use]
     pub fn services(&self) -> arc_swap::Guard<Arc<ServiceMap>> {
         self.services.load()
     }
 
-    /// Puts services in force; for the placement controller.
+    /// Replaces the active services; called by the placement controller.
     pub fn set_services(&self, services: ServiceMap) {
         self.services.store(Arc::new(services));
     }
 
-    /// Tells the placement controller that its inputs changed.
-    pub fn touch(&self) {
-        self.changed.send_modify(|turn| *turn += 1);
+    /// Notifies the placement controller that its inputs changed.
+    pub fn notify_changed(&self) {
+        self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Changes of what the placement depends on.
+    /// Subscribes to changes of what the placement depends on.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Whether the last call to the platform's store was answered.
+    /// Whether the last call to the platform's store succeeded.
     #[must_use]
     pub fn store_up(&self) -> bool {
         self.store_up.load(Ordering::Acquire)
     }
 
-    /// Takes note of how a call to the store ended; only a change of state is an event.
-    pub fn note_store(&self, fault: Option<String>) {
+    /// Records the result of a call to the store; only a change between up and down is an event.
+    pub fn record_store_result(&self, error: Option<String>) {
         self.counters.add(super::Counter::StoreCalls);
-        let up = fault.is_none();
+        let up = error.is_none();
         if !up {
             self.counters.add(super::Counter::StoreFailures);
         }
         if self.store_up.swap(up, Ordering::AcqRel) == up {
             return;
         }
-        match fault {
-            Some(why) => self.note(EventKind::StoreLost { why }),
-            None => self.note(EventKind::StoreBack),
+        match error {
+            Some(why) => self.record_event(EventKind::StoreLost { why }),
+            None => self.record_event(EventKind::StoreBack),
         }
     }
 
-    /// Requests a second that this instance carries.
+    /// Requests per second that this instance can carry.
     #[must_use]
     pub fn own_capacity_per_s(&self) -> u32 {
         self.settings.instance.capacity_per_s()
     }
 
-    /// The availability zones that the operators evacuate.
+    /// The availability zones that operators have evacuated.
     #[must_use]
     pub fn evacuated_zones(&self) -> Arc<Vec<Arc<str>>> {
         self.evacuated_zones.load_full()
     }
 
-    /// Sets the availability zones that the operators evacuate.
+    /// Sets the availability zones that operators have evacuated.
     pub fn set_evacuated_zones(&self, zones: Vec<Arc<str>>) {
         self.evacuated_zones.store(Arc::new(zones));
     }
 
-    /// Requests a second that the homes of a zone must be able to carry together.
+    /// Requests per second that the homes of a zone together must be able to carry.
     #[must_use]
     pub fn zone_demand_per_s(&self) -> u32 {
         self.zone_demand_per_s.load(Ordering::Acquire)
     }
 
-    /// Sets what the homes of a zone must carry; for the controller that knows the servers.
+    /// Sets the demand that the homes of a zone must carry; called by the controller that knows the
+    /// servers.
     pub fn set_zone_demand_per_s(&self, demand_per_s: u32) {
         self.zone_demand_per_s.store(demand_per_s, Ordering::Release);
     }
 
-    /// Where the process is in its life.
+    /// The phase of the process.
     #[must_use]
     pub fn phase(&self) -> Phase {
         match self.phase.load(Ordering::Acquire) {
@@ -267,19 +273,19 @@
         }
     }
 
-    /// Moves on in life; never back.
+    /// Advances the phase; it never goes back.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.fetch_max(phase as u8, Ordering::AcqRel);
     }
 
-    /// Counts a caller's request until the returned value is dropped.
+    /// Counts a caller's request as in flight until the returned guard is dropped.
     #[must_use]
-    pub fn in_flight(&self) -> InFlight {
+    pub fn start_request(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        InFlight(Arc::clone(&self.in_flight))
+        InFlightGuard(Arc::clone(&self.in_flight))
     }
 
-    /// Callers' requests without answer yet.
+    /// Number of callers' requests in flight.
     #[must_use]
     pub fn requests_in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
--- a/src/board/members_view.rs
+++ b/src/board/members_view.rs
@@ -1,4 +1,4 @@
-//! A snapshot of the members for the request path.
+//! Snapshot of the members for the request path.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -8,27 +8,29 @@
 use crate::member::MemberRow;
 use crate::member::MemberState;
 
-/// Steps from an instance to who answers for it now; bounds what a faulty row can cost.
+/// Maximum number of successors followed to find the owner of an instance's keys; bounds the cost
+/// of a faulty row.
 const SUCCESSORS_MAX: usize = 16;
 
-/// The members as this instance believed them to be at one moment.
+/// The members as this instance knew them at one moment.
 ///
-/// Kept in order as members change, one by one: who asks for the first instances of a zone some
-/// times a second walks over these only, however many others there are.
+/// Kept sorted as members change. Readers look up the first instances of a zone several times per
+/// second; the cost does not depend on the number of other members.
 #[derive(Clone, Debug, Default)]
 pub struct MembersView {
-    /// Sorted by incarnation, this instance included.
+    /// All members, this instance included, sorted by incarnation.
     pub rows: Vec<Arc<MemberRow>>,
-    /// The instances of each zone that take work, in the order of [`rank`]; no zone without any.
+    /// Members of each zone that accept work, in the order of [`compare_rank`]; a zone without any
+    /// is absent.
     by_zone: BTreeMap<String, Vec<Arc<MemberRow>>>,
-    /// Members that run, leaving ones included.
-    serving: usize,
+    /// Number of members that may answer, leaving ones included.
+    running_count: usize,
 }
 
-/// The order in which instances are given what few of them do: those that answer, then the largest,
-/// then by name; the same in every instance's view.
+/// Order in which instances are chosen for tasks that only a few perform: those not suspected
+/// first, then by descending capacity, then by name; the same in every instance's view.
 #[must_use]
-pub fn rank(a: &MemberRow, b: &MemberRow) -> Ordering {
+pub fn compare_rank(a: &MemberRow, b: &MemberRow) -> Ordering {
     let suspect = |row: &MemberRow| row.state == MemberState::Suspect;
     let by_state = suspect(a).cmp(&suspect(b));
     let by_size = b.capacity_per_s.cmp(&a.capacity_per_s);
@@ -37,50 +39,50 @@
 }
 
 impl MembersView {
-    /// A view of these rows.
+    /// Creates a view of these rows.
     #[must_use]
-    pub fn of(rows: &[Arc<MemberRow>]) -> Self {
+    pub fn from_rows(rows: &[Arc<MemberRow>]) -> Self {
         let mut view = Self::default();
         for row in rows {
-            view.put(Arc::clone(row));
+            view.insert(Arc::clone(row));
         }
         view
     }
 
-    /// Takes a change in.
+    /// Applies a change of the member table.
     pub fn apply(&mut self, change: MemberChange) {
         match change {
-            MemberChange::Believed(row) => self.put(Arc::new(row)),
-            MemberChange::Forgotten(incarnation) => self.remove(incarnation),
+            MemberChange::Updated(row) => self.insert(Arc::new(row)),
+            MemberChange::Removed(incarnation) => self.remove(incarnation),
         }
     }
 
-    fn place(&self, incarnation: u64) -> Result<usize, usize> {
+    fn position(&self, incarnation: u64) -> Result<usize, usize> {
         self.rows.binary_search_by_key(&incarnation, |row| row.incarnation)
     }
 
-    fn put(&mut self, row: Arc<MemberRow>) {
+    fn insert(&mut self, row: Arc<MemberRow>) {
         self.remove(row.incarnation);
-        self.serving += usize::from(row.state.may_answer());
-        if row.state.takes_work() {
+        self.running_count += usize::from(row.state.may_answer());
+        if row.state.accepts_work() {
             let ranked = self.by_zone.entry(row.zone.clone()).or_default();
-            let at = ranked.binary_search_by(|other| rank(other, &row));
-            ranked.insert(at.unwrap_or_else(|place| place), Arc::clone(&row));
+            let at = ranked.binary_search_by(|other| compare_rank(other, &row));
+            ranked.insert(at.unwrap_or_else(|at| at), Arc::clone(&row));
         }
-        let at = self.place(row.incarnation).unwrap_or_else(|place| place);
+        let at = self.position(row.incarnation).unwrap_or_else(|at| at);
         self.rows.insert(at, row);
     }
 
     fn remove(&mut self, incarnation: u64) {
-        let Ok(at) = self.place(incarnation) else {
+        let Ok(at) = self.position(incarnation) else {
             return;
         };
         let row = self.rows.remove(at);
-        self.serving -= usize::from(row.state.may_answer());
+        self.running_count -= usize::from(row.state.may_answer());
         let Some(ranked) = self.by_zone.get_mut(&row.zone) else {
             return;
         };
-        if let Ok(at) = ranked.binary_search_by(|other| rank(other, &row)) {
+        if let Ok(at) = ranked.binary_search_by(|other| compare_rank(other, &row)) {
             ranked.remove(at);
         }
         if ranked.is_empty() {
@@ -91,35 +93,36 @@
     /// The row of a member.
     #[must_use]
     pub fn row(&self, incarnation: u64) -> Option<&Arc<MemberRow>> {
-        self.place(incarnation).ok().map(|at| &self.rows[at])
+        self.position(incarnation).ok().map(|at| &self.rows[at])
     }
 
-    /// The zones that have instances which take work.
+    /// The zones that have members which accept work.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.by_zone.keys().map(String::as_str)
     }
 
-    /// The instances of a zone that take work, in the order of [`rank`].
+    /// The members of a zone that accept work, in the order of [`compare_rank`].
     #[must_use]
     pub fn ranked(&self, zone: &str) -> &[Arc<MemberRow>] {
         self.by_zone.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// Up to `most` instances of other zones that take work, in the order of [`rank`].
+    /// Up to `most` members of other zones that accept work, in the order of [`compare_rank`].
     #[must_use]
-    pub fn ranked_elsewhere(&self, zone: &str, most: usize) -> Vec<&Arc<MemberRow>> {
+    pub fn ranked_in_other_zones(&self, zone: &str, most: usize) -> Vec<&Arc<MemberRow>> {
         let others = self.by_zone.iter().filter(|(other, _)| *other != zone);
         let first = others.flat_map(|(_, ranked)| ranked.iter().take(most));
         let mut first: Vec<&Arc<MemberRow>> = first.collect();
-        first.sort_by(|a, b| rank(a, b));
+        first.sort_by(|a, b| compare_rank(a, b));
         first.truncate(most);
         first
     }
 
-    /// Who answers for the keys of `incarnation`: itself while it may answer, then its successor,
-    /// and so on: a successor that left handed on what it had taken over.
+    /// The owner of the idempotency keys of `incarnation`: itself or, once it has left, its
+    /// successor. A successor that left as well handed on the keys that it had taken over, so the
+    /// chain is followed.
     #[must_use]
-    pub fn answering_for(&self, incarnation: u64) -> Option<Arc<MemberRow>> {
+    pub fn owner_for(&self, incarnation: u64) -> Option<Arc<MemberRow>> {
         let mut row = self.row(incarnation)?;
         for _ in 0..SUCCESSORS_MAX {
             let successor = row.successor.filter(|_| row.state == MemberState::Left);
@@ -131,9 +134,9 @@
         Some(Arc::clone(row))
     }
 
-    /// Members that run, leaving ones included.
+    /// Number of members that may answer, leaving ones included.
     #[must_use]
-    pub const fn serving(&self) -> usize {
-        self.serving
+    pub const fn running_count(&self) -> usize {
+        self.running_count
     }
 }
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -1,4 +1,4 @@
-//! Commits operators' changes in the platform's store.
+//! Commits operators' changes to the platform's store.
 
 use std::time::Duration;
 
@@ -15,16 +15,17 @@
 use crate::store::Store;
 use crate::store::StoreError;
 
-/// Reads that resolve a lost answer before the commit is told to be unknown.
-const READ_BACKS: u32 = 5;
+/// Reads after a lost response before the commit is reported as unknown.
+const READ_BACK_ATTEMPTS: u32 = 5;
+/// Pause before each of these reads.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(100);
-/// Turns of an edit that has no expected revision and may be made on whatever is there.
-const TURNS_MAX: u32 = 8;
+/// Attempts at an edit without an expected revision, which may be applied to any current state.
+const ATTEMPTS_MAX: u32 = 8;
 
-/// What an operator wants of one service.
+/// An operator's change of one service.
 #[derive(Clone, Debug)]
 pub enum Edit {
-    /// Replace at this revision; 0 for a service that must not exist.
+    /// Replaces the service at the expected revision; 0 for a service that must not exist.
     Put {
         service: Service,
         expected: u64,
@@ -32,11 +33,12 @@
     Delete {
         expected: u64,
     },
-    /// Whatever the revision.
+    /// Drains or restores one server, at any revision.
     Drain {
         server: String,
         drained: bool,
     },
+    /// Sets the probe budget, at any revision.
     Budget {
         per_s: u32,
     },
@@ -46,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditError {
     pub coded: Coded,
-    /// What stands in the store, where that is known.
+    /// The row currently in the store, if known.
     pub current: Option<Box<Versioned>>,
 }
 
@@ -56,22 +58,25 @@
     }
 }
 
-/// Commits changes; an operator is told "accepted" only for what stands in the store.
+/// Commits changes; one is reported as accepted only once it is known to be in the store.
 #[derive(Clone, Debug)]
 pub struct Committer<S> {
     store: S,
 }
 
-struct Current {
+/// A service's row in the store.
+struct StoredService {
+    /// The index that a compare-and-swap expects.
     index: u64,
     row: Option<Versioned>,
 }
 
-impl Current {
+impl StoredService {
     fn revision(&self) -> u64 {
         self.row.as_ref().map_or(0, |row| row.revision)
     }
 
+    /// The service, unless it is deleted.
     fn live(&self) -> Option<&Service> {
         self.row.as_ref().and_then(|row| row.service.as_ref())
     }
@@ -93,7 +98,7 @@
         }
     }
 
-    /// The service after the edit; `None` for a deleted one.
+    /// Applies the edit; `None` for a deleted service.
     fn apply(&self, name: &str, current: Option<&Service>) -> Result<Option<Service>, EditError> {
         if let Self::Put { service, .. } = self {
             return Ok(Some(service.clone()));
@@ -120,27 +125,27 @@
         Self { store }
     }
 
-    async fn read(&self, name: &str) -> Result<Current, StoreError> {
+    async fn read(&self, name: &str) -> Result<StoredService, StoreError> {
         let entry = self.store.get(&format!("{SERVICES_PREFIX}{name}")).await?;
         let Some(entry) = entry else {
-            return Ok(Current { index: 0, row: None });
+            return Ok(StoredService { index: 0, row: None });
         };
         let row = decode_entry(&entry).map(|(_, row)| row);
-        Ok(Current { index: entry.index, row })
+        Ok(StoredService { index: entry.index, row })
     }
 
     /// Commits `edit` as the change `change_id`; the same id may be sent again after a fault.
     ///
     /// # Errors
-    /// `Conflict` with what stands, `NotFound`, `ServiceInvalid`, `StoreUnreachable` when nothing
-    /// changed, `CommitUnknown` when that cannot be told.
+    /// `Conflict` with the current row, `NotFound`, `ServiceInvalid`, `StoreUnreachable` if nothing
+    /// changed, `CommitUnknown` if that cannot be determined.
     pub async fn commit(
         &self,
         name: &str,
         edit: &Edit,
         change_id: Uuid,
     ) -> Result<Versioned, EditError> {
-        for _ in 0..TURNS_MAX {
+        for _ in 0..ATTEMPTS_MAX {
             let current = self.read(name).await.map_err(|err| unreachable(&err))?;
             if let Some(row) = &current.row
                 && row.contains(change_id)
@@ -155,18 +160,18 @@
         Err(Coded::new(Code::Conflict, "others keep changing this service").into())
     }
 
-    /// One compare-and-swap; `None` when another change came between and the edit goes again.
+    /// One compare-and-swap; `None` if another change came first and the edit must be retried.
     async fn write(
         &self,
         name: &str,
         edit: &Edit,
         change_id: Uuid,
-        current: &Current,
+        current: &StoredService,
     ) -> Result<Option<Versioned>, EditError> {
         let expected = edit.expected().unwrap_or_else(|| current.revision());
-        // A deleted service counts as not there, also for who never saw its tombstone.
-        let fresh = expected == 0 && current.live().is_none();
-        if expected != current.revision() && !fresh {
+        // A deleted service counts as absent, also for a client that never saw its tombstone.
+        let creates = expected == 0 && current.live().is_none();
+        if expected != current.revision() && !creates {
             return Err(conflict(expected, current));
         }
         let service = edit.apply(name, current.live())?;
@@ -179,28 +184,30 @@
         let path = format!("{SERVICES_PREFIX}{name}");
         match self.store.put_if(&path, &value, current.index).await {
             Ok(true) => Ok(Some(row)),
-            // The next turn reads what stands and tells a conflict from a race to be run again.
+            // The next attempt reads the current row and tells a conflict from a race to be
+            // retried.
             Ok(false) => Ok(None),
-            Err(StoreError::AnswerLost(why)) => self.resolve(name, row, &why).await,
+            Err(StoreError::ResponseLost(why)) => self.resolve_lost_response(name, row, &why).await,
             Err(err) => Err(unreachable(&err).into()),
         }
     }
 
-    /// The write's answer was lost. What stands tells: our change id in it, that it took effect;
-    /// another change in its place, that it did not and never will. The revision before it
-    /// proves nothing, since the write may still be on its way.
-    async fn resolve(
+    /// Determines whether a write took effect whose response was lost, by reading the row back. If
+    /// the row contains our change id, it did; if another change has taken its revision, it did not
+    /// and never will. The previous revision proves nothing, since the write may still be in
+    /// flight.
+    async fn resolve_lost_response(
         &self,
         name: &str,
         row: Versioned,
         why: &str,
     ) -> Result<Option<Versioned>, EditError> {
-        for _ in 0..READ_BACKS {
+        for _ in 0..READ_BACK_ATTEMPTS {
             tokio::time::sleep(READ_BACK_PAUSE).await;
             let Ok(current) = self.read(name).await else {
                 continue;
             };
-            if current.row.as_ref().is_some_and(|stands| stands.contains(row.change_id)) {
+            if current.row.as_ref().is_some_and(|stored| stored.contains(row.change_id)) {
                 return Ok(Some(row));
             }
             let changes_since = current.revision().saturating_sub(row.revision);
@@ -212,7 +219,7 @@
     }
 }
 
-fn conflict(expected: u64, current: &Current) -> EditError {
+fn conflict(expected: u64, current: &StoredService) -> EditError {
     let detail = format!("expected revision {expected}, current is {}", current.revision());
     EditError {
         coded: Coded::new(Code::Conflict, detail),
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: merging, committing and spreading it.
+//! The operators' configuration: merging, committing and replicating it.
 
 mod committer;
 mod merge;
@@ -15,5 +15,5 @@
 pub use spread::run_repair;
 pub use watcher::SERVICES_PREFIX;
 pub use watcher::decode_entry;
+pub use watcher::is_watcher;
 pub use watcher::run_watcher;
-pub use watcher::watches;
--- a/src/catalog/spread.rs
+++ b/src/catalog/spread.rs
@@ -1,4 +1,5 @@
-//! Spreading of configuration between instances: pushes for speed, digests for repair.
+//! Replicates the configuration between instances: pushes for low latency, anti-entropy by digests
+//! for completeness.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,38 +12,44 @@
 use crate::board::EventKind;
 use crate::member::MemberRow;
 use crate::peer::Links;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
-use crate::peer::parts;
+use crate::peer::split_rows;
 
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Names in one message.
+/// Service names per fetch request.
 const NAMES_PER_MESSAGE: usize = 64;
-/// Time between two repairs; with a push lost, this bounds how long an instance lags.
+/// Longest interval between two repairs, in milliseconds; bounds how long an instance lags after a
+/// lost push.
 const REPAIR_INTERVAL_MS: u64 = 1_500;
 
-/// Takes rows in, puts them in force and returns those that were news.
+/// Merges rows into the active configuration; returns those that were newer.
 pub fn merge_rows(board: &Blackboard, rows: ServiceRows) -> ServiceRows {
-    let mut news = ServiceRows::new();
+    let mut updated = ServiceRows::new();
     let mut catalog = board.catalog.lock();
     for (name, row) in rows {
         if catalog.merge(&name, row.clone()) {
-            news.push((name, row));
+            updated.push((name, row));
         }
     }
     drop(catalog);
-    for (name, row) in &news {
+    for (name, row) in &updated {
         board.counters.add(Counter::ConfigMerged);
-        board.note(EventKind::ConfigInForce { service: name.clone(), revision: row.revision });
+        board.record_event(EventKind::ConfigInForce {
+            service: name.clone(),
+            revision: row.revision,
+        });
     }
-    if !news.is_empty() {
-        board.touch();
+    if !updated.is_empty() {
+        board.notify_changed();
     }
-    news
+    updated
 }
 
-fn others(board: &Blackboard) -> Vec<Arc<MemberRow>> {
+/// The other members that may answer.
+fn other_instances(board: &Blackboard) -> Vec<Arc<MemberRow>> {
     let view = board.members_view();
     let others = view
         .rows
@@ -51,26 +58,26 @@
     others.cloned().collect()
 }
 
-/// Sends rows to the other instances of the zone, and to one of each other zone.
+/// Sends rows to the other instances of the own zone and to one instance of each other zone.
 ///
-/// Every zone has watchers of its own; the one told elsewhere saves its zone the wait for them
-/// while the store is slow. A push that is lost is made up for by a repair.
+/// Every zone has watchers of its own; the push to one instance elsewhere saves that zone the wait
+/// for its watchers while the store is slow. A lost push is made up for by a repair.
 pub fn push_rows(board: &Blackboard, links: &Links, rows: &ServiceRows) {
     if rows.is_empty() {
         return;
     }
-    let parts = parts(rows);
+    let groups = split_rows(rows);
     let own_zone = &board.settings.instance.zone;
-    let mut told_zones: Vec<String> = Vec::new();
-    for row in others(board) {
+    let mut pushed_zones: Vec<String> = Vec::new();
+    for row in other_instances(board) {
         if row.zone != *own_zone {
-            if told_zones.contains(&row.zone) {
+            if pushed_zones.contains(&row.zone) {
                 continue;
             }
-            told_zones.push(row.zone.clone());
+            pushed_zones.push(row.zone.clone());
         }
-        for part in &parts {
-            let request = PeerRequest::Changes(part.clone());
+        for group in &groups {
+            let request = PeerRequest::Changes(group.clone());
             let links = links.clone();
             let address = row.peer;
             tokio::spawn(async move {
@@ -80,25 +87,25 @@
     }
 }
 
-/// Compares digests with one peer and exchanges what either has newer.
+/// Compares digests with one peer and exchanges the rows that are newer on either side.
 async fn repair_with(board: &Blackboard, links: &Links, peer: &MemberRow) {
     let digest = board.catalog.lock().digest();
-    let asked = links.call(peer.peer, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
-    let Ok(PeerReply::Summary(summary)) = asked else {
+    let reply = links.call(peer.peer, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
+    let Ok(PeerReply::Summary(summary)) = reply else {
         return;
     };
-    let (missing, newer) = {
+    let (stale, newer) = {
         let catalog = board.catalog.lock();
-        (catalog.older_than(&summary), catalog.newer_than(&summary))
+        (catalog.stale_names(&summary), catalog.rows_newer_than(&summary))
     };
-    for names in missing.chunks(NAMES_PER_MESSAGE) {
+    for names in stale.chunks(NAMES_PER_MESSAGE) {
         let request = PeerRequest::Fetch(names.to_vec());
         if let Ok(PeerReply::Changes(rows)) = links.call(peer.peer, &request, CALL_TIMEOUT).await {
             merge_rows(board, rows);
         }
     }
-    for part in parts(&newer) {
-        let request = PeerRequest::Changes(part);
+    for group in split_rows(&newer) {
+        let request = PeerRequest::Changes(group);
         let _ = links.call(peer.peer, &request, CALL_TIMEOUT).await;
     }
 }
@@ -108,7 +115,7 @@
     loop {
         let jitter_ms = rand::rng().random_range(0..REPAIR_INTERVAL_MS / 2);
         tokio::time::sleep(Duration::from_millis(REPAIR_INTERVAL_MS - jitter_ms)).await;
-        let peers = others(&board);
+        let peers = other_instances(&board);
         if peers.is_empty() {
             continue;
         }
--- /dev/null
+++ b/src/cold/cold_limit.rs
@@ -0,0 +1,37 @@
+//! The limit on requests to a cold server.
+
+/// Views of the set of homes that may exist at the same time, on both sides of a network partition
+/// and while homes change. The homes of each view send to a cold server, within an equal part of
+/// the limit.
+const CONCURRENT_VIEWS_MAX: f64 = 3.0;
+/// Window in which instances enforce the limit, in microseconds: the operators' second plus a
+/// margin for requests that take longer than others to arrive, by a new connection and a health
+/// check.
+pub const COLD_WINDOW_US: u64 = 1_300_000;
+
+/// The operators' limit on the requests that a cold server gets in any second from all instances
+/// together.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ColdLimit {
+    /// Requests per second that cold servers of the service tolerate.
+    pub per_s: f64,
+    /// Factor by which the limit may be exceeded.
+    pub overage: f64,
+    /// Requests by which the limit may be exceeded in addition.
+    pub slack: f64,
+}
+
+impl ColdLimit {
+    /// Requests that a server may get in any second from the instances of one view. At least one,
+    /// as a cold server would otherwise never be used.
+    #[must_use]
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a few requests, never below zero"
+    )]
+    pub fn starts_per_view(&self) -> u32 {
+        let limit = self.per_s.max(0.0).mul_add(self.overage, self.slack);
+        (limit / CONCURRENT_VIEWS_MAX).max(1.0) as u32
+    }
+}
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! What must hold of the configuration for a request to be admitted, or rejected for good.
+//! Checks whether the current configuration is fresh enough to admit a request or to reject it
+//! permanently.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,26 +7,30 @@
 use super::Caller;
 use super::RouteTable;
 use super::caller_handler::CurrentRouteTable;
-use super::copy_age::CopyAge;
+use super::mirror_age::MirrorAge;
 use super::reply::LocalReply;
 use crate::conf::GatewaySettings;
 use crate::errors::Code;
 
-/// Part of the time for which a key that was taken away may be served: the rest is for clocks that differ.
+/// Keys are accepted while the configuration was last proved current within this fraction of the
+/// key revocation time. The rest allows for differences between clocks.
 const PROOF_AGE_REJECT_RATIO: f64 = 0.9;
-/// Part of it after which callers are sent to other instances.
+/// Fraction of the key revocation time without such a proof after which the instance reports itself
+/// as not ready, so that callers move to other instances before keys are refused.
 const PROOF_AGE_UNREADY_RATIO: f64 = 0.6;
-/// When to come back: another instance, or this one a moment later, has asked the store.
+/// Retry delay, in milliseconds, for a request refused because the configuration may be stale. By
+/// then this instance has asked the store again, or the caller reaches another instance.
 const STALE_CONFIG_RETRY_MS: u64 = 200;
 
-/// The configuration in force, and how far it can be relied on; clones share.
+/// The current configuration and how fresh it is known to be. Clones share state.
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub table: CurrentRouteTable,
-    age: Arc<CopyAge>,
-    /// A version is in force everywhere within this.
+    /// Age of the configuration's copy.
+    age: Arc<MirrorAge>,
+    /// Time within which a new configuration version is active on every instance.
     config_apply: Duration,
-    /// For so long a key may be served after it was taken away; not bounded without.
+    /// How long a revoked key may still be accepted; unbounded if `None`.
     key_revocation: Option<Duration>,
 }
 
@@ -34,9 +39,9 @@
 }
 
 impl Admission {
-    /// Relies on `table` as far as `age` and the bounds of the settings allow.
+    /// Creates the checks of `table` from the age of its copy and the bounds in the settings.
     #[must_use]
-    pub fn new(table: CurrentRouteTable, age: Arc<CopyAge>, settings: &GatewaySettings) -> Self {
+    pub fn new(table: CurrentRouteTable, age: Arc<MirrorAge>, settings: &GatewaySettings) -> Self {
         Self {
             table,
             age,
@@ -45,34 +50,33 @@
         }
     }
 
-    fn confirmed_within(&self, part: f64) -> bool {
+    /// Whether the configuration was proved current within this fraction of the key revocation time.
+    fn proved_within(&self, ratio: f64) -> bool {
         self.key_revocation
-            .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(part)))
+            .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(ratio)))
     }
 
-    /// Whether callers should be sent here: keys will hold for a while.
+    /// Whether callers should be sent to this instance: no keys are required, or they can be
+    /// accepted for some time yet.
     #[must_use]
     pub fn accepts_callers(&self) -> bool {
-        let any_keys = self.table.load().as_ref().is_some_and(|table| table.workspaces.is_some());
-        !any_keys || self.confirmed_within(PROOF_AGE_UNREADY_RATIO)
+        let keys_required =
+            self.table.load().as_ref().is_some_and(|table| table.workspaces.is_some());
+        !keys_required || self.proved_within(PROOF_AGE_UNREADY_RATIO)
     }
 
-    /// Whether what is in force is proved to be new enough to serve anybody by a key.
+    /// Checks that the configuration was proved current recently enough to accept any key.
     ///
     /// # Errors
-    /// The final answer where it is not.
+    /// A retryable reply if it is not.
     pub fn check_freshness(&self) -> Result<(), LocalReply> {
-        if self.confirmed_within(PROOF_AGE_REJECT_RATIO) {
-            Ok(())
-        } else {
-            Err(stale_config_reply())
-        }
+        if self.proved_within(PROOF_AGE_REJECT_RATIO) { Ok(()) } else { Err(stale_config_reply()) }
     }
 
-    /// Whether a caller who was admitted before may still be served.
+    /// Checks that a caller admitted earlier may still be served.
     ///
     /// # Errors
-    /// The final answer where the key opens nothing any more, or nobody knows.
+    /// The final reply if its key is no longer valid, or if that cannot be determined.
     pub fn check_caller(&self, caller: Option<&Caller>) -> Result<(), LocalReply> {
         let Some(caller) = caller else {
             return Ok(());
@@ -85,8 +89,9 @@
         Err(self.reject_or_retry(LocalReply::key_rejected()))
     }
 
-    /// A rejection for good, if the table that it goes by cannot be older than a version may take to be in
-    /// force everywhere: a route or key that is missing may be new.
+    /// Returns a permanent rejection as it is, unless the route table is older than the time within
+    /// which a new version is active everywhere: the missing route or key may just have been added,
+    /// so the reply is retryable then.
     #[must_use]
     pub fn reject_or_retry(&self, rejection: LocalReply) -> LocalReply {
         if rejection.retry_after_ms.is_none() && self.age.age() > self.config_apply {
@@ -95,10 +100,10 @@
         rejection
     }
 
-    /// The route table, or the answer that there is none.
+    /// The current route table.
     ///
     /// # Errors
-    /// Without any configuration.
+    /// A retryable reply if no configuration has been loaded.
     pub fn table(&self, retry_after_ms: u64) -> Result<Arc<RouteTable>, LocalReply> {
         let table = self.table.load_full();
         table.ok_or_else(|| LocalReply::not_run(Code::NoConfiguration, retry_after_ms))
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,15 +1,13 @@
-//! Requests by routes, on a platform that lists routes and backend servers in its store.
+//! The gateway: routes requests on a platform that keeps its routes and backend servers in a store.
 //!
-//! A caller's request is read by [`CallerHandler`], routed by the [`RouteTable`] in force, given a
-//! slot by the [`Dispatcher`] and forwarded by the [`Forwarder`]. What the platform calls things
-//! is known only to its [`Dialect`].
+//! [`CallerHandler`] reads a caller's request, the current [`RouteTable`] selects its service, the
+//! [`Dispatcher`] assigns it a slot of a backend server, and the [`Forwarder`] forwards it. Only the
+//! [`Dialect`] knows the names and formats of the platform.
 
 mod address_claims;
 mod admission;
 mod caller;
 mod caller_handler;
-mod copy_age;
-mod declaration;
 mod dialect;
 mod dispatcher;
 mod dispatcher_notices;
@@ -26,44 +24,43 @@
 mod framing;
 mod grant;
 mod health_check;
-mod holders;
 mod home_planner;
 mod homes;
-mod load_share;
-mod memory_room;
+mod load_reporter;
+mod memory_budget;
 mod mirror;
+mod mirror_age;
 mod mirror_sample;
-mod patience;
+mod parsed_config;
 mod platform_handlers;
 mod prober;
-mod prover;
-mod quota_gate;
+mod proof_schedule;
+mod quarantine_store;
+mod quota_limiter;
 mod registry;
+mod relay_cooldowns;
 mod relays;
 mod reply;
+mod reported_loads;
 mod routes;
 mod send;
 mod server;
 mod server_conn;
-mod server_conns;
+mod server_conn_pool;
+mod server_list_holders;
 mod server_notice;
 mod server_starts;
 mod servers_in_use;
-mod shunned;
 mod sinks;
+mod spent_time_estimator;
 mod store_check;
 mod store_outage;
-mod suspect_keeper;
-mod told_loads;
-mod zone_sight;
+mod zone_majority;
 
 pub use admission::Admission;
 pub use caller::Caller;
 pub use caller_handler::CallerHandler;
 pub use caller_handler::CurrentRouteTable;
-pub use copy_age::CopyAge;
-pub use declaration::PartFault;
-pub use declaration::ReadTable;
 pub use dialect::Dialect;
 pub use dialect::HeaderNames;
 pub use dialect::InstancePaths;
@@ -78,23 +75,25 @@
 pub use framing::BodyDecoder;
 pub use framing::Framing;
 pub use grant::Grant;
-pub use holders::holds_servers;
 pub use home_planner::HomePlanner;
 pub use homes::HomesPlan;
 pub use homes::all_homes;
 pub use homes::homes_of_zone;
 pub use homes::is_home;
-pub use load_share::LoadShare;
-pub use memory_room::MemoryBudget;
-pub use memory_room::MemoryReservation;
+pub use load_reporter::LoadReporter;
+pub use memory_budget::MemoryBudget;
+pub use memory_budget::MemoryReservation;
 pub use mirror::Mirror;
 pub use mirror::Sink;
-pub use patience::SpentTimeEstimator;
+pub use mirror_age::MirrorAge;
+pub use parsed_config::ConfigFault;
+pub use parsed_config::ParsedConfig;
 pub use platform_handlers::AddressHandler;
 pub use platform_handlers::ReadinessHandler;
 pub use prober::Prober;
-pub use quota_gate::QuotaLimiter;
-pub use quota_gate::QuotaToken;
+pub use quarantine_store::QuarantineStore;
+pub use quota_limiter::QuotaLimiter;
+pub use quota_limiter::QuotaToken;
 pub use registry::Registry;
 pub use reply::LocalReply;
 pub use reply::Reply;
@@ -113,10 +112,11 @@
 pub use server_conn::ResponseHead;
 pub use server_conn::ResponseMatcher;
 pub use server_conn::ServerConn;
-pub use server_conns::ServerConnPool;
+pub use server_conn_pool::ServerConnPool;
+pub use server_list_holders::holds_server_list;
 pub use server_notice::InvalidRetryAfter;
 pub use server_notice::ServerNotice;
 pub use sinks::OperatorSink;
 pub use sinks::ServerSink;
+pub use spent_time_estimator::SpentTimeEstimator;
 pub use store_check::run_store_check;
-pub use suspect_keeper::SuspectKeeper;
--- a/src/gateway/registry.rs
+++ b/src/gateway/registry.rs
@@ -1,4 +1,4 @@
-//! The list of instances that the instances keep in the platform's store.
+//! The list of instances in the platform's store, which the instances maintain themselves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,19 +12,22 @@
 use crate::board::Blackboard;
 use crate::store::EventStore;
 use crate::store::Freshness;
-use crate::store::Listed;
 use crate::store::Roster;
+use crate::store::RosterEntry;
 use crate::store::StoreError;
 
-/// Homes are settled some time after a start.
-const SETTLE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// An entry outlives its instance for at most this. It is only read by instances that look for
-/// others, which stand a dead address among living ones.
+/// How often this instance checks whether it is the first of its zone; also the time that homes
+/// need to settle after a start.
+const HOME_CHECK_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Lease of an entry, and so the longest time that it outlives its instance. Entries are only read
+/// by instances that look for others, which tolerate a dead address among live ones.
 const LEASE_TTL: Duration = Duration::from_mins(1);
+/// How often the lease is renewed.
 const RENEW_INTERVAL: Duration = Duration::from_secs(20);
+/// Pause after the store did not accept an entry.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The instances' own list; each writes its peer address under a lease.
+/// The list of instances; each entry holds a peer address under a lease.
 #[derive(Clone, Debug)]
 pub struct Registry<D, S> {
     pub dialect: D,
@@ -33,7 +36,8 @@
 }
 
 impl<D: Dialect, S: EventStore> Registry<D, S> {
-    async fn enter(&self) -> Result<u64, StoreError> {
+    /// Writes the entry of this instance; returns its lease.
+    async fn register(&self) -> Result<u64, StoreError> {
         let lease = self.store.open_lease(LEASE_TTL).await?;
         let prefix = self.dialect.store_keys().instances_prefix;
         let key = format!("{prefix}{}", self.board.settings.instance.name);
@@ -44,28 +48,28 @@
         Err(StoreError::Refused("the lease ended at once".into()))
     }
 
-    /// Keeps the own entry while this instance is a home, until the process ends.
+    /// Keeps an entry for this instance while it is the first of its zone, until the process ends.
     ///
-    /// A newcomer needs one address of an instance that lives, and finds the others through it;
-    /// each entry costs calls to the store.
+    /// One live address is enough for a new instance, which learns the others through it, and each
+    /// entry costs store calls.
     pub async fn run(self) {
         loop {
-            tokio::time::sleep(SETTLE_INTERVAL).await;
-            if !is_home(&self.board, HomesPlan::FIRST) {
+            tokio::time::sleep(HOME_CHECK_INTERVAL).await;
+            if !is_home(&self.board, HomesPlan::FIRST_ONLY) {
                 continue;
             }
-            match self.enter().await {
-                Ok(lease) => self.keep(lease).await,
+            match self.register().await {
+                Ok(lease) => self.renew_until_expired(lease).await,
                 Err(error) => {
-                    self.board.note_store(Some(error.to_string()));
+                    self.board.record_store_result(Some(error.to_string()));
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// Renews the lease until the store says that it ended.
-    async fn keep(&self, lease: u64) {
+    /// Renews the lease until the store reports that it ended.
+    async fn renew_until_expired(&self, lease: u64) {
         loop {
             tokio::time::sleep(RENEW_INTERVAL).await;
             match self.store.renew_lease(lease).await {
@@ -78,21 +82,21 @@
 }
 
 impl<D: Dialect, S: EventStore> Roster for Registry<D, S> {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
-        // The addresses in the settings are enough while one of them answers.
-        if self.board.members_view().serving() > 1 {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
+        // The seeds are enough as long as another instance is known.
+        if self.board.members_view().running_count() > 1 {
             return Ok(Vec::new());
         }
         let prefix = self.dialect.store_keys().instances_prefix;
-        let page = self.store.page(prefix, None, Freshness::Latest).await?;
+        let page = self.store.list_page(prefix, None, Freshness::Latest).await?;
         let listed = page.items.iter().filter_map(|item| {
             let address: SocketAddr = std::str::from_utf8(&item.value).ok()?.parse().ok()?;
-            Some(Listed { id: item.key.clone(), address, zone: String::new(), leaving: false })
+            Some(RosterEntry { id: item.key.clone(), address, zone: String::new(), leaving: false })
         });
         Ok(listed.collect())
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         Ok(Vec::new())
     }
 }
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -1,4 +1,4 @@
-//! Puts what the platform's store says in force.
+//! Applies the contents of the platform's store to this instance.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,42 +7,43 @@
 use log::error;
 use log::info;
 
+use super::ConfigFault;
 use super::Dialect;
-use super::PartFault;
 use super::RouteTable;
 use super::ServiceConfig;
 use super::caller_handler::CurrentRouteTable;
-use super::copy_age::CopyAge;
 use super::dispatcher::Dispatcher;
 use super::mirror::Sink;
+use super::mirror_age::MirrorAge;
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::cold::ColdLimit;
-use crate::cold::ColdRule;
+use crate::cold::ColdPolicy;
 use crate::errors::Code;
 use crate::model::ServerRow;
 use crate::store::Item;
 use crate::workspace::WorkspaceTable;
 
-/// Entries that cannot be read and are remembered as logged; beyond that some are logged again.
-const UNREADABLE_MAX: usize = 1_000;
-/// Changes that come together and have a line each. At a start each of hundreds of instances hears of
-/// hundreds of servers, where one line with their number and revision tells as much.
-const TOGETHER_LINES_MAX: usize = 8;
+/// Number of unreadable entries that are remembered as logged; beyond it, some are logged again.
+const UNREADABLE_LOGGED_MAX: usize = 1_000;
+/// Number of changes of a batch that are logged individually. After a start each of hundreds of
+/// instances receives hundreds of servers at once; one line with their number and revision then
+/// suffices.
+const BATCH_LINES_MAX: usize = 8;
 
-/// Puts what the operators write in force: versions of the configuration, and evacuations.
+/// Applies what the operators write: configuration versions and zone evacuations.
 #[derive(Debug)]
 pub struct OperatorSink<D> {
     pub dialect: D,
     pub table: CurrentRouteTable,
     pub board: Arc<Blackboard>,
     pub dispatcher: Dispatcher,
-    /// Of the copy that this is told from.
-    pub age: Arc<CopyAge>,
+    /// The age of the mirror that feeds this sink.
+    pub age: Arc<MirrorAge>,
 }
 
-/// One line for each part of a configuration that could not be read.
-fn log_faults(faults: &[PartFault], version: u64) {
+/// Logs one line for each part of a configuration that could not be parsed.
+fn log_faults(faults: &[ConfigFault], version: u64) {
     for fault in faults {
         error!(
             event = "config-part-unreadable", code = fault.code.number(), version = version,
@@ -53,12 +54,13 @@
 }
 
 impl<D: Dialect> OperatorSink<D> {
-    /// The zone that a key evacuates.
-    fn zone_of<'a>(&self, key: &'a str) -> Option<&'a str> {
+    /// The zone that is evacuated by a key, if it is an evacuation key.
+    fn evacuated_zone<'a>(&self, key: &'a str) -> Option<&'a str> {
         key.strip_prefix(self.dialect.store_keys().evacuations_prefix)
     }
 
-    /// The key alone is the operators' word; what its value may come to say does not take it back.
+    /// Evacuates a zone. The existence of the key is enough; its value is ignored, so that a future
+    /// format of it cannot cancel an evacuation.
     fn evacuate(&self, zone: &str, revision: u64) {
         if zone.is_empty() || zone.contains('/') {
             error!(
@@ -74,11 +76,12 @@
         info!(
             event = "zone-evacuated", zone = zone, servers = change.servers,
             running = change.running, revision = revision;
-            "nothing more is sent there"
+            "no more requests are sent to its servers"
         );
         self.board.set_evacuated_zones(self.dispatcher.evacuated_zones());
     }
 
+    /// Ends the evacuation of a zone.
     fn readmit(&self, zone: &str) {
         let Some(change) = self.dispatcher.readmit(zone) else {
             return;
@@ -91,21 +94,22 @@
         self.board.set_evacuated_zones(self.dispatcher.evacuated_zones());
     }
 
-    /// What the operators say of each service's cold servers.
-    fn cold_rules(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdRule> {
-        let bounds = self.board.settings.gateway.as_ref();
-        let (overage, slack) = bounds.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
-        let rule = |service: &ServiceConfig| ColdRule {
+    /// The rate limits and warm-up times of cold servers, by service.
+    fn cold_policies(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdPolicy> {
+        let gateway = self.board.settings.gateway.as_ref();
+        let (overage, slack) = gateway.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
+        let rule = |service: &ServiceConfig| ColdPolicy {
             limit: service.cold_per_s.map(|per_s| ColdLimit { per_s, overage, slack }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
         };
         table.services.iter().map(|(name, service)| (Arc::clone(name), rule(service))).collect()
     }
 
-    fn configure(&self, item: &Item) {
-        let before = self.table.load_full();
-        let read = match self.dialect.decode_config(&item.value, before.as_deref()) {
-            Ok(read) => read,
+    /// Parses a version of the configuration and puts it into use if it is the newest.
+    fn apply_config(&self, item: &Item) {
+        let previous = self.table.load_full();
+        let parsed = match self.dialect.decode_config(&item.value, previous.as_deref()) {
+            Ok(parsed) => parsed,
             Err(why) => {
                 error!(
                     event = "config-unreadable", code = Code::ConfigUnreadable.number(),
@@ -117,27 +121,27 @@
             }
         };
         self.age.set_outdated(false);
-        // A read that answers late must not take a newer version back.
-        let before = before.map(|table| table.version);
-        if before.is_some_and(|before| before >= read.table.version) {
+        // A late answer must not restore an older version.
+        let previous = previous.map(|table| table.version);
+        if previous.is_some_and(|previous| previous >= parsed.table.version) {
             return;
         }
-        log_faults(&read.faults, read.table.version);
+        log_faults(&parsed.faults, parsed.table.version);
         info!(
-            event = "config-in-force", version = read.table.version, before = before.unwrap_or(0),
-            routes = read.table.route_count(),
-            workspaces = read.table.workspaces.as_ref().map(WorkspaceTable::len), faults = read.faults.len(),
-            revision = item.revision;
+            event = "config-in-force", version = parsed.table.version,
+            before = previous.unwrap_or(0), routes = parsed.table.route_count(),
+            workspaces = parsed.table.workspaces.as_ref().map(WorkspaceTable::len),
+            faults = parsed.faults.len(), revision = item.revision;
             "configuration changed"
         );
-        self.dispatcher.set_cold_policies(self.cold_rules(&read.table));
-        self.table.store(Some(Arc::new(read.table)));
+        self.dispatcher.set_cold_policies(self.cold_policies(&parsed.table));
+        self.table.store(Some(Arc::new(parsed.table)));
         self.board.counters.add(Counter::ConfigMerged);
     }
 }
 
 impl<D: Dialect> Sink for OperatorSink<D> {
-    fn seal(&self, item: &mut Item) {
+    fn redact(&self, item: &mut Item) {
         if item.key == self.dialect.store_keys().config {
             item.value = self.dialect.redact_config(std::mem::take(&mut item.value));
         }
@@ -145,61 +149,62 @@
 
     fn written(&mut self, item: &Item) {
         if item.key == self.dialect.store_keys().config {
-            self.configure(item);
-        } else if let Some(zone) = self.zone_of(&item.key) {
+            self.apply_config(item);
+        } else if let Some(zone) = self.evacuated_zone(&item.key) {
             self.evacuate(zone, item.revision);
         }
     }
 
     fn removed(&mut self, key: &str, _: Duration) {
-        match self.zone_of(key) {
+        match self.evacuated_zone(key) {
             Some(zone) => self.readmit(zone),
-            None => info!(event = "config-removed", key = key; "the last version stays in force"),
+            None => info!(event = "config-removed", key = key; "the last version stays in use"),
         }
     }
 }
 
-/// Lists backend servers.
+/// Passes backend servers to the dispatcher.
 #[derive(Debug)]
 pub struct ServerSink<D> {
     pub dialect: D,
     pub dispatcher: Dispatcher,
-    /// Why the entries that cannot be read now cannot be, by id: each is logged once, however often
-    /// its writer repeats it.
+    /// Current unreadable entries by id, with the parse error. Each is logged once per error,
+    /// however often its writer repeats it.
     unreadable: HashMap<String, String>,
-    /// While changes that came together are told.
-    together: Option<Together>,
+    /// Counts of the current batch; `None` outside a batch.
+    batch: Option<BatchCounts>,
 }
 
-/// How many changes came together so far.
+/// Numbers of changes in the current batch.
 #[derive(Clone, Copy, Debug, Default)]
-struct Together {
+struct BatchCounts {
     listed: usize,
     unlisted: usize,
 }
 
-impl Together {
-    /// Whether the next change still has a line of its own.
-    const fn has_line(self) -> bool {
-        self.listed + self.unlisted <= TOGETHER_LINES_MAX
+impl BatchCounts {
+    /// Whether the latest change is still logged individually.
+    const fn logs_each(self) -> bool {
+        self.listed + self.unlisted <= BATCH_LINES_MAX
     }
 }
 
 impl<D: Dialect> ServerSink<D> {
-    /// A sink that lists servers at `dispatcher`.
+    /// Creates a sink that lists servers in `dispatcher`.
     #[must_use]
     pub fn new(dialect: D, dispatcher: Dispatcher) -> Self {
-        Self { dialect, dispatcher, unreadable: HashMap::new(), together: None }
+        Self { dialect, dispatcher, unreadable: HashMap::new(), batch: None }
     }
 
-    fn read(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
+    /// Decodes and validates the entry of a server.
+    fn decode(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
         let row = self.dialect.decode_server(id, value)?;
         row.check()?;
         Ok(row)
     }
 
-    /// An entry may come from a writer that is no server, and says nothing that can be used. It
-    /// names no server, also where one stood under this key before; the other entries hold.
+    /// Logs an unreadable entry and removes the server that was listed under its id. Other entries
+    /// are not affected. The entry may come from a writer that is not a server.
     fn reject(&mut self, id: &str, why: String, revision: u64) {
         self.dispatcher.unlist_server(id, Duration::ZERO);
         if self.unreadable.get(id) == Some(&why) {
@@ -210,18 +215,18 @@
             revision = revision, why = why.as_str();
             "{}", Code::ServerUnreadable
         );
-        if self.unreadable.len() >= UNREADABLE_MAX {
+        if self.unreadable.len() >= UNREADABLE_LOGGED_MAX {
             self.unreadable.clear();
         }
         self.unreadable.insert(id.to_owned(), why);
     }
 
-    /// Counts a change; tells whether it has a line of its own.
-    fn count(&mut self, listed: usize, unlisted: usize) -> bool {
-        self.together.as_mut().is_none_or(|together| {
-            together.listed += listed;
-            together.unlisted += unlisted;
-            together.has_line()
+    /// Counts a change; returns whether it is logged individually.
+    fn count_change(&mut self, listed: usize, unlisted: usize) -> bool {
+        self.batch.as_mut().is_none_or(|batch| {
+            batch.listed += listed;
+            batch.unlisted += unlisted;
+            batch.logs_each()
         })
     }
 }
@@ -230,12 +235,12 @@
     fn written(&mut self, item: &Item) {
         let id =
             item.key.strip_prefix(self.dialect.store_keys().servers_prefix).unwrap_or(&item.key);
-        let row = match self.read(id, &item.value) {
+        let row = match self.decode(id, &item.value) {
             Ok(row) => row,
             Err(why) => return self.reject(id, why, item.revision),
         };
         self.unreadable.remove(id);
-        if self.count(1, 0) {
+        if self.count_change(1, 0) {
             info!(
                 event = "server-listed", server = id, service = &*row.service,
                 address = row.address.to_string().as_str(), zone = &*row.zone,
@@ -250,29 +255,29 @@
     fn removed(&mut self, key: &str, grace: Duration) {
         let id = key.strip_prefix(self.dialect.store_keys().servers_prefix).unwrap_or(key);
         self.unreadable.remove(id);
-        if self.count(0, 1) {
+        if self.count_change(0, 1) {
             info!(event = "server-unlisted", server = id, grace_ms = grace.as_millis(); "");
         }
         self.dispatcher.unlist_server(id, grace);
     }
 
-    fn sample(&self, zone: u64) -> Vec<String> {
+    fn sample_keys(&self, zone: u64) -> Vec<String> {
         let prefix = self.dialect.store_keys().servers_prefix;
         let ids = self.dispatcher.sample(zone);
         ids.iter().map(|id| format!("{prefix}{id}")).collect()
     }
 
-    fn together_begins(&mut self) {
-        self.together = Some(Together::default());
+    fn begin_batch(&mut self) {
+        self.batch = Some(BatchCounts::default());
     }
 
-    fn together_ends(&mut self, revision: u64) {
-        let together = self.together.take().unwrap_or_default();
-        if !together.has_line() {
+    fn end_batch(&mut self, revision: u64) {
+        let batch = self.batch.take().unwrap_or_default();
+        if !batch.logs_each() {
             info!(
-                event = "servers-changed", listed = together.listed,
-                unlisted = together.unlisted, revision = revision;
-                "many at once"
+                event = "servers-changed", listed = batch.listed,
+                unlisted = batch.unlisted, revision = revision;
+                "summary of a large batch of changes"
             );
         }
     }
--- a/src/gateway/store_check.rs
+++ b/src/gateway/store_check.rs
@@ -1,21 +1,23 @@
-//! Makes sure that the platform's store still serves an instance that watches it.
+//! Checks that the platform's store still serves an instance that watches it.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::mirror::Mirror;
 use super::mirror::Sink;
-use super::relays::watches;
+use super::relays::is_watcher;
 use crate::board::Blackboard;
 use crate::clock::now_us;
 use crate::store::EventStore;
 
-/// A watch that waits does not tell that the store turned this instance away; others that rely on
-/// it must learn of that well within the two seconds that a change may take.
-const INTERVAL: Duration = Duration::from_millis(400);
-const TIMEOUT: Duration = Duration::from_millis(250);
+/// How often a watcher checks the store. A waiting watch does not reveal that the store rejects
+/// this instance; those that rely on it must learn that well within the two seconds that a change
+/// may take.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
+/// Timeout of a check.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Checks now and then while this instance watches, until the process ends.
+/// Checks the store periodically while this instance is a watcher, until the process ends.
 pub async fn run_store_check<S: EventStore, A: Sink, B: Sink>(
     store: S,
     board: Arc<Blackboard>,
@@ -23,18 +25,18 @@
     second: Arc<Mirror<B>>,
 ) {
     loop {
-        tokio::time::sleep(INTERVAL).await;
-        if !watches(&board) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        if !is_watcher(&board) {
             continue;
         }
-        let began_us = now_us();
-        let alive = tokio::time::timeout(TIMEOUT, store.alive()).await;
+        let started_us = now_us();
+        let alive = tokio::time::timeout(CHECK_TIMEOUT, store.check_alive()).await;
         if matches!(alive, Ok(Ok(()))) {
-            first.served(began_us);
-            second.served(began_us);
+            first.record_store_reply(started_us);
+            second.record_store_reply(started_us);
         } else {
-            first.interrupt();
-            second.interrupt();
+            first.interrupt_watches();
+            second.interrupt_watches();
         }
     }
 }
--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -1,4 +1,4 @@
-//! Probes of the backend servers that this instance keeps, where they change a decision.
+//! Probes the backend servers that this instance keeps, where the result can change a decision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use crate::clock::now_ms;
 use crate::member::MemberRow;
 use crate::peer::GrantRequest;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 use crate::route::BACKEND_STATE;
@@ -29,14 +29,17 @@
 use crate::route::Router;
 use crate::route::ServiceState;
 
+/// Pause between two rounds over all services.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 const GRANT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest body of a health answer.
 const ANSWER_MAX_BYTES: usize = 64 << 10;
-/// What an answer told within this time needs no probe.
+/// A server whose last report is not older than this needs no probe.
 const FRESH_AGE_MAX_US: u64 = 1_000_000;
 
-/// The server whose state is least known: one that may be back comes first, then the stalest.
+/// The server that most needs a probe: first one that announced that it is leaving and may be
+/// back, then the one with the oldest report.
 fn choose_server_to_probe(state: &ServiceState) -> Option<(String, Arc<crate::route::Upstream>)> {
     let servers = state.runtime.slot_queue.declared_servers();
     let kept_servers = servers.into_iter().filter(|server| server.is_keeper);
@@ -47,6 +50,7 @@
     Some((best.upstream.id.clone(), best.upstream))
 }
 
+/// Returns the status of the health answer, and whether the server announced that it is leaving.
 async fn call_health_path(
     path: &str,
     upstream: &Arc<crate::route::Upstream>,
@@ -65,7 +69,8 @@
     Some((status, leaving))
 }
 
-/// Health answers mislead, so one may close a server, and open only one that closed itself.
+/// Probes a server. Health answers are unreliable: one may close a server, but reopens it only if
+/// it was closed by its own announcement.
 async fn probe(
     router: &Router,
     state: &ServiceState,
@@ -73,18 +78,19 @@
     upstream: &Arc<crate::route::Upstream>,
 ) {
     router.board.counters.add(Counter::Probes);
-    let asked = call_health_path(&state.spec.health_path, upstream);
-    let Ok(Some((status, leaving))) = tokio::time::timeout(PROBE_TIMEOUT, asked).await else {
+    let health_call = call_health_path(&state.spec.health_path, upstream);
+    let Ok(Some((status, leaving))) = tokio::time::timeout(PROBE_TIMEOUT, health_call).await else {
         return;
     };
     let slot_queue = &state.runtime.slot_queue;
     let closed = leaving || !status.is_success();
     if slot_queue.set_closed(id, CloseReason::SelfReported, closed) {
-        router.board.note(EventKind::server_seen(&state.spec.name, id, closed));
+        router.board.record_event(EventKind::server_leaving_changed(&state.spec.name, id, closed));
         router.notify_co_homes(state, id, closed);
     }
 }
 
+/// Probes a server of the service if one needs it and a token is ready.
 async fn probe_if_due(
     router: Router,
     state: Arc<ServiceState>,
@@ -95,17 +101,18 @@
     let Some((id, upstream)) = choose_server_to_probe(&state) else {
         return;
     };
-    // Tokens of the own shard end with its lease; those of others with their grants.
+    // The tokens of this instance's shard end with its lease, those of others with their grants.
     if shard.current(now_ms()).is_none() {
         buckets.drop_own(service, router.board.incarnation);
     }
-    let Some(spent) = buckets.try_take(service, now_ms()) else {
+    let Some(token) = buckets.try_take(service, now_ms()) else {
         return;
     };
     probe(&router, &state, &id, &upstream).await;
-    spent.mark_sent(now_ms());
+    token.mark_sent(now_ms());
 }
 
+/// Adds the tokens of this instance's own shard, unless they are granted to another.
 fn put_own_tokens(board: &Blackboard, state: &ServiceState, buckets: &TokenBuckets, shard: &Shard) {
     let now = now_ms();
     let service = &state.spec.name;
@@ -119,21 +126,21 @@
     }
 }
 
-/// Asks another instance for its tokens of the services that this one is a home of.
+/// Requests the tokens of another instance for the services that this one is a home of.
 async fn request_grant(
     router: &Router,
     services: &[String],
     grantor: &MemberRow,
     buckets: &TokenBuckets,
 ) {
-    let asked_ms = now_ms();
+    let requested_ms = now_ms();
     let from = router.board.incarnation;
     let request = PeerRequest::Grant(GrantRequest { from, services: services.to_vec() });
     let reply = router.links.call(grantor.peer, &request, GRANT_TIMEOUT).await;
     let Ok(PeerReply::Granted(counts)) = reply else {
         return;
     };
-    let until_ms = asked_ms + router.board.settings.measuring.grant_ms;
+    let until_ms = requested_ms + router.board.settings.measuring.grant_ms;
     for (service, count) in services.iter().zip(counts) {
         if count > 0 {
             buckets.put_tokens(service, grantor.incarnation, count, until_ms, now_ms());
@@ -141,6 +148,7 @@
     }
 }
 
+/// Requests the tokens of all other instances, one after the other.
 async fn request_grants(router: &Router, buckets: &TokenBuckets) {
     let board = &router.board;
     let services = board.services();
@@ -155,13 +163,13 @@
     let others = view
         .rows
         .iter()
-        .filter(|row| row.incarnation != board.incarnation && row.state.takes_work());
+        .filter(|row| row.incarnation != board.incarnation && row.state.accepts_work());
     for grantor in others {
         request_grant(router, &names, grantor, buckets).await;
     }
 }
 
-/// Collects grants for the services this instance is a home of.
+/// Requests grants from all other instances, again after each grant period.
 async fn run_grant_requests(router: Router, buckets: TokenBuckets) {
     let grant_ms = router.board.settings.measuring.grant_ms;
     loop {
@@ -170,7 +178,7 @@
     }
 }
 
-/// Spends the tokens of this instance on the servers that it keeps.
+/// Probes the servers that this instance keeps, as often as its tokens allow.
 pub async fn run_prober(router: Router, buckets: TokenBuckets, shard: Shard) {
     tokio::spawn(run_grant_requests(router.clone(), buckets.clone()));
     loop {
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -1,7 +1,8 @@
-//! The platform's list of backend servers: it lags, but any word that one leaves suffices.
+//! Polls the platform's list of backend servers and closes those that it lists as leaving. The
+//! list lags, but a single source that reports a server as leaving is enough to close it.
 //!
-//! Only the instances that watch the store ask for the list, so that the platform's reads do not
-//! grow with the fleet; they tell the others of their zone.
+//! Only the instances that watch the store poll the list, so that the reads of the platform do
+//! not grow with the fleet; they send it to the other instances of their zone.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,29 +11,29 @@
 
 use crate::board::Blackboard;
 use crate::board::EventKind;
-use crate::catalog::watches;
+use crate::catalog::is_watcher;
 use crate::peer::Links;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerRequest;
 use crate::route::CloseReason;
 use crate::store::Roster;
 
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// Unchanged lists are told again after this many turns, for those that missed them.
+/// An unchanged list is sent again after this many polls, for the instances that missed it.
 const RESEND_POLLS: u32 = 5;
 
-/// Asks for the list and tells it on; a list that cannot be had changes nothing.
+/// Polls the list, applies it and sends it on. A failed poll changes nothing.
 pub async fn run_roster<R: Roster>(board: Arc<Blackboard>, roster: R, links: Links) {
     let mut sent: Option<BTreeSet<SocketAddr>> = None;
     let mut polls = 0;
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
-        if !watches(&board) {
+        if !is_watcher(&board) {
             continue;
         }
         let listed = roster.backend_servers().await;
-        board.note_store(listed.as_ref().err().map(ToString::to_string));
+        board.record_store_result(listed.as_ref().err().map(ToString::to_string));
         let Ok(listed) = listed else {
             continue;
         };
@@ -48,8 +49,9 @@
     }
 }
 
+/// Sends the addresses of the leaving servers to the other instances of this zone.
 fn send_to_zone(board: &Blackboard, links: &Links, leaving: &BTreeSet<SocketAddr>) {
-    let request = PeerRequest::Listed(leaving.iter().copied().collect());
+    let request = PeerRequest::ServersLeaving(leaving.iter().copied().collect());
     let view = board.members_view();
     let zone = &board.settings.instance.zone;
     let others = view.rows.iter().filter(|row| {
@@ -61,23 +63,24 @@
     }
 }
 
-/// Marks the servers listed as leaving, and unmarks those that are not any more.
+/// Closes the servers listed as leaving, and reopens those that no longer are.
 pub fn apply_platform_list(board: &Blackboard, leaving: &BTreeSet<SocketAddr>) {
     for (name, state) in board.services().iter() {
         for server in &state.spec.backend_servers {
-            let leaves = leaving.contains(&server.address);
+            let is_leaving = leaving.contains(&server.address);
             if !state.runtime.slot_queue.set_closed(
                 &server.id,
                 CloseReason::PlatformReported,
-                leaves,
+                is_leaving,
             ) {
                 continue;
             }
             let (service, id) = (name.clone(), server.id.clone());
-            board.note(if leaves {
+            board.record_event(if is_leaving {
                 EventKind::ServerLeaving { service, server: id }
             } else {
-                // The list saw it leave and come back, which outweighs its own older word.
+                // The platform saw the server leave and return, which overrides the server's own
+                // older announcement.
                 let _ = state.runtime.slot_queue.set_closed(
                     &server.id,
                     CloseReason::SelfReported,
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The members as one instance believes them to be; no I/O.
+//! The member table of one instance; no I/O.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,369 +11,397 @@
 use super::MemberRow;
 use super::MemberState;
 use super::MembersDigest;
-use super::digest::part_of;
-use super::news::News;
+use super::digest::bucket_of;
+use super::gossip_queue::GossipQueue;
 use super::ring::Ring;
 use super::row::fingerprint;
 
-/// How long a member that is gone stays in the table, so that late news cannot revive it.
-const GONE_KEPT_MS: u64 = 600_000;
-/// A rumour is told this many times per doubling of the members. Who misses it differs from those
-/// it talks to, and asks them.
-const TELLS_PER_DOUBLING: u32 = 1;
-/// Most members known at once; more are refused, so that a faulty peer cannot fill the memory.
+/// How long a dead or left member stays in the table, so that a late message cannot bring it back.
+const TOMBSTONE_TTL_MS: u64 = 600_000;
+/// Each changed row is gossiped this many times per doubling of the member count. An instance that
+/// misses it is found to differ by a peer's digest and gets it by anti-entropy.
+const GOSSIP_SENDS_PER_DOUBLING: u32 = 1;
+/// Maximum size of the table; further members are rejected, so that a faulty peer cannot exhaust
+/// memory.
 const MEMBERS_MAX: usize = 5_000;
 
+/// A member's row and when it changed.
 #[derive(Clone, Debug)]
-struct Known {
+struct MemberEntry {
     row: MemberRow,
-    /// When the member started by our clock, or later: the earliest that any row implied.
-    born_ms: u64,
-    /// When the state became what it is.
-    since_ms: u64,
+    /// Upper bound of the member's start time by the local clock: the earliest that any row
+    /// implied.
+    started_ms: u64,
+    /// When the member entered its current state.
+    state_since_ms: u64,
 }
 
-impl Known {
-    /// The row with its age of now.
-    fn aged(&self, now_ms: u64) -> MemberRow {
-        MemberRow { uptime_ms: now_ms.saturating_sub(self.born_ms), ..self.row.clone() }
+impl MemberEntry {
+    /// The row with its current uptime.
+    fn row_at(&self, now_ms: u64) -> MemberRow {
+        MemberRow { uptime_ms: now_ms.saturating_sub(self.started_ms), ..self.row.clone() }
     }
 }
 
-/// How a row came to this instance.
+/// How a row reached this instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
-    /// A few rows that are new to most others, who are told.
-    News,
-    /// One of many rows, which others compare and ask for themselves.
-    Comparison,
+    /// By gossip: the row is new to most others and is gossiped on.
+    Gossip,
+    /// By anti-entropy: others get the row the same way, so it is not gossiped on.
+    Sync,
 }
 
-/// What became of one member since the changes were last taken.
+/// A change of one member since changes were last taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Its row, with its age of now.
-    Believed(MemberRow),
-    /// It is long gone, and forgotten.
-    Forgotten(u64),
+    /// The member's row, with its current uptime.
+    Updated(MemberRow),
+    /// The member, by incarnation, was removed from the table [`TOMBSTONE_TTL_MS`] after it was
+    /// gone.
+    Removed(u64),
 }
 
-/// The membership of one instance, its own row included.
+/// All members that one instance knows, itself included.
 ///
-/// What is done for one member takes the same few steps however many there are; only comparing
-/// tables walks over them.
+/// Operations on one member are logarithmic in the table size, apart from memory moves in the ring;
+/// only anti-entropy scans the table.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
-    own: u64,
-    known: BTreeMap<u64, Known>,
-    /// The processes that ran at each peer address and may answer: one, but for a moment.
-    at_peer: HashMap<SocketAddr, SmallVec<[u64; 1]>>,
+    /// Incarnation of this instance.
+    own_incarnation: u64,
+    /// All members, by incarnation.
+    entries: BTreeMap<u64, MemberEntry>,
+    /// Members that may answer at each peer address: one, except for a moment after a restart.
+    by_peer_address: HashMap<SocketAddr, SmallVec<[u64; 1]>>,
+    /// Members that may answer, from which ping targets are chosen.
     ring: Ring,
+    /// Digest of all rows, kept up to date with each change.
     digest: MembersDigest,
-    /// Members whose rows are still to be told.
-    news: News,
-    /// Suspects, with the time since when.
+    /// Members whose rows are still to be gossiped.
+    gossip_queue: GossipQueue,
+    /// Suspects, as (time of the suspicion, incarnation).
     suspects: BTreeSet<(u64, u64)>,
-    /// Members that are gone, with the time since when.
-    gone: BTreeSet<(u64, u64)>,
-    /// Members that changed since the changes were last taken.
+    /// Dead and left members, as (time of that change, incarnation).
+    tombstones: BTreeSet<(u64, u64)>,
+    /// Members that changed since changes were last taken.
     changed: BTreeSet<u64>,
-    /// Pings so far.
-    turn: usize,
+    /// Pings sent so far.
+    ping_count: usize,
 }
 
-/// The members for which something lasts for `least_ms` or longer, the first since when.
-fn lasted(since: &BTreeSet<(u64, u64)>, least_ms: u64, now_ms: u64) -> Vec<u64> {
+/// The incarnations whose time is at least `least_ms` ago, the oldest first.
+fn at_least_since(since: &BTreeSet<(u64, u64)>, least_ms: u64, now_ms: u64) -> Vec<u64> {
     let old = |entry: &&(u64, u64)| now_ms.saturating_sub(entry.0) >= least_ms;
     since.iter().take_while(old).map(|(_, incarnation)| *incarnation).collect()
 }
 
 impl MemberTable {
-    /// A table that knows only the own row.
+    /// A table that holds only the own row.
     #[must_use]
     pub fn new(own: MemberRow, now_ms: u64) -> Self {
         let mut table = Self {
-            own: own.incarnation,
-            known: BTreeMap::new(),
-            at_peer: HashMap::new(),
+            own_incarnation: own.incarnation,
+            entries: BTreeMap::new(),
+            by_peer_address: HashMap::new(),
             ring: Ring::default(),
             digest: MembersDigest::default(),
-            news: News::default(),
+            gossip_queue: GossipQueue::default(),
             suspects: BTreeSet::new(),
-            gone: BTreeSet::new(),
+            tombstones: BTreeSet::new(),
             changed: BTreeSet::new(),
-            turn: 0,
+            ping_count: 0,
         };
-        table.put(Known { row: own, born_ms: now_ms, since_ms: now_ms }, 0);
+        table.insert(MemberEntry { row: own, started_ms: now_ms, state_since_ms: now_ms }, 0);
         table
     }
 
-    /// Puts a row in force in the place of the one known of its member, if any, to be told so often.
-    fn put(&mut self, known: Known, tells: u32) {
-        let incarnation = known.row.incarnation;
-        self.take_out(incarnation);
-        if known.row.state.may_answer() {
-            self.at_peer.entry(known.row.peer).or_default().push(incarnation);
-            self.ring.set(incarnation, true);
+    /// Stores an entry in place of the member's previous one and queues it to be gossiped `sends`
+    /// times.
+    fn insert(&mut self, entry: MemberEntry, sends: u32) {
+        let incarnation = entry.row.incarnation;
+        self.remove(incarnation);
+        if entry.row.state.may_answer() {
+            self.by_peer_address.entry(entry.row.peer).or_default().push(incarnation);
+            self.ring.set_present(incarnation, true);
         }
-        self.news.set(incarnation, tells);
-        if known.row.state == MemberState::Suspect {
-            self.suspects.insert((known.since_ms, incarnation));
+        self.gossip_queue.set(incarnation, sends);
+        if entry.row.state == MemberState::Suspect {
+            self.suspects.insert((entry.state_since_ms, incarnation));
         }
-        if !known.row.state.may_answer() {
-            self.gone.insert((known.since_ms, incarnation));
+        if !entry.row.state.may_answer() {
+            self.tombstones.insert((entry.state_since_ms, incarnation));
         }
-        self.digest.add(&known.row);
+        self.digest.add(&entry.row);
         self.changed.insert(incarnation);
-        self.known.insert(incarnation, known);
+        self.entries.insert(incarnation, entry);
     }
 
-    /// Takes a member out of everything that is derived from its row.
-    fn take_out(&mut self, incarnation: u64) -> Option<Known> {
-        let known = self.known.remove(&incarnation)?;
-        self.digest.remove(&known.row);
-        self.ring.set(incarnation, false);
-        self.news.set(incarnation, 0);
-        self.suspects.remove(&(known.since_ms, incarnation));
-        self.gone.remove(&(known.since_ms, incarnation));
-        if let Some(at_peer) = self.at_peer.get_mut(&known.row.peer) {
-            at_peer.retain(|other| *other != incarnation);
-            if at_peer.is_empty() {
-                self.at_peer.remove(&known.row.peer);
+    /// Removes a member from the table and from all indexes.
+    fn remove(&mut self, incarnation: u64) -> Option<MemberEntry> {
+        let entry = self.entries.remove(&incarnation)?;
+        self.digest.remove(&entry.row);
+        self.ring.set_present(incarnation, false);
+        self.gossip_queue.set(incarnation, 0);
+        self.suspects.remove(&(entry.state_since_ms, incarnation));
+        self.tombstones.remove(&(entry.state_since_ms, incarnation));
+        if let Some(at_address) = self.by_peer_address.get_mut(&entry.row.peer) {
+            at_address.retain(|other| *other != incarnation);
+            if at_address.is_empty() {
+                self.by_peer_address.remove(&entry.row.peer);
             }
         }
-        Some(known)
+        Some(entry)
     }
 
-    /// The own row with its age of now.
+    /// The own row with its current uptime.
     #[must_use]
     pub fn own_row(&self, now_ms: u64) -> MemberRow {
-        self.known[&self.own].aged(now_ms)
+        self.entries[&self.own_incarnation].row_at(now_ms)
     }
 
-    /// All rows, oldest news included, with their ages of now.
+    /// All rows, dead and left members included, with their current uptimes.
     #[must_use]
     pub fn rows(&self, now_ms: u64) -> Vec<MemberRow> {
-        self.known.values().map(|known| known.aged(now_ms)).collect()
+        self.entries.values().map(|entry| entry.row_at(now_ms)).collect()
     }
 
-    /// The rows of the members of some parts of the digest, with their ages of now.
+    /// The rows in some buckets of the digest, with their current uptimes.
     #[must_use]
-    pub fn rows_of_parts(&self, parts: &[usize], now_ms: u64) -> Vec<MemberRow> {
-        let among = self.known.iter().filter(|(member, _)| parts.contains(&part_of(**member)));
-        among.map(|(_, known)| known.aged(now_ms)).collect()
+    pub fn rows_in_buckets(&self, buckets: &[usize], now_ms: u64) -> Vec<MemberRow> {
+        let selected =
+            self.entries.iter().filter(|(member, _)| buckets.contains(&bucket_of(**member)));
+        selected.map(|(_, entry)| entry.row_at(now_ms)).collect()
     }
 
-    /// The fingerprints of the members of some parts of the digest.
+    /// The fingerprints of the rows in some buckets of the digest.
     #[must_use]
-    pub fn fingerprints(&self, parts: &[usize]) -> Vec<u32> {
-        let among = self.known.iter().filter(|(member, _)| parts.contains(&part_of(**member)));
-        among.filter_map(|(_, known)| fingerprint(&known.row)).collect()
+    pub fn fingerprints_in_buckets(&self, buckets: &[usize]) -> Vec<u32> {
+        let selected =
+            self.entries.iter().filter(|(member, _)| buckets.contains(&bucket_of(**member)));
+        selected.filter_map(|(_, entry)| fingerprint(&entry.row)).collect()
     }
 
-    /// The rows with these fingerprints, with their ages of now.
+    /// The rows with these fingerprints, with their current uptimes.
     #[must_use]
-    pub fn rows_of(&self, fingerprints: &[u32], now_ms: u64) -> Vec<MemberRow> {
+    pub fn rows_with_fingerprints(&self, fingerprints: &[u32], now_ms: u64) -> Vec<MemberRow> {
         let wanted: HashSet<u32> = fingerprints.iter().copied().collect();
-        let among = self.known.values();
-        let among = among
-            .filter(|known| fingerprint(&known.row).is_some_and(|print| wanted.contains(&print)));
-        among.map(|known| known.aged(now_ms)).collect()
+        let selected = self.entries.values();
+        let selected = selected
+            .filter(|entry| fingerprint(&entry.row).is_some_and(|hash| wanted.contains(&hash)));
+        selected.map(|entry| entry.row_at(now_ms)).collect()
     }
 
-    /// The row of one member with its age of now.
+    /// The row of one member with its current uptime.
     #[must_use]
     pub fn row(&self, incarnation: u64, now_ms: u64) -> Option<MemberRow> {
-        self.known.get(&incarnation).map(|known| known.aged(now_ms))
+        self.entries.get(&incarnation).map(|entry| entry.row_at(now_ms))
     }
 
-    /// What tells whether another table believes the same.
+    /// The digest by which tables are compared.
     #[must_use]
     pub const fn digest(&self) -> &MembersDigest {
         &self.digest
     }
 
-    /// When the member started by our clock, or later.
+    /// Upper bound of the member's start time by the local clock, in milliseconds.
     #[must_use]
-    pub fn born_ms(&self, incarnation: u64) -> Option<u64> {
-        self.known.get(&incarnation).map(|known| known.born_ms)
+    pub fn started_ms(&self, incarnation: u64) -> Option<u64> {
+        self.entries.get(&incarnation).map(|entry| entry.started_ms)
     }
 
-    /// Whether any member may answer at this peer address.
+    /// Whether a member that may answer is known at this peer address.
     #[must_use]
-    pub fn answers_at(&self, peer: SocketAddr) -> bool {
-        self.at_peer.contains_key(&peer)
+    pub fn may_answer_at(&self, peer: SocketAddr) -> bool {
+        self.by_peer_address.contains_key(&peer)
     }
 
-    /// What changed since this was last called.
+    /// Takes the changes since the last call.
     pub fn take_changes(&mut self, now_ms: u64) -> Vec<MemberChange> {
         let changed = std::mem::take(&mut self.changed);
-        let change = |incarnation| match self.known.get(&incarnation) {
-            Some(known) => MemberChange::Believed(known.aged(now_ms)),
-            None => MemberChange::Forgotten(incarnation),
+        let change = |incarnation| match self.entries.get(&incarnation) {
+            Some(entry) => MemberChange::Updated(entry.row_at(now_ms)),
+            None => MemberChange::Removed(incarnation),
         };
         changed.into_iter().map(change).collect()
     }
 
-    fn tells(&self) -> u32 {
-        let members = u32::try_from(self.known.len()).unwrap_or(u32::MAX);
-        TELLS_PER_DOUBLING * (members.ilog2() + 1)
+    /// How many times a changed row is gossiped.
+    fn gossip_sends(&self) -> u32 {
+        let members = u32::try_from(self.entries.len()).unwrap_or(u32::MAX);
+        GOSSIP_SENDS_PER_DOUBLING * (members.ilog2() + 1)
     }
 
-    /// Takes news in, to be told on; tells whether it changed what is believed.
+    /// Merges a gossiped row and queues it to be gossiped on; returns whether the table changed.
     pub fn merge(&mut self, row: &MemberRow, now_ms: u64) -> bool {
-        self.take_in(row, Source::News, now_ms)
+        self.merge_row(row, Source::Gossip, now_ms)
     }
 
-    /// Takes in one of many rows that another instance was asked for; tells whether it changed what
-    /// is believed.
-    pub fn merge_compared(&mut self, row: &MemberRow, now_ms: u64) -> bool {
-        self.take_in(row, Source::Comparison, now_ms)
+    /// Merges a row received by anti-entropy; returns whether the table changed.
+    pub fn merge_synced(&mut self, row: &MemberRow, now_ms: u64) -> bool {
+        self.merge_row(row, Source::Sync, now_ms)
     }
 
-    fn take_in(&mut self, row: &MemberRow, source: Source, now_ms: u64) -> bool {
-        if row.incarnation == self.own {
+    fn merge_row(&mut self, row: &MemberRow, source: Source, now_ms: u64) -> bool {
+        if row.incarnation == self.own_incarnation {
             return self.refute(row, now_ms);
         }
-        let tells = if source == Source::News { self.tells() } else { 0 };
-        let told_born_ms = now_ms.saturating_sub(row.uptime_ms);
-        let full = self.known.len() >= MEMBERS_MAX;
-        let mut born_ms = told_born_ms;
-        match self.known.get_mut(&row.incarnation) {
-            Some(known) => {
-                known.born_ms = known.born_ms.min(told_born_ms);
-                born_ms = known.born_ms;
-                if !row.overrides(&known.row) {
+        let sends = if source == Source::Gossip { self.gossip_sends() } else { 0 };
+        let implied_started_ms = now_ms.saturating_sub(row.uptime_ms);
+        let full = self.entries.len() >= MEMBERS_MAX;
+        let mut started_ms = implied_started_ms;
+        match self.entries.get_mut(&row.incarnation) {
+            Some(entry) => {
+                entry.started_ms = entry.started_ms.min(implied_started_ms);
+                started_ms = entry.started_ms;
+                if !row.overrides(&entry.row) {
                     return false;
                 }
             }
             None if full => return false,
             None => self.supersede_predecessor(row, now_ms),
         }
-        self.put(Known { row: row.clone(), born_ms, since_ms: now_ms }, tells);
+        self.insert(MemberEntry { row: row.clone(), started_ms, state_since_ms: now_ms }, sends);
         true
     }
 
-    /// A process that was paused, or cut off, hears that it is believed gone: it is not, and a
-    /// row of a higher generation says so to everyone.
+    /// Refutes a row that reports this instance in another state, e.g. after a pause or a
+    /// partition: raises the own generation, which overrides the report on every instance.
     fn refute(&mut self, row: &MemberRow, now_ms: u64) -> bool {
-        let own = &self.known[&self.own];
+        let own = &self.entries[&self.own_incarnation];
         if row.generation < own.row.generation || row.state == own.row.state {
             return false;
         }
         let generation = row.generation + 1;
         let row = MemberRow { generation, ..own.row.clone() };
-        self.put(Known { row, born_ms: own.born_ms, since_ms: now_ms }, self.tells());
+        self.insert(
+            MemberEntry { row, started_ms: own.started_ms, state_since_ms: now_ms },
+            self.gossip_sends(),
+        );
         true
     }
 
-    /// A new process on a peer address means that the one before it is gone.
+    /// Marks the previous process at a peer address dead when a newer one starts there.
     fn supersede_predecessor(&mut self, row: &MemberRow, now_ms: u64) {
         if !row.state.may_answer() {
             return;
         }
-        let born_ms = now_ms.saturating_sub(row.uptime_ms);
-        let at_peer = self.at_peer.get(&row.peer).cloned().unwrap_or_default();
-        let own = self.own;
-        for before in at_peer.into_iter().filter(|before| *before != own) {
-            let Some(known) = self.known.get(&before).filter(|known| known.born_ms < born_ms)
+        let started_ms = now_ms.saturating_sub(row.uptime_ms);
+        let at_address = self.by_peer_address.get(&row.peer).cloned().unwrap_or_default();
+        let own = self.own_incarnation;
+        for predecessor in at_address.into_iter().filter(|predecessor| *predecessor != own) {
+            let Some(entry) =
+                self.entries.get(&predecessor).filter(|entry| entry.started_ms < started_ms)
             else {
                 continue;
             };
-            let row = MemberRow { state: MemberState::Dead, ..known.row.clone() };
-            self.put(Known { row, born_ms: known.born_ms, since_ms: now_ms }, 0);
+            let row = MemberRow { state: MemberState::Dead, ..entry.row.clone() };
+            self.insert(
+                MemberEntry { row, started_ms: entry.started_ms, state_since_ms: now_ms },
+                0,
+            );
         }
     }
 
-    /// Changes the own state; told to everyone.
-    pub fn set_own(&mut self, state: MemberState, successor: Option<u64>, now_ms: u64) {
-        let own = &self.known[&self.own];
+    /// Changes the own state and gossips it.
+    pub fn set_own_state(&mut self, state: MemberState, successor: Option<u64>, now_ms: u64) {
+        let own = &self.entries[&self.own_incarnation];
         let generation = own.row.generation + 1;
         let row = MemberRow { generation, state, successor, ..own.row.clone() };
-        self.put(Known { row, born_ms: own.born_ms, since_ms: now_ms }, self.tells());
+        self.insert(
+            MemberEntry { row, started_ms: own.started_ms, state_since_ms: now_ms },
+            self.gossip_sends(),
+        );
     }
 
-    /// Marks a member that did not answer; tells whether that is news.
+    /// Marks a member that did not answer as a suspect; returns whether the table changed.
     pub fn suspect(&mut self, incarnation: u64, now_ms: u64) -> bool {
-        self.degrade(incarnation, MemberState::Suspect, now_ms)
+        self.downgrade(incarnation, MemberState::Suspect, now_ms)
     }
 
-    fn degrade(&mut self, incarnation: u64, state: MemberState, now_ms: u64) -> bool {
-        let Some(known) = self.known.get(&incarnation) else {
+    /// Moves a member to a worse state and gossips it; returns whether the table changed.
+    fn downgrade(&mut self, incarnation: u64, state: MemberState, now_ms: u64) -> bool {
+        let Some(entry) = self.entries.get(&incarnation) else {
             return false;
         };
-        // A leaving member that falls silent has stopped: as a suspect it would take work again.
-        let leaves = known.row.state == MemberState::Leaving;
-        let state = if leaves { MemberState::Dead } else { state };
-        if known.row.state >= state {
+        // A leaving member that stops answering has stopped; as a suspect it would be given work
+        // again.
+        let is_leaving = entry.row.state == MemberState::Leaving;
+        let state = if is_leaving { MemberState::Dead } else { state };
+        if entry.row.state >= state {
             return false;
         }
-        let row = MemberRow { state, ..known.row.clone() };
-        self.put(Known { row, born_ms: known.born_ms, since_ms: now_ms }, self.tells());
+        let row = MemberRow { state, ..entry.row.clone() };
+        self.insert(
+            MemberEntry { row, started_ms: entry.started_ms, state_since_ms: now_ms },
+            self.gossip_sends(),
+        );
         true
     }
 
-    /// Declares suspects dead whose time is over, and forgets who is long gone. Returns the peer
-    /// addresses of those declared dead.
-    pub fn expire(&mut self, suspect_timeout_ms: u64, now_ms: u64) -> Vec<SocketAddr> {
-        let dead = lasted(&self.suspects, suspect_timeout_ms, now_ms);
+    /// Declares suspects dead whose timeout has passed and removes expired tombstones. Returns the
+    /// peer addresses of those declared dead.
+    pub fn expire_suspects(&mut self, suspect_timeout_ms: u64, now_ms: u64) -> Vec<SocketAddr> {
+        let dead = at_least_since(&self.suspects, suspect_timeout_ms, now_ms);
         for incarnation in &dead {
-            self.degrade(*incarnation, MemberState::Dead, now_ms);
+            self.downgrade(*incarnation, MemberState::Dead, now_ms);
         }
-        for incarnation in lasted(&self.gone, GONE_KEPT_MS, now_ms) {
-            if incarnation != self.own {
-                self.take_out(incarnation);
+        for incarnation in at_least_since(&self.tombstones, TOMBSTONE_TTL_MS, now_ms) {
+            if incarnation != self.own_incarnation {
+                self.remove(incarnation);
                 self.changed.insert(incarnation);
             }
         }
-        dead.iter().filter_map(|member| Some(self.known.get(member)?.row.peer)).collect()
+        dead.iter().filter_map(|member| Some(self.entries.get(member)?.row.peer)).collect()
     }
 
     /// Whether any member is a suspect.
     #[must_use]
-    pub fn any_suspect(&self) -> bool {
+    pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Gives the suspects of now more time: for `missed_ms` this instance could not hear them.
-    pub fn postpone_suspects(&mut self, missed_ms: u64, now_ms: u64) {
-        if missed_ms == 0 {
+    /// Extends the timeout of current suspects by `stalled_ms`, for which this instance was
+    /// stalled.
+    pub fn extend_suspicion(&mut self, stalled_ms: u64, now_ms: u64) {
+        if stalled_ms == 0 {
             return;
         }
         for (since_ms, incarnation) in std::mem::take(&mut self.suspects) {
-            let since_ms = (since_ms + missed_ms).min(now_ms);
-            if let Some(known) = self.known.get_mut(&incarnation) {
-                known.since_ms = since_ms;
+            let since_ms = (since_ms + stalled_ms).min(now_ms);
+            if let Some(entry) = self.entries.get_mut(&incarnation) {
+                entry.state_since_ms = since_ms;
                 self.suspects.insert((since_ms, incarnation));
             }
         }
     }
 
-    /// Up to `most` rows that are still news, the least told first.
-    pub fn rumours(&mut self, most: usize, now_ms: u64) -> Vec<MemberRow> {
-        let told = self.news.take(most);
-        told.iter().filter_map(|member| self.row(*member, now_ms)).collect()
+    /// Takes up to `most` queued rows to gossip, those sent least often first.
+    pub fn take_gossip(&mut self, most: usize, now_ms: u64) -> Vec<MemberRow> {
+        let next = self.gossip_queue.take(most);
+        next.iter().filter_map(|member| self.row(*member, now_ms)).collect()
     }
 
-    /// The members that this one pings, and is connected to.
+    /// The members that this instance pings and stays connected to.
     #[must_use]
-    pub fn pinged(&self) -> SmallVec<[&MemberRow; 16]> {
-        let fingers = self.ring.fingers(self.own);
-        fingers.iter().filter_map(|member| Some(&self.known.get(member)?.row)).collect()
+    pub fn ping_targets(&self) -> SmallVec<[&MemberRow; 16]> {
+        let fingers = self.ring.fingers(self.own_incarnation);
+        fingers.iter().filter_map(|member| Some(&self.entries.get(member)?.row)).collect()
     }
 
-    /// The member to ping next.
-    pub fn next_target(&mut self) -> Option<MemberRow> {
-        self.turn = self.turn.wrapping_add(1);
-        let pinged = self.pinged();
-        let at = self.turn.checked_rem(pinged.len())?;
+    /// The next member to ping, in round-robin order.
+    pub fn next_ping_target(&mut self) -> Option<MemberRow> {
+        self.ping_count = self.ping_count.wrapping_add(1);
+        let pinged = self.ping_targets();
+        let at = self.ping_count.checked_rem(pinged.len())?;
         Some(pinged[at].clone())
     }
 
-    /// Up to `most` other members that may ping `target` for us, of those that we are connected to.
+    /// Up to `most` members to ask for an indirect ping of `target`, among those this instance
+    /// pings.
     #[must_use]
-    pub fn helpers(&self, target: u64, most: usize) -> Vec<MemberRow> {
+    pub fn indirect_pingers(&self, target: u64, most: usize) -> Vec<MemberRow> {
         let helps = |row: &&MemberRow| row.incarnation != target && row.state == MemberState::Alive;
-        self.pinged().into_iter().filter(helps).take(most).cloned().collect()
+        self.ping_targets().into_iter().filter(helps).take(most).cloned().collect()
     }
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, opened when first needed.
+//! A connection to one peer, opened on first use.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -16,10 +16,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
 
-use super::PassHead;
-use super::PassReply;
+use super::ForwardHead;
+use super::ForwardReply;
+use super::ForwardReplyHead;
 use super::PeerReply;
-use super::ReplyHead;
 use super::auth;
 use super::decode;
 use super::encode;
@@ -27,37 +27,40 @@
 use crate::clock::now_us;
 use crate::errors::Code;
 
-/// Length prefix of a message that is followed by a body.
-const PREFIX_BYTES: usize = 4;
+/// Size of the length prefix of a message that is followed by a body.
+const LENGTH_PREFIX_BYTES: usize = 4;
+/// HTTP/2 flow-control window of one stream; that of a connection is four times as large.
 const WINDOW_BYTES: u32 = 1 << 20;
 
-/// Why a peer's answer is missing.
+/// Why a call to a peer brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerError {
-    /// No byte of the message left this instance.
+    /// Nothing of the message was sent.
     NotSent,
-    /// The message was handed over, its answer did not come.
-    Lost,
-    /// The peer answered that it does not serve this message.
+    /// The message was sent, but no response came; it may have taken effect.
+    ResponseLost,
+    /// The peer answered that it does not serve this message, with a result code.
     Refused(u16),
 }
 
-/// Calls without an answer in a row after which the connection is given up: connections go silent
-/// without being closed, and a new one to the same peer works.
-const UNANSWERED_MAX: u32 = 2;
+/// The connection is dropped after this many timed-out calls in a row: a connection can go silent
+/// without being closed, while a new one to the same peer works.
+const TIMEOUTS_MAX: u32 = 2;
 
-/// A link to one peer address.
+/// A connection to one peer address, shared by all calls to it.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
+    /// The HTTP/2 connection, if one is open.
     sender: Mutex<Option<SendRequest<Bytes>>>,
-    /// Calls without an answer in a row.
-    unanswered: AtomicU32,
-    /// When the last call began.
-    used_us: AtomicU64,
+    /// Timed-out calls in a row.
+    consecutive_timeouts: AtomicU32,
+    /// Start of the last call.
+    last_used_us: AtomicU64,
 }
 
-async fn open(address: SocketAddr, secret: &str) -> Option<SendRequest<Bytes>> {
+/// Connects and authenticates; `None` on failure.
+async fn connect(address: SocketAddr, secret: &str) -> Option<SendRequest<Bytes>> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     let _ = stream.set_nodelay(true);
     auth::connect(&mut stream, secret).await.ok()?;
@@ -65,7 +68,7 @@
     builder.initial_window_size(WINDOW_BYTES).initial_connection_window_size(4 * WINDOW_BYTES);
     let (sender, connection) = builder.handshake(stream).await.ok()?;
     tokio::spawn(async move {
-        // An error here shows as a lost answer on each stream.
+        // A connection error shows as a lost response on each stream.
         let _ = connection.await;
     });
     Some(sender)
@@ -76,114 +79,118 @@
         Self {
             address,
             sender: Mutex::const_new(None),
-            unanswered: AtomicU32::new(0),
-            used_us: AtomicU64::new(now_us()),
+            consecutive_timeouts: AtomicU32::new(0),
+            last_used_us: AtomicU64::new(now_us()),
         }
     }
 
-    /// Time since the last call began.
-    pub(super) fn idle(&self) -> Duration {
-        Duration::from_micros(now_us().saturating_sub(self.used_us.load(Ordering::Relaxed)))
+    /// Time since the start of the last call.
+    pub(super) fn idle_time(&self) -> Duration {
+        Duration::from_micros(now_us().saturating_sub(self.last_used_us.load(Ordering::Relaxed)))
     }
 
-    /// Takes note of a call that was not answered in time.
-    fn note_unanswered(&self) {
-        if self.unanswered.fetch_add(1, Ordering::AcqRel) + 1 < UNANSWERED_MAX {
+    /// Records a timed-out call; drops the connection after [`TIMEOUTS_MAX`] in a row.
+    fn record_timeout(&self) {
+        if self.consecutive_timeouts.fetch_add(1, Ordering::AcqRel) + 1 < TIMEOUTS_MAX {
             return;
         }
-        self.unanswered.store(0, Ordering::Release);
-        // Whoever holds it opens a new connection already.
+        self.consecutive_timeouts.store(0, Ordering::Release);
+        // If the lock is taken, another call is already opening a new connection.
         if let Ok(mut sender) = self.sender.try_lock() {
             sender.take();
         }
     }
 
+    /// The open connection once it accepts a new stream, or a new connection.
     async fn sender(&self, secret: &str) -> Result<SendRequest<Bytes>, PeerError> {
-        let mut held = self.sender.lock().await;
-        if let Some(sender) = held.take()
+        let mut guard = self.sender.lock().await;
+        if let Some(sender) = guard.take()
             && let Ok(ready) = sender.ready().await
         {
-            *held = Some(ready.clone());
+            *guard = Some(ready.clone());
             return Ok(ready);
         }
-        let sender = open(self.address, secret).await.ok_or(PeerError::NotSent)?;
+        let sender = connect(self.address, secret).await.ok_or(PeerError::NotSent)?;
         let ready = sender.ready().await.map_err(|_| PeerError::NotSent)?;
-        *held = Some(ready.clone());
+        *guard = Some(ready.clone());
         Ok(ready)
     }
 
-    /// Sends bytes on a new stream and returns the answer's body once its head is there.
-    async fn exchange(
+    /// Sends `body` on a new stream and returns the response body once the response headers have
+    /// arrived.
+    async fn send_request(
         &self,
         secret: &str,
         path: &str,
         body: Bytes,
-        open_within: Duration,
+        connect_timeout: Duration,
     ) -> Result<RecvStream, PeerError> {
-        let opened = tokio::time::timeout(open_within, self.sender(secret)).await;
+        let opened = tokio::time::timeout(connect_timeout, self.sender(secret)).await;
         let mut sender = opened.map_err(|_| PeerError::NotSent)??;
         let request = Request::post(format!("http://peer{path}")).body(());
         let request = request.map_err(|_| PeerError::NotSent)?;
         let sent = sender.send_request(request, false);
         let (response, mut stream) = sent.map_err(|_| PeerError::NotSent)?;
-        stream.send_data(body, true).map_err(|_| PeerError::Lost)?;
-        let response = response.await.map_err(|_| PeerError::Lost)?;
+        stream.send_data(body, true).map_err(|_| PeerError::ResponseLost)?;
+        let response = response.await.map_err(|_| PeerError::ResponseLost)?;
         if response.status() != StatusCode::OK {
             return Err(PeerError::Refused(Code::PeerFrame.number()));
         }
         Ok(response.into_body())
     }
 
-    /// Sends an encoded control message and waits for its answer.
+    /// Sends an encoded control message and waits for the response.
     pub(super) async fn call(
         &self,
         secret: &str,
         request: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let exchange = async {
-            let mut answer = self.exchange(secret, "/control", request, within).await?;
-            let bytes = read_all(&mut answer).await.ok_or(PeerError::Lost)?;
-            decode::<PeerReply>(&bytes).map_err(|_| PeerError::Lost)
+            let mut answer = self.send_request(secret, "/control", request, timeout).await?;
+            let bytes = read_message(&mut answer).await.ok_or(PeerError::ResponseLost)?;
+            decode::<PeerReply>(&bytes).map_err(|_| PeerError::ResponseLost)
         };
-        self.used_us.store(now_us(), Ordering::Relaxed);
-        let Ok(done) = tokio::time::timeout(within, exchange).await else {
-            self.note_unanswered();
-            return Err(PeerError::Lost);
+        self.last_used_us.store(now_us(), Ordering::Relaxed);
+        let Ok(result) = tokio::time::timeout(timeout, exchange).await else {
+            self.record_timeout();
+            return Err(PeerError::ResponseLost);
         };
-        self.unanswered.store(0, Ordering::Release);
-        match done {
+        self.consecutive_timeouts.store(0, Ordering::Release);
+        match result {
             Ok(PeerReply::Failed(code)) => Err(PeerError::Refused(code)),
-            done => done,
+            result => result,
         }
     }
 
-    pub(super) async fn pass(
+    /// Forwards a request and waits for the head of the response.
+    pub(super) async fn forward(
         &self,
         secret: &str,
-        head: &PassHead,
+        head: &ForwardHead,
         body: &Bytes,
-        open_within: Duration,
-    ) -> Result<PassReply, PeerError> {
-        self.used_us.store(now_us(), Ordering::Relaxed);
+        connect_timeout: Duration,
+    ) -> Result<ForwardReply, PeerError> {
+        self.last_used_us.store(now_us(), Ordering::Relaxed);
         let encoded = encode(head);
-        let mut frame = BytesMut::with_capacity(PREFIX_BYTES + encoded.len() + body.len());
-        frame.extend_from_slice(&prefix(encoded.len()));
+        let mut frame = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + encoded.len() + body.len());
+        frame.extend_from_slice(&length_prefix(encoded.len()));
         frame.extend_from_slice(&encoded);
         frame.extend_from_slice(body);
-        let mut rest = self.exchange(secret, "/pass", frame.freeze(), open_within).await?;
-        let (head, first) = read_head::<ReplyHead>(&mut rest).await.ok_or(PeerError::Lost)?;
-        Ok(PassReply { head, first, rest })
+        let mut rest = self.send_request(secret, "/pass", frame.freeze(), connect_timeout).await?;
+        let (head, first) =
+            read_prefixed::<ForwardReplyHead>(&mut rest).await.ok_or(PeerError::ResponseLost)?;
+        Ok(ForwardReply { head, first, rest })
     }
 }
 
-/// The length prefix of a message of `len` bytes.
+/// Encodes the length prefix of a message of `len` bytes.
 #[expect(clippy::cast_possible_truncation, reason = "messages are at most 4 MiB")]
-pub(super) const fn prefix(len: usize) -> [u8; PREFIX_BYTES] {
+pub(super) const fn length_prefix(len: usize) -> [u8; LENGTH_PREFIX_BYTES] {
     (len as u32).to_be_bytes()
 }
 
-/// The next chunk of a stream, its flow-control capacity given back.
+/// Reads the next chunk of a stream and returns its flow-control capacity.
 pub(crate) async fn read_chunk(stream: &mut RecvStream) -> Option<Result<Bytes, h2::Error>> {
     let chunk = stream.data().await?;
     if let Ok(bytes) = &chunk {
@@ -192,8 +199,8 @@
     Some(chunk)
 }
 
-/// A whole control message; `None` when it is cut short or too large.
-pub(super) async fn read_all(stream: &mut RecvStream) -> Option<Bytes> {
+/// Reads a whole control message; `None` if it is truncated or too large.
+pub(super) async fn read_message(stream: &mut RecvStream) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
     while let Some(chunk) = read_chunk(stream).await {
         bytes.extend_from_slice(&chunk.ok()?);
@@ -204,19 +211,19 @@
     Some(bytes.freeze())
 }
 
-/// A length-prefixed message and the bytes that came behind it.
-pub(super) async fn read_head<T: serde::de::DeserializeOwned>(
+/// Reads a length-prefixed message; also returns the bytes received after it.
+pub(super) async fn read_prefixed<T: serde::de::DeserializeOwned>(
     stream: &mut RecvStream,
 ) -> Option<(T, Bytes)> {
     let mut bytes = BytesMut::new();
     loop {
-        if let Some(len) = bytes.first_chunk::<PREFIX_BYTES>() {
+        if let Some(len) = bytes.first_chunk::<LENGTH_PREFIX_BYTES>() {
             let len = u32::from_be_bytes(*len) as usize;
             if len > FRAME_MAX_BYTES {
                 return None;
             }
-            if bytes.len() >= PREFIX_BYTES + len {
-                bytes.advance(PREFIX_BYTES);
+            if bytes.len() >= LENGTH_PREFIX_BYTES + len {
+                bytes.advance(LENGTH_PREFIX_BYTES);
                 let head = bytes.split_to(len);
                 return Some((decode(&head).ok()?, bytes.freeze()));
             }
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -1,4 +1,4 @@
-//! All links of one instance.
+//! The connections of one instance to all peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,39 +10,41 @@
 use bytes::Bytes;
 use parking_lot::Mutex;
 
-use super::PassHead;
-use super::PassReply;
-use super::PeerCalls;
+use super::ForwardHead;
+use super::ForwardReply;
+use super::PeerClient;
 use super::PeerError;
 use super::PeerReply;
 use super::PeerRequest;
 use super::encode;
 use super::link::Link;
 
-/// A peer that cannot be connected within this counts as unreachable.
-const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
-/// Members are pinged in turn, those of 500 instances every 2.3 s: links that are used go on.
+/// A peer is unreachable if a connection to it cannot be opened within this time.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Links unused for this long are closed. The members that an instance pings are each used more
+/// often, every 2.3 s in a fleet of 500, so their links stay open.
 const IDLE_MAX: Duration = Duration::from_secs(5);
-const SECRET_ALONE: &str = "alone";
+/// Secret used when the settings have none, e.g. for an instance that runs alone.
+const DEFAULT_SECRET: &str = "alone";
 
-/// Opens links on demand and shares them; clones share.
+/// Opens links on demand; clones share them.
 #[derive(Clone, Debug)]
 pub struct Links {
     secret: Arc<str>,
     by_address: Arc<Mutex<HashMap<SocketAddr, Arc<Link>>>>,
-    /// Bytes of control messages sent, for the budget of control traffic.
+    /// Bytes of control messages sent, to check the budget for control traffic.
     control_bytes: Arc<AtomicU64>,
 }
 
 impl Links {
-    /// Links that prove themselves by `secret`.
+    /// Links that authenticate with `secret`.
     #[must_use]
     pub fn new(secret: &str) -> Self {
-        let secret = if secret.is_empty() { SECRET_ALONE } else { secret };
+        let secret = if secret.is_empty() { DEFAULT_SECRET } else { secret };
         Self { secret: secret.into(), by_address: Arc::default(), control_bytes: Arc::default() }
     }
 
-    /// The secret that peers must know.
+    /// The shared secret that authenticates peers.
     #[must_use]
     pub fn secret(&self) -> &str {
         &self.secret
@@ -59,38 +61,38 @@
         Arc::clone(links.entry(address).or_insert_with(|| Arc::new(Link::new(address))))
     }
 
-    /// Passes a request on; the deadline is the caller's to watch.
+    /// Forwards a request to another instance. The caller enforces the deadline.
     ///
     /// # Errors
-    /// Tells whether the request may have arrived.
-    pub async fn pass(
+    /// The error tells whether the request may have arrived.
+    pub async fn forward(
         &self,
         address: SocketAddr,
-        head: &PassHead,
+        head: &ForwardHead,
         body: &Bytes,
-    ) -> Result<PassReply, PeerError> {
-        self.link(address).pass(&self.secret, head, body, OPEN_TIMEOUT).await
+    ) -> Result<ForwardReply, PeerError> {
+        self.link(address).forward(&self.secret, head, body, CONNECT_TIMEOUT).await
     }
 }
 
-impl PeerCalls for Links {
+impl PeerClient for Links {
     async fn call(
         &self,
         address: SocketAddr,
         request: &PeerRequest,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
         let encoded = Bytes::from(encode(request));
         self.control_bytes.fetch_add(encoded.len() as u64, Ordering::Relaxed);
-        self.link(address).call(&self.secret, encoded, within).await
+        self.link(address).call(&self.secret, encoded, timeout).await
     }
 
-    /// Each link holds some 30 KB on both ends.
+    /// A link holds some 30 KB at each end.
     fn close_idle(&self) {
-        self.by_address.lock().retain(|_, link| link.idle() < IDLE_MAX);
+        self.by_address.lock().retain(|_, link| link.idle_time() < IDLE_MAX);
     }
 
-    fn forget(&self, address: SocketAddr) {
+    fn drop_link(&self, address: SocketAddr) {
         self.by_address.lock().remove(&address);
     }
 }
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -1,4 +1,4 @@
-//! The accepting end of links.
+//! Accepts connections from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,52 +17,54 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-use super::PassHead;
+use super::ForwardHead;
+use super::ForwardReplyHead;
 use super::PeerReply;
 use super::PeerRequest;
-use super::ReplyHead;
 use super::auth;
 use super::decode;
 use super::encode;
-use super::link::prefix;
-use super::link::read_all;
+use super::link::length_prefix;
 use super::link::read_chunk;
-use super::link::read_head;
+use super::link::read_message;
+use super::link::read_prefixed;
 use crate::route::AnswerBody;
 use crate::task::TaskGuard;
 
+/// Maximum number of connections from peers; further ones are closed.
 const CONNECTIONS_MAX: usize = 4_096;
-/// A connection that has not proved itself within this is closed.
+/// A connection that has not authenticated within this time is closed.
 const AUTH_TIMEOUT: Duration = Duration::from_secs(2);
+/// HTTP/2 flow-control window of one stream; that of a connection is four times as large.
 const WINDOW_BYTES: u32 = 1 << 20;
 
-/// What serves the messages of peers.
+/// Serves messages of peers.
 pub trait PeerService: Clone + Send + Sync + 'static {
     /// Answers a control message.
     fn control(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
 
-    /// Runs a passed request.
-    fn pass(
+    /// Runs a forwarded request.
+    fn forward(
         &self,
-        head: PassHead,
+        head: ForwardHead,
         body: Bytes,
-    ) -> impl Future<Output = (ReplyHead, AnswerBody)> + Send;
+    ) -> impl Future<Output = (ForwardReplyHead, AnswerBody)> + Send;
 
-    /// Most bytes that the body of a passed request may have.
+    /// Maximum body size of a forwarded request.
     fn body_limit_bytes(&self) -> usize;
 
-    /// Takes note of a connection that was refused.
-    fn refused(&self, from: SocketAddr, why: &str);
+    /// Called for each rejected connection.
+    fn connection_refused(&self, from: SocketAddr, why: &str);
 }
 
-/// A listener that runs until it is dropped; connections accepted go on.
+/// A listener that runs until dropped; connections already accepted stay open.
 #[derive(Debug)]
 pub struct PeerListener {
     _task: TaskGuard,
 }
 
 impl PeerListener {
-    /// Accepts links on `listener`, each end proving `secret`.
+    /// Accepts connections on `listener` that authenticate with `secret`.
     pub fn spawn<S: PeerService>(listener: TcpListener, secret: Arc<str>, service: S) -> Self {
         let task = TaskGuard::spawn(accept_all(listener, secret, service));
         Self { _task: task }
@@ -77,7 +79,7 @@
             continue;
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            service.refused(from, "too many connections");
+            service.connection_refused(from, "too many connections");
             continue;
         };
         let secret = Arc::clone(&secret);
@@ -96,11 +98,11 @@
     service: S,
 ) {
     let _ = stream.set_nodelay(true);
-    let proved = tokio::time::timeout(AUTH_TIMEOUT, auth::accept(&mut stream, secret)).await;
-    match proved {
+    let authenticated = tokio::time::timeout(AUTH_TIMEOUT, auth::accept(&mut stream, secret)).await;
+    match authenticated {
         Ok(Ok(())) => {}
-        Ok(Err(err)) => return service.refused(from, &err.to_string()),
-        Err(_) => return service.refused(from, "no proof in time"),
+        Ok(Err(err)) => return service.connection_refused(from, &err.to_string()),
+        Err(_) => return service.connection_refused(from, "no proof in time"),
     }
     let mut builder = h2::server::Builder::new();
     builder.initial_window_size(WINDOW_BYTES).initial_connection_window_size(4 * WINDOW_BYTES);
@@ -122,13 +124,13 @@
     let mut body = request.into_body();
     let served = match path.as_str() {
         "/control" => serve_control(&mut body, &mut respond, &service).await,
-        "/pass" => serve_pass(body, &mut respond, &service).await,
+        "/pass" => serve_forward(body, &mut respond, &service).await,
         _ => None,
     };
     if served.is_none() {
-        let refusal = Response::builder().status(StatusCode::BAD_REQUEST).body(());
-        if let Ok(refusal) = refusal {
-            let _ = respond.send_response(refusal, true);
+        let response = Response::builder().status(StatusCode::BAD_REQUEST).body(());
+        if let Ok(response) = response {
+            let _ = respond.send_response(response, true);
         }
     }
 }
@@ -142,19 +144,19 @@
     respond: &mut SendResponse<Bytes>,
     service: &S,
 ) -> Option<()> {
-    let bytes = read_all(body).await?;
+    let bytes = read_message(body).await?;
     let request: PeerRequest = decode(&bytes).ok()?;
     let reply = service.control(request).await;
     let mut stream = send_ok(respond)?;
     stream.send_data(Bytes::from(encode(&reply)), true).ok()
 }
 
-async fn serve_pass<S: PeerService>(
+async fn serve_forward<S: PeerService>(
     mut body: RecvStream,
     respond: &mut SendResponse<Bytes>,
     service: &S,
 ) -> Option<()> {
-    let (head, first): (PassHead, Bytes) = read_head(&mut body).await?;
+    let (head, first): (ForwardHead, Bytes) = read_prefixed(&mut body).await?;
     let mut whole = BytesMut::from(first);
     while let Some(chunk) = read_chunk(&mut body).await {
         whole.extend_from_slice(&chunk.ok()?);
@@ -162,9 +164,9 @@
             return None;
         }
     }
-    // When the passing instance resets the stream, its caller has left or another attempt
-    // answered first; dropping the work frees the slot.
-    let work = service.pass(head, whole.freeze());
+    // The forwarding instance resets the stream when its caller has disconnected or another attempt
+    // has answered first; dropping the work releases its slot.
+    let work = service.forward(head, whole.freeze());
     let (head, body) = tokio::select! {
         done = work => done,
         _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return Some(()),
@@ -172,14 +174,14 @@
     let mut stream = send_ok(respond)?;
     let encoded = encode(&head);
     let mut frame = BytesMut::with_capacity(4 + encoded.len());
-    frame.extend_from_slice(&prefix(encoded.len()));
+    frame.extend_from_slice(&length_prefix(encoded.len()));
     frame.extend_from_slice(&encoded);
     stream.send_data(frame.freeze(), false).ok()?;
     send_body(&mut stream, body).await;
     Some(())
 }
 
-/// Sends a body; one that is cut short ends with a reset, never as if it were whole.
+/// Sends a body; a truncated one ends with a stream reset, so that it cannot be taken for complete.
 async fn send_body(stream: &mut SendStream<Bytes>, mut body: AnswerBody) {
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
@@ -199,7 +201,7 @@
 async fn send_chunk(stream: &mut SendStream<Bytes>, mut bytes: Bytes) -> Option<()> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        // `poll_capacity` tells of new capacity only; what is there already must be asked first.
+        // `poll_capacity` only reports newly assigned capacity; check for existing capacity first.
         let mut granted = stream.capacity();
         if granted == 0 {
             granted = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await?.ok()?;
--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -14,8 +14,8 @@
 /// is gone never does.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a retry waits for the check of the previous server, so that a crash by this very request
-/// counts before it is sent again. An address that does not even refuse connections is not waited for.
+/// How long a retry waits for the check of the previous server, so that a crash by the request itself is
+/// counted before it is sent again. An address that does not even refuse connections is not waited for.
 pub const CRASH_CHECK_WAIT: Duration = Duration::from_millis(25);
 
 /// A send that got no complete response.
@@ -26,7 +26,7 @@
     pub service: String,
     /// Id of the server.
     pub server: String,
-    /// Hash of the server's id and start, by which instances identify it to each other.
+    /// Hash that identifies the server between instances: of its id, and in the gateway also of its start.
     pub server_hash: u32,
     pub address: SocketAddr,
 }
@@ -37,7 +37,7 @@
     /// A connection closes without a response if the server crashed, or if a running server lost the
     /// response or reset the connection. Only a crashed server refuses the next connection.
     #[must_use = "the check continues when this is dropped; a retry waits for it"]
-    pub fn check_server(self, admitted_send: Arc<AdmittedSend>) -> JoinHandle<()> {
+    pub fn check_for_crash(self, admitted_send: Arc<AdmittedSend>) -> JoinHandle<()> {
         tokio::spawn(async move {
             let crashed = accepts_no_connection(self.address).await;
             let [exact, by_caller, content] = admitted_send.fingerprints().to_hex();
--- a/src/quarantine/quarantine.rs
+++ b/src/quarantine/quarantine.rs
@@ -30,6 +30,7 @@
 /// some 30 bytes each, which bounds the size of gossip messages.
 const SUSPECTS_MAX: usize = 128;
 
+/// A suspect request, and its sends by this instance.
 #[derive(Debug)]
 struct Entry {
     suspect: SuspectRequest,
@@ -126,14 +127,15 @@
     fn record_crash(
         &mut self,
         admitted_send: &AdmittedSend,
-        server: u32,
+        server_hash: u32,
         now_us: u64,
     ) -> Vec<Fingerprint> {
         let mut quarantined = Vec::new();
         for (scope, known) in FingerprintScope::ALL.into_iter().zip(admitted_send.known_crashes) {
             let fingerprint = admitted_send.fingerprints.in_scope(scope);
             let variant = admitted_send.fingerprints.variant_in(scope);
-            let crash = Crash { level: known.level.saturating_add(1), server, variant };
+            let crash =
+                Crash { level: known.level.saturating_add(1), server: server_hash, variant };
             let last_response_us = self.last_response_us.get(&admitted_send.service_hash).copied();
             let entry = self.entry_or_insert(fingerprint, now_us, now_us);
             let others_served = last_response_us.is_some_and(|at| at > entry.known_since_us);
@@ -199,7 +201,9 @@
     state: Mutex<State>,
     /// Number of entries; read without the lock, so that requests take no lock while there are none.
     entry_count: AtomicUsize,
+    /// Wakes [`Quarantine::next_updates`].
     updates_pending: Notify,
+    /// Wakes [`Quarantine::next_quarantined`].
     quarantine_pending: Notify,
 }
 
@@ -270,6 +274,7 @@
         }))
     }
 
+    /// Counts a send as no longer in flight.
     pub(super) fn end_send(&self, admitted_send: &AdmittedSend) {
         let mut state = self.0.state.lock();
         for (scope, known) in FingerprintScope::ALL.into_iter().zip(admitted_send.known_crashes) {
@@ -280,8 +285,10 @@
         }
     }
 
-    pub(super) fn record_crash(&self, admitted_send: &AdmittedSend, server: u32) {
-        let quarantined = self.update(|state| state.record_crash(admitted_send, server, now_us()));
+    /// Records that a server crashed before its response to a send was complete.
+    pub(super) fn record_crash(&self, admitted_send: &AdmittedSend, server_hash: u32) {
+        let quarantined =
+            self.update(|state| state.record_crash(admitted_send, server_hash, now_us()));
         self.0.updates_pending.notify_one();
         if !quarantined.is_empty() {
             self.0.quarantine_pending.notify_one();
@@ -291,6 +298,7 @@
         }
     }
 
+    /// Records that a send got a complete response.
     pub(super) fn record_response(&self, admitted_send: &AdmittedSend) {
         if self.is_empty() {
             return;
@@ -394,6 +402,7 @@
     }
 }
 
+/// `learned` tells whether the crashes were recorded `here` or the quarantine was `told` by another instance.
 fn log_quarantined(fingerprint: Fingerprint, learned: &str) {
     let name = fingerprint.to_string();
     warn!(
--- a/src/route/attempt.rs
+++ b/src/route/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt on one backend server.
+//! One attempt to run a request on one backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,18 +29,18 @@
 use crate::quarantine::AdmittedSend;
 use crate::quarantine::PendingSend;
 
-/// When to come back where the server tells nothing of it.
+/// Retry delay for the caller, in milliseconds, if nothing better is known.
 const DEFAULT_RETRY_AFTER_MS: u64 = 100;
-/// When to come back to a server that takes no connection.
+/// Retry delay for the caller, in milliseconds, if no connection to the server can be opened.
 const UNREACHABLE_RETRY_AFTER_MS: u64 = 1_000;
-/// Most of a refusal's body that is read to keep its connection.
+/// The body of a refusal is read up to this size, so that its connection can be reused.
 const REFUSAL_BODY_MAX_BYTES: usize = 64 << 10;
 
-/// What came of an attempt, and what its answer said of the backend server.
+/// The answer of an attempt, and whether the backend server announced that it is leaving.
 #[derive(Debug)]
 pub struct AttemptResult {
     pub answer: Answer,
-    /// The server said that it is leaving.
+    /// The answer had `x-backend-state: draining`.
     pub leaving: bool,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Whether a status means that the server failed rather than answered.
+/// Whether a status means that the server failed to process the request.
 #[must_use]
 pub fn is_server_failure(status: StatusCode) -> bool {
     matches!(
@@ -71,7 +71,7 @@
     builder.body(Full::new(proxy_request.body.clone())).ok()
 }
 
-/// Whether the end of the body can be told from a connection that breaks.
+/// Whether the end of the body can be distinguished from a broken connection.
 fn has_delimited_body(response: &Response<Incoming>, method: &str) -> bool {
     let bodiless = method == "HEAD"
         || response.status() == StatusCode::NO_CONTENT
@@ -81,10 +81,10 @@
         || response.headers().contains_key("transfer-encoding")
 }
 
-/// Sends the request over the slot's server and takes its answer.
+/// Sends the request to the slot's server and receives its answer.
 ///
-/// Until the request is handed to a connection every fault is `not-run`; from then on it is
-/// `unknown`, because the server may have got the request whole.
+/// A failure before the request is handed to a connection is `not-run`; a later one is
+/// `unknown`, because the server may have received the whole request.
 pub async fn attempt(
     proxy_request: &ProxyRequest,
     spec: &Service,
@@ -95,23 +95,23 @@
     let Some(request) = build_request(proxy_request) else {
         return Answer::not_run(Code::BadRequest, 0).into();
     };
-    let left = Duration::from_micros(proxy_request.remaining_us());
-    let need = if proxy_request.idempotent { Freshness::Any } else { Freshness::Recent };
+    let remaining = Duration::from_micros(proxy_request.remaining_us());
+    let freshness = if proxy_request.idempotent { Freshness::Any } else { Freshness::Recent };
     let upstream = Arc::clone(&slot.upstream);
-    let conn = match tokio::time::timeout(left, upstream.checkout(need)).await {
+    let conn = match tokio::time::timeout(remaining, upstream.checkout(freshness)).await {
         Ok(Some(conn)) => conn,
         Ok(None) => {
-            slot.finish(AttemptOutcome::Failed);
+            slot.release(AttemptOutcome::Failed);
             return Answer::not_run(Code::ConnectFailed, UNREACHABLE_RETRY_AFTER_MS).into();
         }
         Err(_) => return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into(),
     };
-    let (failed_send, admitted_send) =
-        (proxy_request.failed_send(&upstream), Arc::clone(admitted_send));
-    let watch = PendingSend { send: admitted_send, failed_send };
-    send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, watch).await
+    let (failed_send, send) = (proxy_request.failed_send(&upstream), Arc::clone(admitted_send));
+    let pending_send = PendingSend { send, failed_send };
+    send_on_conn(proxy_request, spec, slot, conn, request, buffer_bytes, pending_send).await
 }
 
+/// Sends the request over `conn` and handles the head of the answer.
 async fn send_on_conn(
     proxy_request: &ProxyRequest,
     spec: &Service,
@@ -119,26 +119,27 @@
     mut conn: PooledConn,
     request: Request<Full<Bytes>>,
     buffer_bytes: usize,
-    watch: PendingSend,
+    pending_send: PendingSend,
 ) -> AttemptResult {
-    let left = Duration::from_micros(proxy_request.remaining_us());
-    if left.is_zero() {
+    let remaining = Duration::from_micros(proxy_request.remaining_us());
+    if remaining.is_zero() {
         return Answer::not_run(Code::DeadlineInQueue, DEFAULT_RETRY_AFTER_MS).into();
     }
-    let response = match tokio::time::timeout(left, conn.sender.try_send_request(request)).await {
-        Ok(Ok(response)) => response,
-        Ok(Err(mut err)) => {
-            slot.finish(AttemptOutcome::Failed);
-            // hyper gives the message back only if none of it was written.
-            let untouched = err.take_message().is_some();
-            return if untouched {
-                Answer::not_run(Code::ConnectFailed, DEFAULT_RETRY_AFTER_MS).into()
-            } else {
-                Answer::unknown(Code::AnswerLost).into()
-            };
-        }
-        Err(_) => return Answer::unknown(Code::DeadlineAfterDispatch).into(),
-    };
+    let response =
+        match tokio::time::timeout(remaining, conn.sender.try_send_request(request)).await {
+            Ok(Ok(response)) => response,
+            Ok(Err(mut err)) => {
+                slot.release(AttemptOutcome::Failed);
+                // hyper returns the message only if no byte of it was written.
+                let unsent = err.take_message().is_some();
+                return if unsent {
+                    Answer::not_run(Code::ConnectFailed, DEFAULT_RETRY_AFTER_MS).into()
+                } else {
+                    Answer::unknown(Code::AnswerLost).into()
+                };
+            }
+            Err(_) => return Answer::unknown(Code::DeadlineAfterDispatch).into(),
+        };
     let report = ServerReport::parse(response.headers());
     report.apply(&slot);
     let leaving = report.leaving;
@@ -147,14 +148,15 @@
         return AttemptResult { answer, leaving };
     }
     if !has_delimited_body(&response, &proxy_request.method) {
-        slot.finish(AttemptOutcome::Failed);
+        slot.release(AttemptOutcome::Failed);
         return AttemptResult { answer: Answer::unknown(Code::AnswerTruncated), leaving };
     }
-    let answer = receive_answer(proxy_request, response, slot, conn, buffer_bytes, watch).await;
+    let answer =
+        receive_answer(proxy_request, response, slot, conn, buffer_bytes, pending_send).await;
     AttemptResult { answer, leaving }
 }
 
-/// What an answer told of its server, at no cost.
+/// What the headers of an answer report about its server.
 struct ServerReport {
     leaving: bool,
     in_flight: Option<u32>,
@@ -174,25 +176,26 @@
     }
 }
 
-/// The server declared by its status that it did not run the request.
+/// Handles a status that the service declares as a refusal: the server did not run the request.
 async fn handle_refusal(response: Response<Incoming>, slot: Slot, conn: PooledConn) -> Answer {
     let cooldown = parse_retry_after(response.headers(), &slot.upstream.id);
-    // The rest of a refusal is of no use, but the connection is only once it is read.
+    // The body is not used, but the connection can be reused only after it is read.
     let body = http_body_util::Limited::new(response.into_body(), REFUSAL_BODY_MAX_BYTES);
     if body.collect().await.is_ok() {
         conn.return_to_pool();
     }
-    let finish = cooldown.map_or(AttemptOutcome::Refused, |cooldown| {
+    let outcome = cooldown.map_or(AttemptOutcome::Refused, |cooldown| {
         AttemptOutcome::RefusedWithCooldown { cooldown_us: duration_us(cooldown) }
     });
-    slot.finish(finish);
+    slot.release(outcome);
     Answer::not_run(
         Code::Refused,
         cooldown.map_or(DEFAULT_RETRY_AFTER_MS, |cooldown| duration_us(cooldown) / 1000),
     )
 }
 
-/// The time in seconds that a refusal asks to be left alone, if it names one.
+/// How long the server asks for no further requests, by the `retry-after` of a refusal; `None`
+/// without a valid number of seconds.
 fn parse_retry_after(headers: &HeaderMap, server: &str) -> Option<Duration> {
     let text = fields::header_text(headers, "retry-after")?;
     let seconds = text.trim().parse().ok();
@@ -207,7 +210,7 @@
     };
     info!(
         event = "server-rests", server = server, rest_ms = cooldown.as_millis();
-        "it turned a request away and asks for rest"
+        "the server refused a request and asks for no further requests for a time"
     );
     Some(cooldown)
 }
@@ -216,39 +219,41 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
+/// Receives the body of an answer: buffered if its length is known and at most `buffer_bytes`, else
+/// streamed.
 async fn receive_answer(
     proxy_request: &ProxyRequest,
     response: Response<Incoming>,
     slot: Slot,
     conn: PooledConn,
     buffer_bytes: usize,
-    watch: PendingSend,
+    pending_send: PendingSend,
 ) -> Answer {
     let (parts, incoming) = response.into_parts();
     let headers = fields::header_map(&fields::end_to_end_headers(&parts.headers));
     let size = incoming.size_hint().exact();
-    let left = Duration::from_micros(proxy_request.remaining_us());
+    let remaining = Duration::from_micros(proxy_request.remaining_us());
     if size.is_none_or(|size| size > buffer_bytes as u64) {
-        let body = UpstreamBody::new(incoming, slot, conn, left, watch);
+        let body = UpstreamBody::new(incoming, slot, conn, remaining, pending_send);
         return Answer::ran(parts.status, headers, AnswerBody::Upstream(Box::new(body)));
     }
-    let Ok(collected) = tokio::time::timeout(left, incoming.collect()).await else {
+    let Ok(collected) = tokio::time::timeout(remaining, incoming.collect()).await else {
         return Answer::unknown(Code::DeadlineAfterDispatch);
     };
     let Ok(collected) = collected else {
-        slot.finish(AttemptOutcome::Failed);
+        slot.release(AttemptOutcome::Failed);
         return Answer::unknown(Code::AnswerTruncated);
     };
     conn.return_to_pool();
     let latency_us = slot.elapsed_us();
     let failed = is_server_failure(parts.status);
     if !failed {
-        watch.record_response();
+        pending_send.record_response();
     }
-    slot.finish(if failed {
+    slot.release(if failed {
         AttemptOutcome::Failed
     } else {
         AttemptOutcome::Answered { latency_us }
     });
-    Answer::ran(parts.status, headers, AnswerBody::Whole(collected.to_bytes()))
+    Answer::ran(parts.status, headers, AnswerBody::Buffered(collected.to_bytes()))
 }
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: requests, and the answer to "which address".
+//! The listener for callers: serves their requests and the list of addresses to use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,17 +34,18 @@
 use crate::peer::Stage;
 use crate::quarantine::Fingerprints;
 
-/// A caller that has not sent its header fields within this is cut off.
+/// A connection that has not sent a complete request head within this time is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Addresses named in an answer; a caller never depends on a single one while there are others.
+/// Most addresses in a list; several, so that a caller does not depend on a single one.
 const ADDRESSES_MAX: usize = 4;
+/// Largest request head, in bytes.
 const HEADER_BYTES_MAX: usize = 64 << 10;
 
-/// The callers' listener, running until it is stopped.
+/// The listener for callers, running until it is stopped.
 #[derive(Debug)]
 pub struct CallerListener(HttpListener);
 
-/// Serves callers; clones share.
+/// Handles the requests of callers.
 #[derive(Clone, Debug)]
 struct CallerHandler(Router);
 
@@ -60,19 +61,20 @@
     }
 }
 
-/// One address of an address answer.
+/// One address of an [`AddressList`].
 #[derive(Debug, Serialize)]
 struct AddressEntry {
     address: String,
     zone: String,
-    /// Begins every idempotency key that is sent to this address.
+    /// Prefix of every idempotency key that is sent to this address.
     key_prefix: String,
 }
 
-/// The answer to "which address".
+/// The addresses that a caller is to use for a service.
 #[derive(Debug, Serialize)]
 struct AddressList {
     service: String,
+    /// How long the caller may use the list, in milliseconds.
     keep_ms: u64,
     addresses: Vec<AddressEntry>,
 }
@@ -86,8 +88,8 @@
         Self(HttpListener::spawn(listener, CallerHandler(router), connections_max))
     }
 
-    /// Accepts no further connection, lets each open one finish the request it is in, and
-    /// returns when all are closed.
+    /// Stops accepting connections, lets each open one finish its current request, and returns
+    /// when all are closed.
     pub async fn stop(self) {
         self.0.stop().await;
     }
@@ -98,7 +100,7 @@
     if request.uri().path() == fields::ADDRESSES_PATH {
         return answer_addresses(router, &request);
     }
-    let in_flight = router.board.in_flight();
+    let in_flight = router.board.start_request();
     let answer = match read_request(router, request).await {
         Ok(proxy_request) => router.handle(proxy_request).await,
         Err(answer) => answer,
@@ -107,6 +109,7 @@
     build_response(router, answer)
 }
 
+/// Converts an answer to a response with outcome, result code and retry headers.
 fn build_response(router: &Router, answer: Answer) -> Response<AnswerBody> {
     let mut response = Response::new(answer.body);
     *response.status_mut() = answer.status;
@@ -125,17 +128,18 @@
     response
 }
 
-/// Reads a request whole, or tells why not; nothing of it has been sent on then.
+/// Reads a request with its body, or returns the answer that rejects it. Nothing of the request
+/// has been forwarded then.
 async fn read_request(router: &Router, request: Request<Incoming>) -> Result<ProxyRequest, Answer> {
     let settings = &router.board.settings.requests;
-    let refuse = |err: &Coded| Answer::not_run(err.code, 0);
+    let reject = |err: &Coded| Answer::not_run(err.code, 0);
     let (parts, incoming) = request.into_parts();
     let headers = &parts.headers;
     let service = service_name(&parts).ok_or_else(|| Answer::not_run(Code::BadRequest, 0))?;
     let key = match headers.get(fields::IDEMPOTENCY_KEY) {
         Some(value) => {
             let text = value.to_str().unwrap_or("");
-            Some(IdempotencyKey::parse(text).map_err(|err| refuse(&err))?)
+            Some(IdempotencyKey::parse(text).map_err(|err| reject(&err))?)
         }
         None => None,
     };
@@ -173,8 +177,8 @@
     })
 }
 
-/// The service header, or else the host without its port: that of an absolute target, which goes
-/// before the field.
+/// The name of the service: the service header, or else the host without its port. The host of an
+/// absolute request target takes precedence over the `host` header.
 fn service_name(parts: &http::request::Parts) -> Option<String> {
     let named = if let Some(value) = parts.headers.get(fields::SERVICE) {
         value.to_str().ok()?
@@ -202,36 +206,37 @@
     let keep_ms = board.settings.requests.address_keep_ms;
     let answer = AddressList { service: service.into(), keep_ms, addresses };
     let text = serde_json::to_vec(&answer).unwrap_or_default();
-    let mut response = Response::new(AnswerBody::Whole(text.into()));
+    let mut response = Response::new(AnswerBody::Buffered(text.into()));
     let json = http::HeaderValue::from_static("application/json");
     response.headers_mut().insert("content-type", json);
     response
 }
 
-/// The homes of the service, those of the zone first, then other instances of the zone.
+/// Up to [`ADDRESSES_MAX`] instances: the homes of the service, then others; in each group those
+/// of `zone` come first.
 fn list_addresses(router: &Router, service: &str, zone: &str) -> Vec<AddressEntry> {
     let board = &router.board;
     let view = board.members_view();
-    let mut named: Vec<Arc<MemberRow>> = Vec::new();
+    let mut listed: Vec<Arc<MemberRow>> = Vec::new();
     if let Some(state) = board.services().get(service) {
         let placement = Placement::decide(&state.spec, &view.rows, board.incarnation, zone);
-        named.extend(placement.homes);
+        listed.extend(placement.homes);
     }
-    let others = view.rows.iter().filter(|row| row.state.takes_work());
+    let others = view.rows.iter().filter(|row| row.state.accepts_work());
     let mut others: Vec<&Arc<MemberRow>> = others.collect();
     others.sort_by_key(|row| (row.zone != zone, row.incarnation ^ board.incarnation));
     for row in others {
-        if !named.iter().any(|known| known.incarnation == row.incarnation) {
-            named.push(Arc::clone(row));
+        if !listed.iter().any(|known| known.incarnation == row.incarnation) {
+            listed.push(Arc::clone(row));
         }
     }
-    named.truncate(ADDRESSES_MAX);
-    named.iter().map(|row| address_entry(router, row)).collect()
+    listed.truncate(ADDRESSES_MAX);
+    listed.iter().map(|row| address_entry(router, row)).collect()
 }
 
 fn address_entry(router: &Router, row: &MemberRow) -> AddressEntry {
     let board = &router.board;
-    let started_ms = board.members.lock().born_ms(row.incarnation).unwrap_or_else(now_ms);
+    let started_ms = board.members.lock().started_ms(row.incarnation).unwrap_or_else(now_ms);
     let epoch = board.outcomes.epoch_since(started_ms, now_ms());
     let prefix = KeyPrefix { incarnation: row.incarnation, epoch };
     AddressEntry {
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice and carry an idempotency key.
+//! Requests that are not idempotent and carry an idempotency key: each runs at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,9 @@
 use crate::outcome::claim;
 use crate::peer::Stage;
 
+/// Retry delay for the caller if the owner's outcome table is full.
 const TABLE_FULL_RETRY_AFTER_MS: u64 = 1_000;
+/// Retry delay for the caller if the key's owner is unknown or cannot be reached.
 const OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
 fn owner_unreachable() -> Answer {
@@ -28,7 +30,7 @@
 }
 
 impl Router {
-    /// Finds the owner of the key and lets it decide; only the owner ever runs the request.
+    /// Finds the owner of the key and lets it decide; only the owner may run the request.
     pub(super) async fn run_keyed(
         &self,
         state: &Arc<ServiceState>,
@@ -40,7 +42,7 @@
             None => self.claim_key(&proxy_request, &key).await,
         };
         let Some(prefix) = prefix else {
-            // The key may have run before, so this is not told to be not-run.
+            // The key may have run before, so the answer is not `not-run`.
             let answer = Answer::unknown(Code::ClaimUnavailable);
             return Answer { retry_after_ms: OWNER_RETRY_AFTER_MS, ..answer };
         };
@@ -50,6 +52,8 @@
         self.forward_to_owner(&proxy_request, prefix.incarnation).await
     }
 
+    /// The prefix of the instance that owns a plain key, after a claim for this instance; `None`
+    /// if the store does not answer before the deadline.
     async fn claim_key(
         &self,
         proxy_request: &ProxyRequest,
@@ -58,18 +62,21 @@
         let incarnation = self.board.incarnation;
         let epoch = self.board.outcomes.epoch_of(incarnation)?;
         let own = KeyPrefix { incarnation, epoch };
-        let within = Duration::from_micros(proxy_request.remaining_us());
+        let remaining = Duration::from_micros(proxy_request.remaining_us());
         let claimed = claim(&self.store, &proxy_request.service, &key.text, own);
-        tokio::time::timeout(within, claimed).await.ok().flatten()
+        tokio::time::timeout(remaining, claimed).await.ok().flatten()
     }
 
+    /// Forwards the request to the process that answers for the keys of `incarnation`: the owner
+    /// or its successor.
     async fn forward_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
         if proxy_request.stage >= Stage::Owner {
-            // Whoever passed it held this instance to be the owner or its successor.
+            // The sender took this instance for the owner or its successor, but it is not, or no
+            // longer. Forwarding once more could form a loop.
             return owner_unreachable();
         }
         let view = self.board.members_view();
-        let Some(owner) = view.answering_for(incarnation) else {
+        let Some(owner) = view.owner_for(incarnation) else {
             self.board.counters.add(Counter::OwnerUnreachable);
             return owner_unreachable();
         };
@@ -81,6 +88,7 @@
         }
     }
 
+    /// Runs the request, or answers it from the outcome table.
     async fn run_as_owner(
         &self,
         state: &Arc<ServiceState>,
@@ -104,8 +112,8 @@
         }
     }
 
-    /// Runs in a task of its own: a caller that leaves must not cut the work short, since then
-    /// its outcome would be unknown to the repeat that the caller is about to send.
+    /// Runs the request in its own task: if a disconnecting caller cut it short, the repeat that
+    /// the caller is about to send would find its outcome unknown.
     async fn run_guarded(
         &self,
         state: &Arc<ServiceState>,
@@ -115,8 +123,8 @@
         let router = self.clone();
         let state = Arc::clone(state);
         let (sender, receiver) = oneshot::channel();
-        // Counted by itself: a planned stop waits for it also when its caller has left.
-        let in_flight = self.board.in_flight();
+        // Counted separately, so that a planned stop waits for it even if its caller has left.
+        let in_flight = self.board.start_request();
         tokio::spawn(async move {
             let answer = router.run(&state, &proxy_request).await;
             match answer.to_record() {
@@ -124,20 +132,22 @@
                 None => guard.not_run(),
             }
             drop(in_flight);
-            // The caller may have left; the outcome is kept all the same.
+            // The caller may have left; the outcome is recorded regardless.
             let _ = sender.send(answer);
         });
         receiver.await.unwrap_or_else(|_| Answer::unknown(Code::AnswerLost))
     }
 
+    /// Waits until the deadline for the outcome of the first request with this key, which still
+    /// runs.
     async fn wait_for_first_run(
         &self,
         proxy_request: &ProxyRequest,
         mut result: watch::Receiver<Option<RecordedOutcome>>,
     ) -> Answer {
         self.board.counters.add(Counter::Followed);
-        let within = Duration::from_micros(proxy_request.remaining_us());
-        let ended = tokio::time::timeout(within, result.wait_for(Option::is_some)).await;
+        let remaining = Duration::from_micros(proxy_request.remaining_us());
+        let ended = tokio::time::timeout(remaining, result.wait_for(Option::is_some)).await;
         match ended {
             Ok(Ok(outcome)) => outcome
                 .as_ref()
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -1,4 +1,4 @@
-//! The controller that puts configuration and membership in force on the request path.
+//! Applies configuration and membership changes to the request path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,28 +16,29 @@
 use crate::member::MemberRow;
 use crate::model::Service;
 
-/// Homes and keepers of one service.
+/// The homes of one service, and the backend servers of which this instance is the keeper.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Those of the asking zone first.
+    /// The homes in the zone given to [`Self::decide`] come first.
     pub homes: SmallVec<[Arc<MemberRow>; 4]>,
-    /// For each backend server, whether this instance keeps it.
+    /// For each backend server, whether this instance is its keeper.
     pub is_keeper: Vec<bool>,
 }
 
 impl Placement {
-    /// Decides the homes of `service` among `members`, as seen by the instance `own` in `zone`.
+    /// Selects the homes of `service` among `members`, for the instance `own` and callers in
+    /// `zone`.
     #[must_use]
     pub fn decide(service: &Service, members: &[Arc<MemberRow>], own: u64, zone: &str) -> Self {
         let available: Vec<&Arc<MemberRow>> =
-            members.iter().filter(|row| row.state.takes_work()).collect();
+            members.iter().filter(|row| row.state.accepts_work()).collect();
         let candidates: Vec<HomeCandidate<'_>> = available
             .iter()
             .map(|row| HomeCandidate { incarnation: row.incarnation, zone: &row.zone })
             .collect();
-        let picked = select_homes(&service.name, &candidates, &service.zone_slots());
+        let selected = select_homes(&service.name, &candidates, &service.zone_slots());
         let home_candidates: SmallVec<[HomeCandidate<'_>; 8]> =
-            picked.iter().map(|&at| candidates[at]).collect();
+            selected.iter().map(|&at| candidates[at]).collect();
         let servers: Vec<(&str, &str)> = service
             .backend_servers
             .iter()
@@ -48,13 +49,13 @@
         let mut is_keeper: Vec<bool> = keepers.iter().map(keeps).collect();
         is_keeper.resize(service.backend_servers.len(), false);
         let mut homes: SmallVec<[Arc<MemberRow>; 4]> =
-            picked.iter().map(|&at| Arc::clone(available[at])).collect();
+            selected.iter().map(|&at| Arc::clone(available[at])).collect();
         homes.sort_by_key(|home| home.zone != zone);
         Self { homes, is_keeper }
     }
 }
 
-/// Builds the snapshot of all services anew, keeping what lasts of those it had.
+/// Rebuilds the snapshot of all services; services that existed before keep their runtime state.
 pub fn rebuild_services(board: &Blackboard) {
     let members = board.members_view();
     let before = board.services();
@@ -79,23 +80,17 @@
 ) -> ServiceState {
     let zone = &board.settings.instance.zone;
     let placement = Placement::decide(&spec, &members.rows, board.incarnation, zone);
-    let core = before.map_or_else(
+    let runtime = before.map_or_else(
         || ServiceRuntime::new(board.settings.requests.queue_max, board.incarnation),
         |state| state.runtime.clone(),
     );
-    let share = u32::try_from(members.serving()).unwrap_or(u32::MAX);
-    core.slot_queue.apply(&spec, &placement.is_keeper, share);
-    let am_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
-    ServiceState {
-        revision,
-        spec: Arc::new(spec),
-        homes: placement.homes,
-        is_home: am_home,
-        runtime: core,
-    }
+    let serving_instances = u32::try_from(members.running_count()).unwrap_or(u32::MAX);
+    runtime.slot_queue.apply(&spec, &placement.is_keeper, serving_instances);
+    let is_home = placement.homes.iter().any(|home| home.incarnation == board.incarnation);
+    ServiceState { revision, spec: Arc::new(spec), homes: placement.homes, is_home, runtime }
 }
 
-/// Keeps the request path up to date with configuration and membership.
+/// Rebuilds the services after each change of configuration or membership.
 pub async fn run_placement(board: Arc<Blackboard>) {
     let mut changes = board.changes();
     loop {
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -1,8 +1,8 @@
-//! Word between the homes of a service about free slots, where it changes a decision.
+//! Load messages between the homes of a service, sent only where they change a decision.
 //!
-//! Homes say nothing while none of them has a queue. One that has asks the others; those tell of
-//! free slots until it has none any more. All words of an instance share one allowance, which
-//! keeps them within the control traffic that a node may send.
+//! Homes send none while none of them has a queue. A home with a queue asks its co-homes, which
+//! report their free slots until its queue is empty. All load messages of an instance share one
+//! rate limit, which keeps them within the control traffic that a node may send.
 
 use std::time::Duration;
 
@@ -12,27 +12,32 @@
 use crate::clock::now_ms;
 use crate::member::MemberRow;
 use crate::peer::LoadNote;
-use crate::peer::PeerCalls;
+use crate::peer::PeerClient;
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
+/// Pause between two rounds over the queues of all services.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of a load message.
 const SEND_TIMEOUT: Duration = Duration::from_millis(200);
-/// Words a second, over all services: at about 90 bytes each, 3.6 KB of the 5 KB a second.
+/// Load messages per second, over all services: at about 90 bytes each they take 3.6 KB of the
+/// 5 KB of control traffic that a node may send per second.
 const MESSAGES_PER_S: f64 = 40.0;
-/// Words that an instance may have saved.
+/// Largest burst of load messages after a quiet time.
 const MESSAGES_BURST_MAX: f64 = 40.0;
 
-/// Words left to this instance.
+/// Rate limit for the load messages of this instance.
 struct TokenBucket {
+    /// Messages that may be sent at once.
     tokens: f64,
+    /// When the tokens were last refilled.
     refilled_ms: u64,
 }
 
 impl TokenBucket {
     fn try_take(&mut self) -> bool {
         let now = now_ms();
-        #[expect(clippy::cast_precision_loss, reason = "milliseconds since the last turn")]
+        #[expect(clippy::cast_precision_loss, reason = "milliseconds since the last refill")]
         let refill = (now - self.refilled_ms) as f64 / 1000.0 * MESSAGES_PER_S;
         self.tokens = (self.tokens + refill).min(MESSAGES_BURST_MAX);
         self.refilled_ms = now;
@@ -44,11 +49,17 @@
     }
 }
 
+/// Sends the load of this instance to a co-home and records the free slots in its reply.
 async fn send_load(router: Router, name: String, home: MemberRow, free: u32, waiting: u32) {
     let from = router.board.incarnation;
-    let note = PeerRequest::Load(LoadNote { service: name.clone(), from, free, waiting });
+    let note = PeerRequest::Load(LoadNote {
+        service: name.clone(),
+        from,
+        free_slots: free,
+        queued: waiting,
+    });
     let reply = router.links.call(home.peer, &note, SEND_TIMEOUT).await;
-    if let Ok(PeerReply::Free(free)) = reply
+    if let Ok(PeerReply::FreeSlots(free)) = reply
         && let Some(state) = router.board.services().get(&name)
     {
         state.runtime.record_free_slots(home.incarnation, free);
@@ -56,7 +67,8 @@
     }
 }
 
-fn send_load_to_co_homes(router: &Router, state: &ServiceState, budget: &mut TokenBucket) {
+/// Sends the load of this instance to the co-homes to which it is due.
+fn send_load_to_co_homes(router: &Router, state: &ServiceState, rate_limit: &mut TokenBucket) {
     let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
     if free == 0 && waiting == 0 {
         return;
@@ -64,7 +76,7 @@
     for home in &state.homes {
         if home.incarnation == router.board.incarnation
             || !state.runtime.should_send_load(home.incarnation, waiting > 0)
-            || !budget.try_take()
+            || !rate_limit.try_take()
         {
             continue;
         }
@@ -74,23 +86,23 @@
     }
 }
 
-/// Takes another home's word in, and answers with the own free slots.
+/// Processes a load message of a co-home and returns the number of slots free here.
 #[must_use]
 pub fn handle_load_note(board: &Blackboard, state: &ServiceState, note: &LoadNote) -> u32 {
     let (free, waiting) = state.runtime.slot_queue.free_slots_and_waiting();
-    if note.waiting > 0 {
+    if note.queued > 0 {
         state.runtime.record_queue(note.from);
         board.queue_formed.notify_one();
     }
-    state.runtime.record_free_slots(note.from, note.free);
+    state.runtime.record_free_slots(note.from, note.free_slots);
     if waiting > 0 {
-        state.runtime.slot_queue.redirect_waiters(note.free);
+        state.runtime.slot_queue.redirect_waiters(note.free_slots);
     }
     free
 }
 
-/// One turn over all services; tells whether requests wait for any of them, here or elsewhere.
-fn serve_queues(router: &Router, budget: &mut TokenBucket) -> bool {
+/// Serves the queues of all services once; returns whether requests wait here or at a co-home.
+fn serve_queues(router: &Router, rate_limit: &mut TokenBucket) -> bool {
     let mut waiting = false;
     let services = router.board.services().clone();
     for state in services.values() {
@@ -101,19 +113,19 @@
         }
         waiting = true;
         if state.is_home && state.homes.len() > 1 {
-            send_load_to_co_homes(router, state, budget);
+            send_load_to_co_homes(router, state, rate_limit);
         }
     }
     waiting
 }
 
-/// Serves the queues of this instance while there are any: slots that came free by time alone are
-/// offered, and the other homes are told what would help. Without queues it sleeps.
+/// Serves the queues of this instance while there are any: hands out slots that became free by
+/// time alone, and sends load messages to the co-homes. Sleeps while there are no queues.
 pub async fn run_queues(router: Router) {
-    let mut budget = TokenBucket { tokens: MESSAGES_BURST_MAX, refilled_ms: now_ms() };
+    let mut rate_limit = TokenBucket { tokens: MESSAGES_BURST_MAX, refilled_ms: now_ms() };
     loop {
         router.board.queue_formed.notified().await;
-        while serve_queues(&router, &mut budget) {
+        while serve_queues(&router, &mut rate_limit) {
             tokio::time::sleep(QUEUE_INTERVAL).await;
         }
     }
--- a/src/store/consul_store.rs
+++ b/src/store/consul_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store over Consul's HTTP interface.
+//! The platform's store over Consul's HTTP API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,24 +12,26 @@
 use super::Entry;
 use super::HttpClient;
 use super::Lease;
-use super::Listed;
 use super::Listing;
 use super::Roster;
+use super::RosterEntry;
 use super::Store;
 use super::StoreError;
 use crate::conf::PlatformSettings;
 
+/// Response header that carries the store's index.
 const INDEX_HEADER: &str = "x-consul-index";
-/// Names in the platform's list of machines.
+/// Service names in the platform's catalog.
 const INSTANCES: &str = "sorrelwick";
 const BACKEND_SERVERS: &str = "backend-servers";
 
-/// A [`Store`] and [`Roster`] over HTTP; clones share their connections.
+/// A [`Store`] and [`Roster`] over HTTP; clones share connections.
 #[derive(Clone, Debug)]
 pub struct ConsulStore {
     http: HttpClient,
 }
 
+/// An entry of the key-value API.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct KvRow {
@@ -38,6 +40,7 @@
     modify_index: u64,
 }
 
+/// An entry of the service catalog.
 #[derive(Deserialize)]
 struct CatalogRow {
     #[serde(rename = "ServiceID")]
@@ -58,6 +61,7 @@
     state: String,
 }
 
+/// The response to the creation of a session.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct SessionRow {
@@ -71,12 +75,12 @@
     body: Bytes,
 }
 
-fn lost(why: impl std::fmt::Display) -> StoreError {
-    StoreError::AnswerLost(why.to_string())
+fn response_lost(why: impl std::fmt::Display) -> StoreError {
+    StoreError::ResponseLost(why.to_string())
 }
 
 fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, StoreError> {
-    serde_json::from_slice(&reply.body).map_err(lost)
+    serde_json::from_slice(&reply.body).map_err(response_lost)
 }
 
 fn expect_ok(reply: Reply) -> Result<Reply, StoreError> {
@@ -84,22 +88,23 @@
         return Ok(reply);
     }
     let text = String::from_utf8_lossy(&reply.body).into_owned();
-    // A gateway in between may fail after the store has written; only a refusal that the store
-    // itself worded by a 4xx tells that nothing changed.
+    // An intermediary may return a 5xx after the store has written; only a 4xx proves that nothing
+    // changed.
     if reply.status.is_client_error() {
         return Err(StoreError::Refused(format!("{}: {text}", reply.status)));
     }
-    Err(StoreError::AnswerLost(format!("{}: {text}", reply.status)))
+    Err(StoreError::ResponseLost(format!("{}: {text}", reply.status)))
 }
 
 impl ConsulStore {
-    /// A client of the service at the platform's address; connects with the first call.
+    /// Creates a client of the store at the platform's address; it connects on the first call.
     #[must_use]
     pub fn open(platform: &PlatformSettings) -> Self {
         let call_timeout = Duration::from_millis(platform.call_timeout_ms);
         Self { http: HttpClient::open(platform.address, call_timeout) }
     }
 
+    /// Makes one call; `extra_wait` extends the timeout by the time the store may hold the call.
     async fn call(
         &self,
         method: &str,
@@ -113,18 +118,20 @@
         Ok(Reply { status: reply.status, index, body: reply.body })
     }
 
-    async fn put_flag(&self, path: &str, value: &[u8]) -> Result<bool, StoreError> {
+    /// Makes a PUT whose response body is `true` or `false`.
+    async fn put_returning_bool(&self, path: &str, value: &[u8]) -> Result<bool, StoreError> {
         let reply = self.call("PUT", path, value, Duration::ZERO).await?;
         Ok(expect_ok(reply)?.body.trim_ascii() == b"true")
     }
 
-    async fn list(&self, name: &str) -> Result<Vec<Listed>, StoreError> {
+    /// The catalog entries of one service name; entries with an invalid address are skipped.
+    async fn list(&self, name: &str) -> Result<Vec<RosterEntry>, StoreError> {
         let path = format!("/v1/catalog/service/{name}");
         let reply = expect_ok(self.call("GET", &path, &[], Duration::ZERO).await?)?;
         let rows: Vec<CatalogRow> = parse(&reply)?;
         let listed = rows.into_iter().filter_map(|row| {
             let ip = row.address.parse().ok()?;
-            Some(Listed {
+            Some(RosterEntry {
                 id: row.id,
                 address: SocketAddr::new(ip, row.port),
                 zone: row.meta.zone,
@@ -142,35 +149,36 @@
     let rows: Vec<KvRow> = parse(reply)?;
     let decode = |row: KvRow| {
         let text = row.value.unwrap_or_default();
-        let value = STANDARD.decode(text).map_err(lost)?;
+        let value = STANDARD.decode(text).map_err(response_lost)?;
         Ok(Entry { key: row.key, value, index: row.modify_index })
     };
     rows.into_iter().map(decode).collect()
 }
 
-fn or_missing(reply: Reply) -> Result<Reply, StoreError> {
+/// Accepts a success or 404 response.
+fn ok_or_not_found(reply: Reply) -> Result<Reply, StoreError> {
     if reply.status == StatusCode::NOT_FOUND { Ok(reply) } else { expect_ok(reply) }
 }
 
 impl Store for ConsulStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, StoreError> {
         let path = format!("/v1/kv/{key}?consistent");
-        let reply = or_missing(self.call("GET", &path, &[], Duration::ZERO).await?)?;
+        let reply = ok_or_not_found(self.call("GET", &path, &[], Duration::ZERO).await?)?;
         Ok(entries(&reply)?.into_iter().next())
     }
 
     async fn watch(&self, prefix: &str, index: u64, wait: Duration) -> Result<Listing, StoreError> {
         let path = format!("/v1/kv/{prefix}?recurse&index={index}&wait={}ms", wait.as_millis());
-        let reply = or_missing(self.call("GET", &path, &[], wait).await?)?;
+        let reply = ok_or_not_found(self.call("GET", &path, &[], wait).await?)?;
         if index > 0 && reply.index == index {
-            // The wait is over without a change; reading all entries again would bring nothing.
+            // The wait timed out without a change; decoding all entries again is unnecessary.
             return Ok(Listing { index, entries: Vec::new() });
         }
         Ok(Listing { index: reply.index, entries: entries(&reply)? })
     }
 
     async fn put_if(&self, key: &str, value: &[u8], index: u64) -> Result<bool, StoreError> {
-        self.put_flag(&format!("/v1/kv/{key}?cas={index}"), value).await
+        self.put_returning_bool(&format!("/v1/kv/{key}?cas={index}"), value).await
     }
 
     async fn lease_open(&self, ttl: Duration) -> Result<Lease, StoreError> {
@@ -188,26 +196,26 @@
 
     async fn lease_renew(&self, lease: &Lease) -> Result<bool, StoreError> {
         let path = format!("/v1/session/renew/{}", lease.0);
-        let reply = or_missing(self.call("PUT", &path, &[], Duration::ZERO).await?)?;
+        let reply = ok_or_not_found(self.call("PUT", &path, &[], Duration::ZERO).await?)?;
         Ok(reply.status != StatusCode::NOT_FOUND)
     }
 
     async fn lease_close(&self, lease: &Lease) -> Result<(), StoreError> {
         let path = format!("/v1/session/destroy/{}", lease.0);
-        self.put_flag(&path, &[]).await.map(|_| ())
+        self.put_returning_bool(&path, &[]).await.map(|_| ())
     }
 
     async fn acquire(&self, key: &str, value: &[u8], lease: &Lease) -> Result<bool, StoreError> {
-        self.put_flag(&format!("/v1/kv/{key}?acquire={}", lease.0), value).await
+        self.put_returning_bool(&format!("/v1/kv/{key}?acquire={}", lease.0), value).await
     }
 }
 
 impl Roster for ConsulStore {
-    async fn instances(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn instances(&self) -> Result<Vec<RosterEntry>, StoreError> {
         self.list(INSTANCES).await
     }
 
-    async fn backend_servers(&self) -> Result<Vec<Listed>, StoreError> {
+    async fn backend_servers(&self) -> Result<Vec<RosterEntry>, StoreError> {
         self.list(BACKEND_SERVERS).await
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: a key-value store with leases and watches, and the list of instances.
+//! Clients of the platform: a key-value store with leases and watches, and its lists of machines.
 
 mod any_store;
 mod consul_store;
@@ -14,14 +14,14 @@
 pub use event_store::Item;
 pub use event_store::ItemEvent;
 pub use event_store::Page;
-pub use event_store::Watched;
+pub use event_store::WatchResult;
 pub use http_client::HttpClient;
 pub use http_client::HttpReply;
 pub use memory_store::MemoryStore;
 pub use platform::Entry;
 pub use platform::Lease;
-pub use platform::Listed;
 pub use platform::Listing;
 pub use platform::Roster;
+pub use platform::RosterEntry;
 pub use platform::Store;
 pub use platform::StoreError;
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -1,4 +1,4 @@
-//! What an instance spends on itself grows no faster than what it knows.
+//! The cost of an instance's own control work grows no faster than the data it holds.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -21,7 +21,8 @@
 use sorrelwick::peer::ServerLoadRow;
 use sorrelwick::peer::ServerLoads;
 
-const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+const RETRY_ALLOWANCE: RetryAllowance =
+    RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
 
 fn row(number: usize, slots: u32) -> ServerRow {
     ServerRow {
@@ -38,14 +39,14 @@
 }
 
 fn dispatcher_with(servers: usize) -> Dispatcher {
-    let dispatcher = Dispatcher::new("burnaby", ALLOWANCE);
+    let dispatcher = Dispatcher::new("burnaby", RETRY_ALLOWANCE);
     for number in 0..servers {
         dispatcher.list_server(row(number, 4));
     }
     dispatcher
 }
 
-/// The shortest of many runs, which other work on the machine disturbs least.
+/// The shortest of 30 runs, the one least disturbed by other work on the machine.
 fn shortest(mut work: impl FnMut()) -> Duration {
     let run = |_| {
         let started = Instant::now();
@@ -55,22 +56,22 @@
     (0..30).map(run).min().unwrap()
 }
 
-/// Callers of a large fleet get their answers late while nothing is wrong anywhere: each instance
-/// lists its requests at all servers forty times a second for each home, and with 400 servers
-/// spent a third of its processor on looking each one up in a list. Ten times the servers may
-/// cost ten times the work, with some room for caches; a search in a list costs a hundred times.
+/// Guards against late responses in a large fleet that has no other fault: each instance lists its
+/// requests at all servers 40 times per second for each home; with 400 servers a linear search per
+/// server took a third of its processor. Ten times the servers may take ten times as long, plus a
+/// margin for caches; a search in a list takes a hundred times as long.
 #[test]
-fn telling_loads_costs_in_proportion_to_the_servers() {
+fn collecting_loads_is_linear_in_the_servers() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
-    let told_few = shortest(|| drop(black_box(few.own_loads())));
-    let told_many = shortest(|| drop(black_box(many.own_loads())));
-    assert!(told_many < told_few * 30, "{told_few:?} for 400 servers, {told_many:?} for 4,000");
+    let took_few = shortest(|| drop(black_box(few.own_loads())));
+    let took_many = shortest(|| drop(black_box(many.own_loads())));
+    assert!(took_many < took_few * 30, "{took_few:?} for 400 servers, {took_many:?} for 4,000");
 }
 
-/// As above for the requests themselves: what is believed of a server is looked up some times for
-/// each request, and must not take longer the more servers there are.
+/// The same for requests: each looks servers up several times, which must not take longer with more
+/// servers.
 #[test]
-fn looking_up_a_server_does_not_depend_on_how_many_there_are() {
+fn server_lookup_time_is_independent_of_the_server_count() {
     let look_up = |dispatcher: &Dispatcher| {
         let servers = dispatcher.servers();
         let every: Vec<_> = servers.iter().step_by(servers.len() / 100).collect();
@@ -84,33 +85,38 @@
     assert!(many < few * 5, "{few:?} among 400 servers, {many:?} among 4,000");
 }
 
-/// Forty homes that each hear of thirty-nine others some times a second, of 800 servers, did nothing
-/// else: each word went through all servers. A word costs as much as it names servers.
+/// Guards against a cost per message that depends on all servers: forty homes, each of which
+/// received loads of thirty-nine others several times per second, did nothing else with 800
+/// servers. The cost must depend on the servers in the message only.
 #[test]
-fn hearing_of_a_few_servers_does_not_depend_on_how_many_there_are() {
-    let hear = |dispatcher: &Dispatcher| {
+fn applying_a_peer_load_is_independent_of_the_server_count() {
+    let apply = |dispatcher: &Dispatcher| {
         let servers = dispatcher.servers();
-        let named = servers.iter().take(10);
-        let rows: Vec<ServerLoadRow> = named
-            .map(|server| ServerLoadRow { server: server.key, in_flight: 1, pace_percent: 100 })
+        let listed = servers.iter().take(10);
+        let rows: Vec<ServerLoadRow> = listed
+            .map(|server| ServerLoadRow {
+                server_hash: server.key,
+                in_flight: 1,
+                slowdown_percent: 100,
+            })
             .collect();
         let loads = ServerLoads { from: 7, rows };
         shortest(|| dispatcher.record_peer_loads(&loads))
     };
-    let (few, many) = (hear(&dispatcher_with(400)), hear(&dispatcher_with(4_000)));
+    let (few, many) = (apply(&dispatcher_with(400)), apply(&dispatcher_with(4_000)));
     assert!(many < few * 5, "{few:?} among 400 servers, {many:?} among 4,000");
 }
 
-/// What an instance has at servers is told to each home some times a second. One that has nothing
-/// anywhere, as nearly all of a large fleet, finds that out without going through the servers.
+/// In-flight requests are reported to each home several times per second. An instance without any,
+/// as nearly all of a large fleet, must find that out without a scan of the servers.
 #[test]
-fn an_instance_without_requests_has_nothing_to_tell() {
+fn an_idle_instance_finds_no_loads_without_a_scan() {
     let (few, many) = (dispatcher_with(400), dispatcher_with(4_000));
     assert!(many.own_loads().is_empty());
-    let told_few = shortest(|| drop(black_box(few.own_loads())));
-    let told_many = shortest(|| drop(black_box(many.own_loads())));
+    let took_few = shortest(|| drop(black_box(few.own_loads())));
+    let took_many = shortest(|| drop(black_box(many.own_loads())));
     let least = Duration::from_micros(1);
-    assert!(told_many < told_few.max(least) * 5, "{told_few:?} and {told_many:?}");
+    assert!(took_many < took_few.max(least) * 5, "{took_few:?} and {took_many:?}");
 }
 
 fn member(incarnation: u64) -> MemberRow {
@@ -136,17 +142,18 @@
     let settings = parse_settings("t", r#"{ instance: { name: "a", zone: "z0" } }"#);
     let board = Blackboard::new(settings.expect("valid"), 1);
     for incarnation in 2..=members {
-        board.members.lock().merge_compared(&member(incarnation), 1_000);
+        board.members.lock().merge_synced(&member(incarnation), 1_000);
     }
     board.publish_members();
     board
 }
 
-/// Hundreds of instances start, and each hears of the others one after the other. Each change of one
-/// made all rows anew, found each among all, and sorted them for each look at the homes: half of the
-/// processor of a calm fleet of 472.
+/// Guards against a cost per member change that depends on the fleet: when hundreds of instances
+/// start, each learns of the others one by one. Each change rebuilt all rows and searched them
+/// linearly, and each selection of homes sorted them, which took half of the processor of an idle
+/// fleet of 472.
 #[test]
-fn a_change_of_one_member_costs_the_same_however_many_there_are() {
+fn a_member_change_is_independent_of_the_member_count() {
     let change = |board: &Blackboard| {
         let mut generation = 0;
         shortest(|| {
@@ -154,7 +161,7 @@
             let row = MemberRow { generation, ..member(77) };
             assert!(board.members.lock().merge(&row, 1_000));
             board.publish_members();
-            black_box(homes_of_zone(&board.members_view(), "z2", HomesPlan::FIRST));
+            black_box(homes_of_zone(&board.members_view(), "z2", HomesPlan::FIRST_ONLY));
         })
     };
     let (few, many) = (board_with(450), board_with(4_500));
@@ -166,21 +173,21 @@
     let after = few.members_view();
     let copied =
         before.rows.iter().zip(&after.rows).filter(|(one, other)| !Arc::ptr_eq(one, other));
-    assert_eq!(copied.count(), 1, "rows of members that did not change were made anew");
+    assert_eq!(copied.count(), 1, "rows of unchanged members were rebuilt");
 }
 
-/// In a burst all servers are full and hundreds of requests wait. Each answer anywhere asks whether
-/// one of them can be served, and trying each of them on each server took more than the processor
-/// had: the instance answered no pings, was taken for dead, and its callers fell upon smaller ones.
-/// Asking must cost about the same with a thousand waiting as with ten.
+/// Guards against trying every queued request on every server at each response. In a burst, with
+/// all servers full and hundreds of requests queued, that took more than the processor had: the
+/// instance answered no pings, was declared dead, and its callers overloaded smaller ones. The
+/// check must cost about the same with 1,000 queued requests as with ten.
 #[test]
 fn a_long_queue_before_full_servers_costs_no_more_than_a_short_one() {
-    let ask_with_waiting = |waiting: u64| {
+    let dispatch_with_queue = |queued: u64| {
         let mut pool = ServicePool::default();
         for number in 0..360 {
             pool.upsert_server(row(number, 4), 0);
         }
-        let ask = RequestSpec {
+        let spec = RequestSpec {
             route: "lookup".into(),
             workspace: None,
             priority: 2,
@@ -191,17 +198,17 @@
             tried_servers: smallvec::SmallVec::new(),
         };
         let mut ticket = 0;
-        while pool.acquire_slot(ticket, &ask, "burnaby", 1_000, &mut || 0.5).is_some() {
+        while pool.acquire_slot(ticket, &spec, "burnaby", 1_000, &mut || 0.5).is_some() {
             ticket += 1;
         }
-        for number in 0..waiting {
-            pool.enqueue(ticket + number, ask.clone(), 1_000).expect("its aim is far off");
+        for number in 0..queued {
+            pool.enqueue(ticket + number, spec.clone(), 1_000).expect("its target is far off");
         }
         shortest(|| {
             let served = pool.dispatch_queued("burnaby", 1_000, &mut || 0.5);
             assert!(served.is_none());
         })
     };
-    let (short, long) = (ask_with_waiting(10), ask_with_waiting(1_000));
-    assert!(long < short * 5, "{short:?} with 10 waiting, {long:?} with 1,000");
+    let (short, long) = (dispatch_with_queue(10), dispatch_with_queue(1_000));
+    assert!(long < short * 5, "{short:?} with 10 queued, {long:?} with 1,000");
 }
