--- a/src/gateway/load_reporter.rs
+++ b/src/gateway/load_reporter.rs
@@ -1,8 +1,7 @@
-//! Reports this home's in-flight requests at each backend server, and the pace of the servers of
-//! its zone, to the other homes.
-//!
-//! Without the reports, two homes would use the same free slots during a burst; a server that gets
-//! twice as many requests as it has slots slows down for all of them.
+//! Reports this home's in-flight requests at each backend server, and the slowdown of the servers
+//! of its zone, to the other homes. Without the reports, two homes would use the same free slots
+//! during a burst; a server that gets twice as many requests as it has slots slows down for all of
+//! them.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -62,10 +61,10 @@
     same_zone: bool,
 }
 
-/// Reduces a report to what another zone needs: in-flight requests without the pace. The pace of
-/// each server changes several times per second, so the bytes sent between zones would grow with
-/// the square of the fleet. A home checks a server of another zone for its pace before each request
-/// to it.
+/// Reduces a report to what another zone needs: in-flight requests without the slowdown. The
+/// slowdown of each server changes several times per second, so the bytes sent between zones would
+/// grow with the square of the fleet. A home asks a server of another zone for its slowdown before
+/// each request to it.
 fn strip_for_other_zone(loads: &mut Vec<ServerLoadRow>) {
     loads.retain(|row| row.in_flight > 0);
     for row in loads {
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -1,4 +1,4 @@
-//! Health checks, which report load and pace of the servers in the own zone.
+//! Health checks, which report load and slowdown of the servers in the own zone.
 
 use std::io::ErrorKind;
 use std::sync::Arc;
--- a/src/gateway/reported_loads.rs
+++ b/src/gateway/reported_loads.rs
@@ -9,7 +9,7 @@
 struct ReportedLoad {
     /// Requests in flight; `None` if the report may have been lost.
     in_flight: Option<u16>,
-    pace_percent: u16,
+    slowdown_percent: u16,
 }
 
 /// The last reports to a peer, by server. A server that is missing here was reported idle.
@@ -19,15 +19,15 @@
 }
 
 impl ReportedLoads {
-    /// The rows to send, given the current loads: those that differ from what was reported. A pace
-    /// that became outdated is not sent; the peer expires it.
+    /// The rows to send, given the current loads: those that differ from what was reported. A
+    /// slowdown that became outdated is not sent; the peer expires it.
     pub(super) fn changes(&self, now: &[ServerLoadRow]) -> Vec<ServerLoadRow> {
         let changed = now.iter().filter(|row| {
             let reported = self.by_server.get(&row.server_hash);
-            let (in_flight, pace) = reported
-                .map_or((Some(0), 0), |reported| (reported.in_flight, reported.pace_percent));
+            let (in_flight, slowdown) = reported
+                .map_or((Some(0), 0), |reported| (reported.in_flight, reported.slowdown_percent));
             in_flight != Some(row.in_flight)
-                || row.slowdown_percent > 0 && row.slowdown_percent != pace
+                || row.slowdown_percent > 0 && row.slowdown_percent != slowdown
         });
         let mut rows: Vec<ServerLoadRow> = changed.copied().collect();
         let now: HashMap<u32, u16> =
@@ -46,12 +46,14 @@
     /// Records that the peer received these rows.
     pub(super) fn record_delivered(&mut self, rows: &[ServerLoadRow]) {
         for row in rows {
-            let reported =
-                ReportedLoad { in_flight: Some(row.in_flight), pace_percent: row.slowdown_percent };
+            let reported = ReportedLoad {
+                in_flight: Some(row.in_flight),
+                slowdown_percent: row.slowdown_percent,
+            };
             self.by_server.insert(row.server_hash, reported);
         }
         self.by_server
-            .retain(|_, reported| reported.in_flight != Some(0) || reported.pace_percent != 0);
+            .retain(|_, reported| reported.in_flight != Some(0) || reported.slowdown_percent != 0);
     }
 
     /// Records that the peer may have received these rows, or may have expired older ones: all rows
@@ -59,7 +61,7 @@
     pub(super) fn record_maybe_delivered(&mut self, rows: &[ServerLoadRow]) {
         self.record_delivered(rows);
         for reported in self.by_server.values_mut() {
-            *reported = ReportedLoad { in_flight: None, pace_percent: 0 };
+            *reported = ReportedLoad { in_flight: None, slowdown_percent: 0 };
         }
     }
 
