--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -142,7 +142,7 @@
     let mut own = board().members.lock().own_row(0);
     own.incarnation = incarnation;
     own.zone = format!("zone-{}", incarnation % 25);
-    own.peer.set_port(u16::try_from(1_024 + incarnation % 60_000).unwrap_or(1));
+    own.peer_address.set_port(u16::try_from(1_024 + incarnation % 60_000).unwrap_or(1));
     own
 }
 
--- a/src/app/gateway_peers.rs
+++ b/src/app/gateway_peers.rs
@@ -57,7 +57,7 @@
 }
 
 impl<D: Dialect> PeerService for GatewayPeers<D> {
-    async fn control(&self, request: PeerRequest) -> PeerReply {
+    async fn handle_control(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Member(request) => handle_member_request(&self.board, request),
             PeerRequest::IndirectPing { target } => {
@@ -90,7 +90,7 @@
     }
 
     /// Requests by routes are never passed between instances.
-    async fn forward(&self, _: ForwardHead, _: Bytes) -> (ForwardReplyHead, AnswerBody) {
+    async fn handle_forward(&self, _: ForwardHead, _: Bytes) -> (ForwardReplyHead, AnswerBody) {
         let answer = Answer::not_run(Code::PeerFrame, 0);
         (answer.reply_head(0), answer.body)
     }
--- a/src/app/peer_answers.rs
+++ b/src/app/peer_answers.rs
@@ -83,7 +83,7 @@
 }
 
 impl PeerService for PeerAnswers {
-    async fn control(&self, request: PeerRequest) -> PeerReply {
+    async fn handle_control(&self, request: PeerRequest) -> PeerReply {
         let board = &self.router.board;
         match request {
             PeerRequest::Member(request) => handle_member_request(board, request),
@@ -122,7 +122,11 @@
         }
     }
 
-    async fn forward(&self, head: ForwardHead, body: Bytes) -> (ForwardReplyHead, AnswerBody) {
+    async fn handle_forward(
+        &self,
+        head: ForwardHead,
+        body: Bytes,
+    ) -> (ForwardReplyHead, AnswerBody) {
         let board = &self.router.board;
         let service = head.service.clone();
         let in_flight = board.start_request();
--- a/src/app/stop.rs
+++ b/src/app/stop.rs
@@ -63,7 +63,7 @@
     let mut count = 0;
     for record in board.outcomes.close() {
         count += record.rows.len();
-        if !send_snapshot(links, successor.peer, &record).await {
+        if !send_snapshot(links, successor.peer_address, &record).await {
             return None;
         }
     }
--- a/src/board/events.rs
+++ b/src/board/events.rs
@@ -34,7 +34,7 @@
         dead: usize,
         known: usize,
     },
-    ConfigInForce {
+    ConfigApplied {
         service: String,
         revision: u64,
     },
@@ -84,7 +84,7 @@
             Self::Members { changed, dead, known } => {
                 ("members", format!("{changed} changed, {dead} of them dead, {known} known before"))
             }
-            Self::ConfigInForce { service, revision } => {
+            Self::ConfigApplied { service, revision } => {
                 ("config-in-force", format!("{service} revision {revision}"))
             }
             Self::ServerLeaving { service, server } => {
--- a/src/catalog/spread.rs
+++ b/src/catalog/spread.rs
@@ -37,7 +37,7 @@
     drop(catalog);
     for (name, row) in &updated {
         board.counters.add(Counter::ConfigMerged);
-        board.record_event(EventKind::ConfigInForce {
+        board.record_event(EventKind::ConfigApplied {
             service: name.clone(),
             revision: row.revision,
         });
@@ -79,7 +79,7 @@
         for group in &groups {
             let request = PeerRequest::Changes(group.clone());
             let links = links.clone();
-            let address = row.peer;
+            let address = row.peer_address;
             tokio::spawn(async move {
                 let _ = links.call(address, &request, CALL_TIMEOUT).await;
             });
@@ -90,7 +90,7 @@
 /// Compares digests with one peer and exchanges the rows that are newer on either side.
 async fn repair_with(board: &Blackboard, links: &Links, peer: &MemberRow) {
     let digest = board.catalog.lock().digest();
-    let reply = links.call(peer.peer, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
+    let reply = links.call(peer.peer_address, &PeerRequest::Digest { digest }, CALL_TIMEOUT).await;
     let Ok(PeerReply::Summary(summary)) = reply else {
         return;
     };
@@ -100,13 +100,15 @@
     };
     for names in stale.chunks(NAMES_PER_MESSAGE) {
         let request = PeerRequest::Fetch(names.to_vec());
-        if let Ok(PeerReply::Changes(rows)) = links.call(peer.peer, &request, CALL_TIMEOUT).await {
+        if let Ok(PeerReply::Changes(rows)) =
+            links.call(peer.peer_address, &request, CALL_TIMEOUT).await
+        {
             merge_rows(board, rows);
         }
     }
     for group in split_rows(&newer) {
         let request = PeerRequest::Changes(group);
-        let _ = links.call(peer.peer, &request, CALL_TIMEOUT).await;
+        let _ = links.call(peer.peer_address, &request, CALL_TIMEOUT).await;
     }
 }
 
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -272,7 +272,7 @@
             let after = items.last().map(|item| item.key.clone());
             let page = self.store.list_page(self.prefix, after.as_deref(), freshness).await?;
             let at = *read_at.get_or_insert(page.revision);
-            let last = !page.more || page.items.is_empty();
+            let last = !page.has_more || page.items.is_empty();
             items.extend(page.items.into_iter().map(|item| self.mirror.redacted(item)));
             if last {
                 return Ok((items, at));
--- a/src/gateway/follower_relays.rs
+++ b/src/gateway/follower_relays.rs
@@ -253,7 +253,7 @@
         let grace = self.outage.expiry_grace();
         match answer.reply {
             FeedReply::Events { events, revision } => self.mirror.apply(&events, revision, grace),
-            FeedReply::All { items, revision } => self.mirror.replace(&items, revision, grace),
+            FeedReply::Snapshot { items, revision } => self.mirror.replace(&items, revision, grace),
             FeedReply::Unknown => return false,
         }
         // Instances that hold the server list compute the demand themselves.
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -96,7 +96,7 @@
         let home = |row: &Arc<MemberRow>| QuotaHome {
             zone: row.zone.as_str().into(),
             incarnation: row.incarnation,
-            peer: row.peer,
+            peer: row.peer_address,
         };
         let zones = settings.gateway.as_ref().map_or(&[][..], |gateway| &gateway.zones);
         let placement = QuotaPlacement {
--- a/src/gateway/load_reporter.rs
+++ b/src/gateway/load_reporter.rs
@@ -130,7 +130,7 @@
         let all = homes.iter().any(|row| row.incarnation == self.board.incarnation);
         let peer = |row: &Arc<MemberRow>| ReportTarget {
             incarnation: row.incarnation,
-            address: row.peer,
+            address: row.peer_address,
             same_zone: row.zone == *own_zone,
         };
         others.map(peer).filter(|peer| all || peer.same_zone).collect()
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -383,7 +383,7 @@
             Some(after) if after >= self.recent_after => {
                 FeedReply::Events { events: self.events_after(after), revision }
             }
-            _ => FeedReply::All { items: self.all_items(), revision },
+            _ => FeedReply::Snapshot { items: self.all_items(), revision },
         }
     }
 
--- a/src/gateway/mirror_sample.rs
+++ b/src/gateway/mirror_sample.rs
@@ -86,6 +86,6 @@
         if after.is_some_and(|after| after >= sample.changed_at) {
             return FeedReply::Events { events: Vec::new().into(), revision };
         }
-        FeedReply::All { items: sample.items.clone(), revision }
+        FeedReply::Snapshot { items: sample.items.clone(), revision }
     }
 }
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -82,7 +82,7 @@
         let accepts_callers = self.admission.accepts_callers();
         let named =
             homes.iter().filter(|row| accepts_callers || row.incarnation != self.board.incarnation);
-        (named.map(|row| row.caller).collect(), ttl.min(ttl_max))
+        (named.map(|row| row.caller_address).collect(), ttl.min(ttl_max))
     }
 }
 
--- a/src/gateway/quarantine_store.rs
+++ b/src/gateway/quarantine_store.rs
@@ -100,7 +100,7 @@
                 rows.extend(decode_rows(&item.key, &item.value));
             }
             after = page.items.last().map(|item| item.key.clone());
-            if !page.more || after.is_none() {
+            if !page.has_more || after.is_none() {
                 return Ok(rows);
             }
         }
--- a/src/gateway/relays.rs
+++ b/src/gateway/relays.rs
@@ -90,8 +90,8 @@
 fn other_addresses(board: &Blackboard, members: &[Arc<MemberRow>]) -> PeerAddresses {
     let mut peers = PeerAddresses::new();
     for row in members.iter().filter(|row| row.incarnation != board.incarnation) {
-        if !peers.contains(&row.peer) {
-            peers.push(row.peer);
+        if !peers.contains(&row.peer_address) {
+            peers.push(row.peer_address);
         }
     }
     peers
--- a/src/gateway/zone_majority.rs
+++ b/src/gateway/zone_majority.rs
@@ -23,9 +23,10 @@
     /// missing instances are considered dead.
     pub(super) fn has_majority(&mut self, view: &MembersView, zone: &str, now_us: u64) -> bool {
         let of_zone = || view.rows.iter().filter(|row| row.zone == zone);
-        let seen = of_zone().filter(|row| row.state.may_answer()).map(|row| row.peer);
+        let seen = of_zone().filter(|row| row.state.may_answer()).map(|row| row.peer_address);
         let seen: HashSet<SocketAddr> = seen.collect();
-        let dead = of_zone().filter(|row| row.state == MemberState::Dead).map(|row| row.peer);
+        let dead =
+            of_zone().filter(|row| row.state == MemberState::Dead).map(|row| row.peer_address);
         let missing: HashSet<SocketAddr> = dead.filter(|peer| !seen.contains(peer)).collect();
         if seen.len() > missing.len() {
             self.minority_since_us = None;
--- a/src/measure/prober.rs
+++ b/src/measure/prober.rs
@@ -136,7 +136,7 @@
     let requested_ms = now_ms();
     let from = router.board.incarnation;
     let request = PeerRequest::Grant(GrantRequest { from, services: services.to_vec() });
-    let reply = router.links.call(grantor.peer, &request, GRANT_TIMEOUT).await;
+    let reply = router.links.call(grantor.peer_address, &request, GRANT_TIMEOUT).await;
     let Ok(PeerReply::Granted(counts)) = reply else {
         return;
     };
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -58,7 +58,7 @@
         row.zone == *zone && row.incarnation != board.incarnation && row.state.may_answer()
     });
     for row in others {
-        let (links, request, address) = (links.clone(), request.clone(), row.peer);
+        let (links, request, address) = (links.clone(), request.clone(), row.peer_address);
         tokio::spawn(async move { links.call(address, &request, SEND_TIMEOUT).await });
     }
 }
--- a/src/member/announce.rs
+++ b/src/member/announce.rs
@@ -30,10 +30,10 @@
     let (own, zone) = (board.incarnation, &board.settings.instance.zone);
     if view.running_count() <= BROADCAST_INSTANCES_MAX {
         let others = view.rows.iter().filter(|row| row.incarnation != own);
-        return others.filter(|row| row.state.may_answer()).map(|row| row.peer).collect();
+        return others.filter(|row| row.state.may_answer()).map(|row| row.peer_address).collect();
     }
     let ping_targets =
-        board.members.lock().ping_targets().iter().map(|row| row.peer).collect::<Vec<_>>();
+        board.members.lock().ping_targets().iter().map(|row| row.peer_address).collect::<Vec<_>>();
     let first = view.zones().flat_map(|zone| view.ranked(zone).iter().take(TARGETS_PER_ZONE));
     // The own row no longer accepts work and is not ranked, so compute the position it would have.
     let own_row = view.row(own);
@@ -43,7 +43,7 @@
     };
     let in_zone = if own_row.is_some_and(is_advertised) { view.ranked(zone) } else { &[] };
     let others = first.chain(in_zone).filter(|row| row.incarnation != own);
-    ping_targets.into_iter().chain(others.map(|row| row.peer)).collect()
+    ping_targets.into_iter().chain(others.map(|row| row.peer_address)).collect()
 }
 
 /// Announces this instance's own state to the [`announce_targets`].
--- a/src/member/failure_detector.rs
+++ b/src/member/failure_detector.rs
@@ -58,7 +58,7 @@
             gossip: members.take_gossip(GOSSIP_ROWS_MAX, now_ms()),
         })
     };
-    let reply = links.call(target.peer, &request, timeout).await;
+    let reply = links.call(target.peer_address, &request, timeout).await;
     let Ok(PeerReply::Ack { stamp, digest_hash, suspects_digest, gossip }) = reply else {
         return None;
     };
@@ -79,8 +79,8 @@
     let mut calls = tokio::task::JoinSet::new();
     for helper in helpers {
         let links = links.clone();
-        let request = PeerRequest::IndirectPing { target: target.peer };
-        calls.spawn(async move { links.call(helper.peer, &request, timeout).await });
+        let request = PeerRequest::IndirectPing { target: target.peer_address };
+        calls.spawn(async move { links.call(helper.peer_address, &request, timeout).await });
     }
     while let Some(reply) = calls.join_next().await {
         if matches!(reply, Ok(Ok(PeerReply::Reached(true)))) {
@@ -108,10 +108,10 @@
         match ping(&self.board, &self.links, &target).await {
             Some(agreement) => {
                 if !agreement.suspect_requests {
-                    self.exchange_suspects_if_due(target.peer).await;
+                    self.exchange_suspects_if_due(target.peer_address).await;
                 }
                 if !agreement.members {
-                    self.sync_members_if_due(target.peer).await;
+                    self.sync_members_if_due(target.peer_address).await;
                 }
             }
             // This instance was stalled itself; the reply may have arrived unread.
--- a/src/member/joiner.rs
+++ b/src/member/joiner.rs
@@ -137,9 +137,9 @@
         let matches = |row: &&Arc<MemberRow>| {
             row.state.may_answer()
                 && row.incarnation != self.board.incarnation
-                && row.peer != contact
+                && row.peer_address != contact
         };
-        after.iter().chain(before).find(matches).map(|row| row.peer)
+        after.iter().chain(before).find(matches).map(|row| row.peer_address)
     }
 
     /// Merges received rows and publishes the table.
--- a/src/member/row.rs
+++ b/src/member/row.rs
@@ -62,11 +62,11 @@
     /// Availability zone of the instance.
     pub zone: String,
     /// Address for requests of callers.
-    pub caller: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address for calls of operators.
-    pub operator: SocketAddr,
+    pub operator_address: SocketAddr,
     /// Address for calls of other instances.
-    pub peer: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Requests per second that its processor and network link can carry.
     pub capacity_per_s: u32,
     /// Uptime when the row was sent; never more than the true uptime.
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -91,7 +91,7 @@
 }
 
 /// The incarnations whose time is at least `least_ms` ago, the oldest first.
-fn at_least_since(since: &BTreeSet<(u64, u64)>, least_ms: u64, now_ms: u64) -> Vec<u64> {
+fn entries_older_than(since: &BTreeSet<(u64, u64)>, least_ms: u64, now_ms: u64) -> Vec<u64> {
     let old = |entry: &&(u64, u64)| now_ms.saturating_sub(entry.0) >= least_ms;
     since.iter().take_while(old).map(|(_, incarnation)| *incarnation).collect()
 }
@@ -122,7 +122,7 @@
         let incarnation = entry.row.incarnation;
         self.remove(incarnation);
         if entry.row.state.may_answer() {
-            self.by_peer_address.entry(entry.row.peer).or_default().push(incarnation);
+            self.by_peer_address.entry(entry.row.peer_address).or_default().push(incarnation);
             self.ring.set_present(incarnation, true);
         }
         self.gossip_queue.set(incarnation, sends);
@@ -145,10 +145,10 @@
         self.gossip_queue.set(incarnation, 0);
         self.suspects.remove(&(entry.state_since_ms, incarnation));
         self.tombstones.remove(&(entry.state_since_ms, incarnation));
-        if let Some(at_address) = self.by_peer_address.get_mut(&entry.row.peer) {
+        if let Some(at_address) = self.by_peer_address.get_mut(&entry.row.peer_address) {
             at_address.retain(|other| *other != incarnation);
             if at_address.is_empty() {
-                self.by_peer_address.remove(&entry.row.peer);
+                self.by_peer_address.remove(&entry.row.peer_address);
             }
         }
         Some(entry)
@@ -287,7 +287,7 @@
             return;
         }
         let started_ms = now_ms.saturating_sub(row.uptime_ms);
-        let at_address = self.by_peer_address.get(&row.peer).cloned().unwrap_or_default();
+        let at_address = self.by_peer_address.get(&row.peer_address).cloned().unwrap_or_default();
         let own = self.own_incarnation;
         for predecessor in at_address.into_iter().filter(|predecessor| *predecessor != own) {
             let Some(entry) =
@@ -342,17 +342,17 @@
     /// Declares suspects dead whose timeout has passed and removes expired tombstones. Returns the
     /// peer addresses of those declared dead.
     pub fn expire_suspects(&mut self, suspect_timeout_ms: u64, now_ms: u64) -> Vec<SocketAddr> {
-        let dead = at_least_since(&self.suspects, suspect_timeout_ms, now_ms);
+        let dead = entries_older_than(&self.suspects, suspect_timeout_ms, now_ms);
         for incarnation in &dead {
             self.downgrade(*incarnation, MemberState::Dead, now_ms);
         }
-        for incarnation in at_least_since(&self.tombstones, TOMBSTONE_TTL_MS, now_ms) {
+        for incarnation in entries_older_than(&self.tombstones, TOMBSTONE_TTL_MS, now_ms) {
             if incarnation != self.own_incarnation {
                 self.remove(incarnation);
                 self.changed.insert(incarnation);
             }
         }
-        dead.iter().filter_map(|member| Some(self.entries.get(member)?.row.peer)).collect()
+        dead.iter().filter_map(|member| Some(self.entries.get(member)?.row.peer_address)).collect()
     }
 
     /// Whether any member is a suspect.
--- a/src/operator/answers.rs
+++ b/src/operator/answers.rs
@@ -41,8 +41,8 @@
     wire::InstanceStatus {
         name: row.name.clone(),
         zone: row.zone.clone(),
-        caller_address: row.caller.to_string(),
-        operator_address: row.operator.to_string(),
+        caller_address: row.caller_address.to_string(),
+        operator_address: row.operator_address.to_string(),
         state: row.state.name().into(),
         incarnation: row.incarnation,
     }
--- a/src/peer/forward.rs
+++ b/src/peer/forward.rs
@@ -12,7 +12,7 @@
 /// Why a request is forwarded. A request is only forwarded to a later stage, so it cannot loop
 /// between instances that disagree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Stage {
+pub enum ForwardStage {
     /// Received directly from its caller.
     Entry,
     /// To the owner of its idempotency key.
@@ -38,7 +38,7 @@
     /// Whether the sender considers the request idempotent; the receiver treats it so only if it
     /// agrees.
     pub idempotent: bool,
-    pub stage: Stage,
+    pub stage: ForwardStage,
     /// Time until the deadline; a duration, since clocks differ between instances.
     pub remaining_us: u64,
 }
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -41,10 +41,10 @@
 /// Serves messages of peers.
 pub trait PeerService: Clone + Send + Sync + 'static {
     /// Answers a control message.
-    fn control(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
+    fn handle_control(&self, request: PeerRequest) -> impl Future<Output = PeerReply> + Send;
 
     /// Runs a forwarded request.
-    fn forward(
+    fn handle_forward(
         &self,
         head: ForwardHead,
         body: Bytes,
@@ -146,7 +146,7 @@
 ) -> Option<()> {
     let bytes = read_message(body).await?;
     let request: PeerRequest = decode(&bytes).ok()?;
-    let reply = service.control(request).await;
+    let reply = service.handle_control(request).await;
     let mut stream = send_ok(respond)?;
     stream.send_data(Bytes::from(encode(&reply)), true).ok()
 }
@@ -166,7 +166,7 @@
     }
     // The forwarding instance resets the stream when its caller has disconnected or another attempt
     // has answered first; dropping the work releases its slot.
-    let work = service.forward(head, whole.freeze());
+    let work = service.handle_forward(head, whole.freeze());
     let (head, body) = tokio::select! {
         done = work => done,
         _ = std::future::poll_fn(|cx| respond.poll_reset(cx)) => return Some(()),
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -79,7 +79,7 @@
     /// All events after the requested revision, up to `revision`.
     Events { events: Packed<Vec<ItemEvent>>, revision: u64 },
     /// A snapshot of all items at `revision`.
-    All { items: Packed<Vec<Item>>, revision: u64 },
+    Snapshot { items: Packed<Vec<Item>>, revision: u64 },
     /// The responder does not have that part.
     Unknown,
 }
@@ -193,7 +193,7 @@
     fn packed_bytes(&self) -> usize {
         match self {
             Self::Events { events, .. } => events.bytes().len(),
-            Self::All { items, .. } => items.bytes().len(),
+            Self::Snapshot { items, .. } => items.bytes().len(),
             Self::Unknown => 0,
         }
     }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -13,7 +13,7 @@
 pub use forward::ForwardHead;
 pub use forward::ForwardReply;
 pub use forward::ForwardReplyHead;
-pub use forward::Stage;
+pub use forward::ForwardStage;
 pub use frame::FRAME_MAX_BYTES;
 pub use frame::Message;
 pub use frame::decode;
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -31,7 +31,7 @@
 use crate::member::MemberRow;
 use crate::outcome::IdempotencyKey;
 use crate::outcome::KeyPrefix;
-use crate::peer::Stage;
+use crate::peer::ForwardStage;
 use crate::quarantine::Fingerprints;
 
 /// A connection that has not sent a complete request head within this time is closed.
@@ -172,7 +172,7 @@
         body,
         key,
         idempotent: true,
-        stage: Stage::Entry,
+        stage: ForwardStage::Entry,
         deadline_us,
     })
 }
@@ -240,7 +240,7 @@
     let epoch = board.outcomes.epoch_since(started_ms, now_ms());
     let prefix = KeyPrefix { incarnation: row.incarnation, epoch };
     AddressEntry {
-        address: row.caller.to_string(),
+        address: row.caller_address.to_string(),
         zone: row.zone.clone(),
         key_prefix: prefix.to_string(),
     }
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -18,7 +18,7 @@
 use crate::outcome::RecordedOutcome;
 use crate::outcome::RunGuard;
 use crate::outcome::claim;
-use crate::peer::Stage;
+use crate::peer::ForwardStage;
 
 /// Retry delay for the caller if the owner's outcome table is full.
 const TABLE_FULL_RETRY_AFTER_MS: u64 = 1_000;
@@ -70,7 +70,7 @@
     /// Forwards the request to the process that answers for the keys of `incarnation`: the owner
     /// or its successor.
     async fn forward_to_owner(&self, proxy_request: &ProxyRequest, incarnation: u64) -> Answer {
-        if proxy_request.stage >= Stage::Owner {
+        if proxy_request.stage >= ForwardStage::Owner {
             // The sender took this instance for the owner or its successor, but it is not, or no
             // longer. Forwarding once more could form a loop.
             return owner_unreachable();
@@ -80,7 +80,7 @@
             self.board.counters.add(Counter::OwnerUnreachable);
             return owner_unreachable();
         };
-        if let Ok(answer) = self.forward(&owner, proxy_request, Stage::Owner).await {
+        if let Ok(answer) = self.forward(&owner, proxy_request, ForwardStage::Owner).await {
             answer
         } else {
             self.board.counters.add(Counter::OwnerUnreachable);
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -9,7 +9,7 @@
 use crate::clock::now_us;
 use crate::outcome::IdempotencyKey;
 use crate::peer::ForwardHead;
-use crate::peer::Stage;
+use crate::peer::ForwardStage;
 use crate::quarantine::FailedSend;
 use crate::quarantine::Fingerprints;
 
@@ -28,7 +28,7 @@
     pub key: Option<IdempotencyKey>,
     /// Whether every instance that has handled it so far considers it idempotent.
     pub idempotent: bool,
-    pub stage: Stage,
+    pub stage: ForwardStage,
     /// On this process's monotonic clock, in microseconds.
     pub deadline_us: u64,
 }
@@ -67,7 +67,7 @@
 
     /// The head of this request for forwarding to another instance.
     #[must_use]
-    pub fn pass_head(&self, stage: Stage) -> ForwardHead {
+    pub fn pass_head(&self, stage: ForwardStage) -> ForwardHead {
         ForwardHead {
             service: self.service.clone(),
             fingerprints: self.fingerprints,
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -58,7 +58,7 @@
         free_slots: free,
         queued: waiting,
     });
-    let reply = router.links.call(home.peer, &note, SEND_TIMEOUT).await;
+    let reply = router.links.call(home.peer_address, &note, SEND_TIMEOUT).await;
     if let Ok(PeerReply::FreeSlots(free)) = reply
         && let Some(state) = router.board.services().get(&name)
     {
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -8,8 +8,8 @@
 use crate::board::Blackboard;
 use crate::board::Counter;
 use crate::errors::Code;
+use crate::peer::ForwardStage;
 use crate::peer::Links;
-use crate::peer::Stage;
 use crate::store::AnyStore;
 
 /// The request path of one instance. Clones share the same state.
@@ -55,7 +55,7 @@
         // At a home, the owner of the key has already decided on it, unless the sender, on an older
         // revision, considered the request idempotent and bypassed the owner: if it ran here then,
         // it could run a second time at the owner.
-        let key_resolved = proxy_request.stage >= Stage::Home && !forwarded_as_idempotent;
+        let key_resolved = proxy_request.stage >= ForwardStage::Home && !forwarded_as_idempotent;
         match proxy_request.key.clone() {
             Some(key) if !key_resolved => self.run_keyed(state, proxy_request, key).await,
             _ => self.run_detached(state, proxy_request).await,
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -27,10 +27,10 @@
 use crate::decide::may_retry;
 use crate::errors::Code;
 use crate::member::MemberRow;
+use crate::peer::ForwardStage;
 use crate::peer::PeerClient;
 use crate::peer::PeerError;
 use crate::peer::PeerRequest;
-use crate::peer::Stage;
 use crate::quarantine::CRASH_CHECK_WAIT;
 use crate::quarantine::Denial;
 
@@ -103,7 +103,7 @@
 impl Router {
     /// Runs a request, with retries where they are safe, and returns its final answer.
     pub(super) async fn run(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
-        if state.is_home || proxy_request.stage >= Stage::Home {
+        if state.is_home || proxy_request.stage >= ForwardStage::Home {
             return self.run_locally(state, proxy_request).await;
         }
         self.forward_to_home(state, proxy_request).await
@@ -114,7 +114,7 @@
     async fn forward_to_home(&self, state: &ServiceState, proxy_request: &ProxyRequest) -> Answer {
         let mut may_have_run = false;
         for home in &state.homes {
-            match self.forward(home, proxy_request, Stage::Home).await {
+            match self.forward(home, proxy_request, ForwardStage::Home).await {
                 // That home does not know the service yet; another one may.
                 Ok(answer) if answer.code == Code::UnknownService => {}
                 Ok(answer) => return answer.after_earlier_attempts(may_have_run),
@@ -136,13 +136,13 @@
         &self,
         to: &MemberRow,
         proxy_request: &ProxyRequest,
-        stage: Stage,
+        stage: ForwardStage,
     ) -> Result<Answer, PeerError> {
         let head = proxy_request.pass_head(stage);
         let within = Duration::from_micros(proxy_request.remaining_us()) + FORWARD_GRACE;
         let buffer_bytes = self.board.settings.requests.answer_buffer_bytes;
         let forwarded = async {
-            let reply = self.links.forward(to.peer, &head, &proxy_request.body).await?;
+            let reply = self.links.forward(to.peer_address, &head, &proxy_request.body).await?;
             if let Some(state) = self.board.services().get(&proxy_request.service) {
                 state.runtime.record_free_slots(to.incarnation, reply.head.free_slots);
                 state.runtime.slot_queue.redirect_waiters(reply.head.free_slots);
@@ -170,7 +170,7 @@
             let answer = match self.choose_target(state, proxy_request, &tried).await {
                 Target::Rejected(answer) => return answer.after_earlier_attempts(may_have_run),
                 Target::CoHome(home) => {
-                    match self.forward(&home, proxy_request, Stage::Spill).await {
+                    match self.forward(&home, proxy_request, ForwardStage::Spill).await {
                         Ok(answer) => answer,
                         Err(PeerError::ResponseLost) => Answer::unknown(Code::PeerLost),
                         Err(_) => Answer::not_run(Code::PeerLost, DEFAULT_RETRY_AFTER_MS),
@@ -262,7 +262,7 @@
         proxy_request: &ProxyRequest,
         own_usable: bool,
     ) -> Option<Arc<MemberRow>> {
-        if proxy_request.stage >= Stage::Spill {
+        if proxy_request.stage >= ForwardStage::Spill {
             return None;
         }
         let mut others = state.homes.iter().filter(|h| h.incarnation != self.board.incarnation);
@@ -384,7 +384,7 @@
         let request = PeerRequest::ServerLeaving { service, server: server.into(), leaving };
         for home in state.homes.iter().filter(|home| home.incarnation != self.board.incarnation) {
             let links = self.links.clone();
-            let address = home.peer;
+            let address = home.peer_address;
             let request = request.clone();
             tokio::spawn(async move {
                 // A co-home that misses this learns it from the server's own answers.
--- a/src/store/event_store.rs
+++ b/src/store/event_store.rs
@@ -48,7 +48,7 @@
 pub struct Page {
     pub items: Vec<Item>,
     /// Whether more keys follow after this page.
-    pub more: bool,
+    pub has_more: bool,
     /// The store's revision when the page was read; meaningless for a stale read.
     pub revision: u64,
 }
--- a/standins/src/routed/memory_events.rs
+++ b/standins/src/routed/memory_events.rs
@@ -186,7 +186,7 @@
         let mut left = below.filter(|item| after.is_none_or(|after| item.key.as_str() > after));
         let items: Vec<Item> = left.by_ref().take(PAGE_ITEMS).cloned().collect();
         let more = left.next().is_some();
-        Ok(Page { items, more, revision: state.revision })
+        Ok(Page { items, has_more: more, revision: state.revision })
     }
 
     async fn events(
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -271,8 +271,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn instances_that_disagree_on_idempotent_do_not_run_a_key_twice() {
     use sorrelwick::peer::ForwardHead;
+    use sorrelwick::peer::ForwardStage;
     use sorrelwick::peer::Links;
-    use sorrelwick::peer::Stage;
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
@@ -295,7 +295,7 @@
             headers: vec![("x-request-id".into(), id.clone().into_bytes())],
             key: Some(key.clone()),
             idempotent: true,
-            stage: Stage::Home,
+            stage: ForwardStage::Home,
             remaining_us: 2_000_000,
         };
         let passed = links.forward(board.settings.listen.peer, &head, &bytes::Bytes::new()).await;
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -153,7 +153,7 @@
 fn apply_reply(reply: FeedReply, to: &Mirror<OperatorSink<PlainDialect>>) {
     match reply {
         FeedReply::Events { events, revision } => to.apply(&events, revision, Duration::ZERO),
-        FeedReply::All { items, revision } => to.replace(&items, revision, Duration::ZERO),
+        FeedReply::Snapshot { items, revision } => to.replace(&items, revision, Duration::ZERO),
         FeedReply::Unknown => {}
     }
 }
--- a/tests/first_copy.rs
+++ b/tests/first_copy.rs
@@ -137,6 +137,6 @@
         mirror.replace(&[], 0, Duration::ZERO);
     };
     let (response, ()) = tokio::join!(asked, read);
-    assert_eq!(response.reply, FeedReply::All { items: Vec::new().into(), revision: 0 });
+    assert_eq!(response.reply, FeedReply::Snapshot { items: Vec::new().into(), revision: 0 });
     assert!(began.elapsed() < Duration::from_millis(30), "{:?}", began.elapsed());
 }
--- a/tests/mirror_schedules.rs
+++ b/tests/mirror_schedules.rs
@@ -113,7 +113,7 @@
     let reply = runtime.block_on(relay.serve(mirror.revision(), Duration::ZERO)).reply;
     match reply {
         FeedReply::Events { events, revision } => mirror.apply(&events, revision, Duration::ZERO),
-        FeedReply::All { items, revision } => mirror.replace(&items, revision, Duration::ZERO),
+        FeedReply::Snapshot { items, revision } => mirror.replace(&items, revision, Duration::ZERO),
         FeedReply::Unknown => {}
     }
 }
