--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -27,7 +27,7 @@
         let id = format!("order-{number}");
         let caller = &callers[usize::try_from(number).unwrap_or(0) % callers.len()];
         let call = Call::post(&format!("/orders?bytes={ORDER_BYTES}"), &id);
-        let (key, first) = caller.call_keyed(&call).await;
+        let (key, first) = caller.call_with_new_key(&call).await;
         let Some(key) = key else {
             continue;
         };
--- a/standins/src/backend/behaviour.rs
+++ b/standins/src/backend/behaviour.rs
@@ -14,19 +14,19 @@
     /// Answers work with 503 instead of queueing it.
     pub shedding: AtomicBool,
     /// Answers all work with 503 and asks for so many seconds of rest; 0 changes nothing.
-    pub rest_s: AtomicU32,
+    pub retry_after_s: AtomicU32,
     /// Multiplies the time of work; 0 and 1 change nothing.
     pub slow_factor: AtomicU32,
     /// Health says 200 whatever else is true.
-    pub lying_health: AtomicBool,
+    pub always_healthy: AtomicBool,
     /// Takes requests in and never answers.
     pub frozen: AtomicBool,
     /// Reported load is this much per cent of the true one; 0 stands for 100.
     pub report_percent: AtomicU32,
     /// So many next answers are cut in the middle of the body.
-    pub cut_bodies: AtomicU64,
+    pub bodies_to_truncate: AtomicU64,
     /// Those answers are sent in chunks, without telling their length beforehand.
-    pub cut_chunked: AtomicBool,
+    pub truncate_chunked: AtomicBool,
     /// So many next requests are run, and the connection is closed without an answer.
-    pub lose_answers: AtomicU64,
+    pub responses_to_drop: AtomicU64,
 }
--- a/standins/src/backend/record.rs
+++ b/standins/src/backend/record.rs
@@ -15,8 +15,8 @@
 #[derive(Debug, Default)]
 struct Rows {
     runs: Vec<Run>,
-    measuring: Vec<Instant>,
-    turned_away: Vec<Instant>,
+    probes: Vec<Instant>,
+    rejections: Vec<Instant>,
     crashes: Vec<Instant>,
 }
 
@@ -27,26 +27,26 @@
 }
 
 impl Record {
-    pub(super) fn ran(&self, request_id: &str) {
+    pub(super) fn record_run(&self, request_id: &str) {
         let run = Run { request_id: request_id.into(), at: Instant::now() };
         self.rows.lock().runs.push(run);
     }
 
-    pub(super) fn measured(&self) {
-        self.rows.lock().measuring.push(Instant::now());
+    pub(super) fn record_probe(&self) {
+        self.rows.lock().probes.push(Instant::now());
     }
 
-    pub(super) fn turned_away(&self) {
-        self.rows.lock().turned_away.push(Instant::now());
+    pub(super) fn record_rejection(&self) {
+        self.rows.lock().rejections.push(Instant::now());
     }
 
     /// When the server turned a request away and asked for rest.
     #[must_use]
-    pub fn turns_away(&self) -> Vec<Instant> {
-        self.rows.lock().turned_away.clone()
+    pub fn rejection_times(&self) -> Vec<Instant> {
+        self.rows.lock().rejections.clone()
     }
 
-    pub(super) fn crashed(&self) {
+    pub(super) fn record_crash(&self) {
         self.rows.lock().crashes.push(Instant::now());
     }
 
@@ -74,7 +74,7 @@
 
     /// When calls arrived that were made only to measure.
     #[must_use]
-    pub fn measuring(&self) -> Vec<Instant> {
-        self.rows.lock().measuring.clone()
+    pub fn probe_times(&self) -> Vec<Instant> {
+        self.rows.lock().probes.clone()
     }
 }
--- a/standins/src/backend/server.rs
+++ b/standins/src/backend/server.rs
@@ -85,7 +85,7 @@
     slots: Semaphore,
     in_flight: AtomicU32,
     connections: AtomicU32,
-    connections_most: AtomicU32,
+    peak_connections: AtomicU32,
     times: Mutex<WorkTimes>,
     crash: Notify,
     started: tokio::time::Instant,
@@ -125,11 +125,11 @@
             record: Arc::clone(&record),
             in_flight: AtomicU32::new(0),
             connections: AtomicU32::new(0),
-            connections_most: AtomicU32::new(0),
+            peak_connections: AtomicU32::new(0),
             started: tokio::time::Instant::now(),
             settings,
         });
-        let task = tokio::spawn(live(listener, Arc::clone(&shared)));
+        let task = tokio::spawn(run_with_restarts(listener, Arc::clone(&shared)));
         Ok(Self { address, behaviour, record, shared, task })
     }
 
@@ -147,8 +147,8 @@
 
     /// The most connections that were open at once.
     #[must_use]
-    pub fn connections_most(&self) -> u32 {
-        self.shared.connections_most.load(Ordering::Relaxed)
+    pub fn peak_connections(&self) -> u32 {
+        self.shared.peak_connections.load(Ordering::Relaxed)
     }
 
     /// Serves until the process ends.
@@ -157,37 +157,37 @@
     }
 }
 
-struct Count<'a>(&'a AtomicU32);
+struct CountGuard<'a>(&'a AtomicU32);
 
-impl<'a> Count<'a> {
-    fn of(counter: &'a AtomicU32) -> (Self, u32) {
+impl<'a> CountGuard<'a> {
+    fn increment(counter: &'a AtomicU32) -> (Self, u32) {
         let now = counter.fetch_add(1, Ordering::AcqRel) + 1;
         (Self(counter), now)
     }
 }
 
-impl Drop for Count<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// Lives, crashes and is back again, on one address.
-async fn live(mut listener: TcpListener, shared: Arc<Shared>) {
+async fn run_with_restarts(mut listener: TcpListener, shared: Arc<Shared>) {
     let Ok(address) = listener.local_addr() else {
         return;
     };
     loop {
         let serve = |stream| serve_connection(stream, Arc::clone(&shared));
         accept_until(listener, &shared.crash, serve).await;
-        shared.record.crashed();
+        shared.record.record_crash();
         listener = rebind(address, Duration::from_millis(shared.settings.down_ms)).await;
     }
 }
 
 async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
-    let (_count, open) = Count::of(&shared.connections);
-    shared.connections_most.fetch_max(open, Ordering::AcqRel);
+    let (_count, open) = CountGuard::increment(&shared.connections);
+    shared.peak_connections.fetch_max(open, Ordering::AcqRel);
     if open as usize > shared.settings.connections_max {
         return;
     }
@@ -206,11 +206,11 @@
 /// Time between the first half and the cut, so that the half is on its way. It begins when more is
 /// asked for: begun with the answer, it was over on a full machine before the half had left, and
 /// the cut took that along.
-const CUT_AFTER: Duration = Duration::from_millis(5);
+const TRUNCATE_DELAY: Duration = Duration::from_millis(5);
 
 /// A body that says how long it is and ends with an error halfway.
 #[derive(Debug)]
-pub struct CutBody {
+pub struct TruncatedBody {
     first: Option<Bytes>,
     /// Told beforehand; `None` for chunks.
     len: Option<u64>,
@@ -219,29 +219,29 @@
 
 /// The fault that ends a connection on purpose.
 #[derive(Debug)]
-pub struct Cut;
+pub struct TruncatedError;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for TruncatedError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("cut on purpose")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for TruncatedError {}
 
-impl Body for CutBody {
+impl Body for TruncatedBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedError;
 
     fn poll_frame(
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> std::task::Poll<Option<Result<Frame<Bytes>, TruncatedError>>> {
         if let Some(bytes) = self.first.take() {
             return std::task::Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
-        let pause = || Box::pin(tokio::time::sleep(CUT_AFTER));
-        self.pause.get_or_insert_with(pause).as_mut().poll(cx).map(|()| Some(Err(Cut)))
+        let pause = || Box::pin(tokio::time::sleep(TRUNCATE_DELAY));
+        self.pause.get_or_insert_with(pause).as_mut().poll(cx).map(|()| Some(Err(TruncatedError)))
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -249,21 +249,21 @@
     }
 }
 
-type Answer = Response<Either<Full<Bytes>, CutBody>>;
+type BackendResponse = Response<Either<Full<Bytes>, TruncatedBody>>;
 
-fn whole(status: StatusCode, body: Bytes) -> Answer {
+fn full_response(status: StatusCode, body: Bytes) -> BackendResponse {
     let mut response = Response::new(Either::Left(Full::new(body)));
     *response.status_mut() = status;
     response
 }
 
-fn take_one(left: &std::sync::atomic::AtomicU64) -> bool {
+fn try_decrement(left: &std::sync::atomic::AtomicU64) -> bool {
     let next = |left: u64| left.checked_sub(1);
     left.fetch_update(Ordering::AcqRel, Ordering::Acquire, next).is_ok()
 }
 
 /// What `in_flight` looks like in reports.
-fn reported(shared: &Shared) -> u32 {
+fn reported_load(shared: &Shared) -> u32 {
     let percent = match shared.behaviour.report_percent.load(Ordering::Relaxed) {
         0 => 100,
         percent => percent,
@@ -271,30 +271,33 @@
     shared.in_flight.load(Ordering::Acquire) * percent / 100
 }
 
-fn tell_state(shared: &Shared, answer: &mut Answer) {
-    answer.headers_mut().insert("x-backend-load", reported(shared).into());
+fn add_state_headers(shared: &Shared, answer: &mut BackendResponse) {
+    answer.headers_mut().insert("x-backend-load", reported_load(shared).into());
     if shared.behaviour.draining.load(Ordering::Acquire) {
         let draining = http::HeaderValue::from_static("draining");
         answer.headers_mut().insert("x-backend-state", draining);
     }
 }
 
-async fn serve(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Answer, Cut> {
+async fn serve(
+    shared: &Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<BackendResponse, TruncatedError> {
     let path = request.uri().path();
     if path == "/health" || path == "/load" {
-        shared.record.measured();
-        let lying = shared.behaviour.lying_health.load(Ordering::Relaxed);
+        shared.record.record_probe();
+        let lying = shared.behaviour.always_healthy.load(Ordering::Relaxed);
         let failing = shared.behaviour.failing.load(Ordering::Relaxed);
         let ok = lying || !failing;
         let status = if ok { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        let mut answer = whole(status, Bytes::from(reported(shared).to_string()));
+        let mut answer = full_response(status, Bytes::from(reported_load(shared).to_string()));
         if !lying {
-            tell_state(shared, &mut answer);
+            add_state_headers(shared, &mut answer);
         }
         return Ok(answer);
     }
-    let mut answer = work(shared, request).await?;
-    tell_state(shared, &mut answer);
+    let mut answer = run_request(shared, request).await?;
+    add_state_headers(shared, &mut answer);
     Ok(answer)
 }
 
@@ -304,27 +307,30 @@
     named.find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-fn slowness(shared: &Shared) -> u32 {
+fn slowdown_factor(shared: &Shared) -> u32 {
     let cold = shared.started.elapsed() < Duration::from_millis(shared.settings.cold_ms);
     let cold_factor = if cold { shared.settings.cold_factor.max(1) } else { 1 };
     shared.behaviour.slow_factor.load(Ordering::Relaxed).max(1) * cold_factor
 }
 
-async fn work(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Answer, Cut> {
+async fn run_request(
+    shared: &Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<BackendResponse, TruncatedError> {
     let behaviour = &shared.behaviour;
     if behaviour.failing.load(Ordering::Acquire) {
-        return Ok(whole(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()));
+        return Ok(full_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()));
     }
-    let rest_s = behaviour.rest_s.load(Ordering::Acquire);
+    let rest_s = behaviour.retry_after_s.load(Ordering::Acquire);
     if rest_s > 0 {
-        shared.record.turned_away();
-        let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        shared.record.record_rejection();
+        let mut response = full_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
         response.headers_mut().insert(http::header::RETRY_AFTER, rest_s.into());
         return Ok(response);
     }
     let busy = shared.slots.available_permits() == 0;
     if busy && behaviour.shedding.load(Ordering::Acquire) {
-        return Ok(whole(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()));
+        return Ok(full_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()));
     }
     let work_us = query_number(&request, "work_us");
     let len = query_number(&request, "bytes").and_then(|len| usize::try_from(len).ok());
@@ -333,31 +339,31 @@
     let crash_path = shared.settings.crash_path.as_str();
     let crashes = !crash_path.is_empty() && request.uri().path().starts_with(crash_path);
     if request.into_body().collect().await.is_err() {
-        return Err(Cut);
+        return Err(TruncatedError);
     }
-    let (_count, _) = Count::of(&shared.in_flight);
-    let _slot = shared.slots.acquire().await.map_err(|_| Cut)?;
-    shared.record.ran(&id);
+    let (_count, _) = CountGuard::increment(&shared.in_flight);
+    let _slot = shared.slots.acquire().await.map_err(|_| TruncatedError)?;
+    shared.record.record_run(&id);
     if behaviour.frozen.load(Ordering::Acquire) {
         std::future::pending::<()>().await;
     }
     let time = work_us.map_or_else(|| shared.times.lock().next_time(), Duration::from_micros);
     if !time.is_zero() {
-        tokio::time::sleep(time * slowness(shared)).await;
+        tokio::time::sleep(time * slowdown_factor(shared)).await;
     }
     if crashes {
         shared.crash.notify_one();
         std::future::pending::<()>().await;
     }
-    if take_one(&behaviour.lose_answers) {
-        return Err(Cut);
+    if try_decrement(&behaviour.responses_to_drop) {
+        return Err(TruncatedError);
     }
     let body = body_for(&id, len.unwrap_or(shared.settings.body_bytes));
-    if take_one(&behaviour.cut_bodies) {
-        let chunked = behaviour.cut_chunked.load(Ordering::Acquire);
+    if try_decrement(&behaviour.bodies_to_truncate) {
+        let chunked = behaviour.truncate_chunked.load(Ordering::Acquire);
         let len = (!chunked).then_some(body.len() as u64);
-        let cut = CutBody { first: Some(body.slice(..body.len() / 2)), len, pause: None };
+        let cut = TruncatedBody { first: Some(body.slice(..body.len() / 2)), len, pause: None };
         return Ok(Response::new(Either::Right(cut)));
     }
-    Ok(whole(StatusCode::OK, body))
+    Ok(full_response(StatusCode::OK, body))
 }
--- a/standins/src/backend/work.rs
+++ b/standins/src/backend/work.rs
@@ -22,7 +22,7 @@
     rng: Pcg64Mcg,
 }
 
-const TAIL_SHARE: f64 = 0.01;
+const TAIL_PROBABILITY: f64 = 0.01;
 const TAIL_FACTOR: f64 = 10.0;
 
 impl WorkTimes {
@@ -37,7 +37,7 @@
     /// The time of the next piece of work.
     pub fn next_time(&mut self) -> Duration {
         let uniform: f64 = self.rng.random();
-        let tail = self.rng.random_bool(TAIL_SHARE);
+        let tail = self.rng.random_bool(TAIL_PROBABILITY);
         let exponential = -(1.0 - uniform).ln() * self.mean_us;
         let us = if tail { exponential * TAIL_FACTOR } else { exponential };
         Duration::from_secs_f64(us / 1e6)
--- a/standins/src/caller/told.rs
+++ b/standins/src/caller/call_result.rs
@@ -7,21 +7,21 @@
 
 /// One address of an address answer.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Named {
+pub struct InstanceAddress {
     pub address: SocketAddr,
     pub zone: String,
     pub key_prefix: String,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub(super) struct AddressAnswer {
+pub(super) struct AddressResponse {
     pub keep_ms: u64,
-    pub addresses: Vec<Named>,
+    pub addresses: Vec<InstanceAddress>,
 }
 
 /// The end of one call, as the caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum CallResult {
     /// A whole answer.
     Answered {
         status: u16,
@@ -37,7 +37,7 @@
     Broken,
 }
 
-impl Told {
+impl CallResult {
     /// The outcome that sorrelwick told; empty when it told none.
     #[must_use]
     pub fn outcome(&self) -> &str {
--- a/standins/src/caller/client.rs
+++ b/standins/src/caller/client.rs
@@ -17,20 +17,20 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::Named;
-use super::Told;
-use super::told::AddressAnswer;
+use super::CallResult;
+use super::InstanceAddress;
+use super::call_result::AddressResponse;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-const FOR_EVER: Duration = Duration::from_hours(24);
+const FIXED_ADDRESS_TTL: Duration = Duration::from_hours(24);
 
 /// One request to send.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
     pub method: String,
     /// Path and query.
-    pub target: String,
+    pub path_and_query: String,
     /// Sent as `x-request-id`.
     pub id: String,
     pub key: Option<String>,
@@ -42,7 +42,12 @@
     /// A GET without key.
     #[must_use]
     pub fn get(target: &str, id: &str) -> Self {
-        Self { method: "GET".into(), target: target.into(), id: id.into(), ..Self::default() }
+        Self {
+            method: "GET".into(),
+            path_and_query: target.into(),
+            id: id.into(),
+            ..Self::default()
+        }
     }
 
     /// A POST without key.
@@ -60,16 +65,16 @@
 
     /// The same with a deadline.
     #[must_use]
-    pub const fn within_ms(mut self, timeout_ms: u64) -> Self {
+    pub const fn with_timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.timeout_ms = Some(timeout_ms);
         self
     }
 }
 
 #[derive(Debug)]
-struct Kept {
+struct CachedAddresses {
     until: Instant,
-    addresses: Vec<Named>,
+    addresses: Vec<InstanceAddress>,
 }
 
 /// A caller in one zone, of one service; clones share connections and the kept answer.
@@ -78,8 +83,8 @@
     service: Arc<str>,
     zone: Arc<str>,
     /// Instances to ask first, from the caller's own settings.
-    known: Arc<[SocketAddr]>,
-    kept: Arc<Mutex<Option<Kept>>>,
+    seeds: Arc<[SocketAddr]>,
+    cached: Arc<Mutex<Option<CachedAddresses>>>,
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Sender>>>>,
 }
 
@@ -90,8 +95,8 @@
         Self {
             service: service.into(),
             zone: zone.into(),
-            known: known.into(),
-            kept: Arc::default(),
+            seeds: known.into(),
+            cached: Arc::default(),
             idle: Arc::default(),
         }
     }
@@ -100,58 +105,58 @@
     #[must_use]
     pub fn fixed(service: &str, address: SocketAddr) -> Self {
         let caller = Self::new(service, "", &[]);
-        let named = Named { address, zone: String::new(), key_prefix: String::new() };
-        let until = Instant::now() + FOR_EVER;
-        *caller.kept.lock() = Some(Kept { until, addresses: vec![named] });
+        let named = InstanceAddress { address, zone: String::new(), key_prefix: String::new() };
+        let until = Instant::now() + FIXED_ADDRESS_TTL;
+        *caller.cached.lock() = Some(CachedAddresses { until, addresses: vec![named] });
         caller
     }
 
     /// The addresses to use, best first; asks anew once the kept answer is over.
-    pub async fn addresses(&self) -> Vec<Named> {
-        if let Some(kept) = &*self.kept.lock()
+    pub async fn addresses(&self) -> Vec<InstanceAddress> {
+        if let Some(kept) = &*self.cached.lock()
             && Instant::now() < kept.until
         {
             return kept.addresses.clone();
         }
         let mut asked: Vec<SocketAddr> = Vec::new();
-        if let Some(kept) = &*self.kept.lock() {
+        if let Some(kept) = &*self.cached.lock() {
             asked.extend(kept.addresses.iter().map(|named| named.address));
         }
-        asked.extend(self.known.iter());
+        asked.extend(self.seeds.iter());
         for address in asked {
-            if let Some(answer) = self.ask(address).await {
+            if let Some(answer) = self.resolve_at(address).await {
                 let until = Instant::now() + Duration::from_millis(answer.keep_ms);
                 let addresses = answer.addresses.clone();
-                *self.kept.lock() = Some(Kept { until, addresses: answer.addresses });
+                *self.cached.lock() = Some(CachedAddresses { until, addresses: answer.addresses });
                 return addresses;
             }
         }
         Vec::new()
     }
 
-    async fn ask(&self, address: SocketAddr) -> Option<AddressAnswer> {
+    async fn resolve_at(&self, address: SocketAddr) -> Option<AddressResponse> {
         let (service, zone) = (&self.service, &self.zone);
         let target = format!("/.sorrelwick/v1/addresses?service={service}&zone={zone}");
         let told = self.call_at(address, &Call::get(&target, "")).await;
-        let answer: AddressAnswer = serde_json::from_slice(told.body()).ok()?;
+        let answer: AddressResponse = serde_json::from_slice(told.body()).ok()?;
         (!answer.addresses.is_empty()).then_some(answer)
     }
 
     /// Sends a call to the best address; tries the next only when nothing was sent.
-    pub async fn call(&self, call: &Call) -> Told {
+    pub async fn call(&self, call: &Call) -> CallResult {
         for named in self.addresses().await {
             let told = self.call_at(named.address, call).await;
-            if told != Told::NotSent {
+            if told != CallResult::NotSent {
                 return told;
             }
         }
-        Told::NotSent
+        CallResult::NotSent
     }
 
     /// Sends a call with a fresh key that is bound to the best address, and returns the key.
-    pub async fn call_keyed(&self, call: &Call) -> (Option<String>, Told) {
+    pub async fn call_with_new_key(&self, call: &Call) -> (Option<String>, CallResult) {
         let Some(named) = self.addresses().await.into_iter().next() else {
-            return (None, Told::NotSent);
+            return (None, CallResult::NotSent);
         };
         let key = format!("{}-{}", named.key_prefix, call.id);
         let told = self.call_at(named.address, &call.clone().with_key(&key)).await;
@@ -178,7 +183,7 @@
     fn request(&self, address: SocketAddr, call: &Call) -> Option<Request<Full<Bytes>>> {
         let mut builder = Request::builder()
             .method(call.method.as_str())
-            .uri(call.target.as_str())
+            .uri(call.path_and_query.as_str())
             .header("host", address.to_string())
             .header("sorrelwick-service", &*self.service)
             .header("x-request-id", call.id.as_str());
@@ -195,35 +200,35 @@
     ///
     /// A connection that was closed while idle is found so before anything is written on it,
     /// and the call goes over a new one.
-    pub async fn call_at(&self, address: SocketAddr, call: &Call) -> Told {
+    pub async fn call_at(&self, address: SocketAddr, call: &Call) -> CallResult {
         for _ in 0..3 {
             let (Some(mut sender), Some(request)) =
                 (self.sender(address).await, self.request(address, call))
             else {
-                return Told::NotSent;
+                return CallResult::NotSent;
             };
             let response = match sender.try_send_request(request).await {
                 Ok(response) => response,
                 Err(mut err) => match err.take_message() {
                     Some(_) => continue,
-                    None => return Told::Broken,
+                    None => return CallResult::Broken,
                 },
             };
             let status = response.status().as_u16();
             let headers = response.headers().clone();
             let Ok(body) = response.into_body().collect().await else {
-                return Told::Broken;
+                return CallResult::Broken;
             };
             self.idle.lock().entry(address).or_default().push(sender);
-            return answered(status, &headers, body.to_bytes());
+            return to_call_result(status, &headers, body.to_bytes());
         }
-        Told::NotSent
+        CallResult::NotSent
     }
 }
 
-fn answered(status: u16, headers: &HeaderMap, body: Bytes) -> Told {
+fn to_call_result(status: u16, headers: &HeaderMap, body: Bytes) -> CallResult {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    Told::Answered {
+    CallResult::Answered {
         status,
         outcome: text("sorrelwick-outcome").unwrap_or("").to_owned(),
         code: text("sorrelwick-code").and_then(|text| text.parse().ok()).unwrap_or(0),
--- a/standins/src/caller/mod.rs
+++ b/standins/src/caller/mod.rs
@@ -1,9 +1,9 @@
 //! A caller: asks which address to use, keeps the answer, connects there.
 
+mod call_result;
 mod client;
-mod told;
 
+pub use call_result::CallResult;
+pub use call_result::InstanceAddress;
 pub use client::Call;
 pub use client::Caller;
-pub use told::Named;
-pub use told::Told;
--- a/standins/src/load/runner.rs
+++ b/standins/src/load/runner.rs
@@ -52,7 +52,8 @@
     let id = format!("{}-{number}", plan.name);
     let work = plan.work_us.map(|us| format!("&work_us={us}")).unwrap_or_default();
     let target = format!("{}?bytes={len}{work}", plan.path);
-    Call { method: plan.method.clone(), target, id, ..Call::default() }.within_ms(plan.timeout_ms)
+    Call { method: plan.method.clone(), path_and_query: target, id, ..Call::default() }
+        .with_timeout_ms(plan.timeout_ms)
 }
 
 /// Sends the plan's requests, spread over the callers in turn, and waits for every answer.
--- a/standins/src/load/summary.rs
+++ b/standins/src/load/summary.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::caller::Told;
+use crate::caller::CallResult;
 
 const MAX_US: u64 = 120_000_000;
 const DIGITS: u8 = 3;
@@ -45,11 +45,12 @@
 
 impl Summary {
     /// Counts one call that took `us` from when it was due.
-    pub fn count(&mut self, told: &Told, expected: &[u8], us: u64) {
+    pub fn count(&mut self, told: &CallResult, expected: &[u8], us: u64) {
         match told {
-            Told::NotSent => self.not_sent += 1,
-            Told::Broken => self.broken += 1,
-            Told::Answered { status, outcome, body, .. } => match (outcome.as_str(), *status) {
+            CallResult::NotSent => self.not_sent += 1,
+            CallResult::Broken => self.broken += 1,
+            CallResult::Answered { status, outcome, body, .. } => match (outcome.as_str(), *status)
+            {
                 ("not-run", _) => {
                     self.not_run += 1;
                     self.refusal_us.saturating_record(us);
--- a/standins/src/rebind.rs
+++ b/standins/src/rebind.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 
 /// Pause before the next try; the address may still be taken for a moment.
-const PAUSE: Duration = Duration::from_millis(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Listens on an address again after `down`.
 pub async fn rebind(address: SocketAddr, down: Duration) -> TcpListener {
@@ -17,7 +17,7 @@
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
--- a/standins/src/routed/crash_rule.rs
+++ b/standins/src/routed/crash_rule.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Debug)]
 pub struct CrashRule {
     /// A request whose head contains this crashes the server once its work is over.
-    pub head_part: String,
+    pub head_contains: String,
     /// How long nothing listens on its address.
-    pub down: Duration,
+    pub downtime: Duration,
     /// Whether the answer has begun by then.
     pub mid_response: bool,
 }
--- a/standins/src/routed/routed_bed.rs
+++ b/standins/src/routed/gateway_fleet.rs
@@ -12,34 +12,34 @@
 use tokio::runtime::Builder;
 use tokio::runtime::Runtime;
 
-use super::Fault;
-use super::MemoryEvents;
+use super::MemoryEventStore;
 use super::PlainDialect;
-use super::RawAnswer;
+use super::RawResponse;
+use super::StoreFault;
 use super::raw_call;
 use super::raw_call_from;
 
 const SECRET: &str = "a secret of sixteen";
-const WAIT: Duration = Duration::from_secs(10);
-const TURN: Duration = Duration::from_millis(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Instances, the store that they share, and each one's view of it.
 #[derive(Debug)]
-pub struct RoutedBed {
-    pub store: MemoryEvents,
-    pub views: Vec<MemoryEvents>,
-    pub hosts: Vec<RoutedHost>,
+pub struct GatewayFleet {
+    pub store: MemoryEventStore,
+    pub store_clients: Vec<MemoryEventStore>,
+    pub instances: Vec<FleetInstance>,
 }
 
 /// An instance with a runtime of its own, so that it can be killed with all its connections.
 #[derive(Debug)]
-pub struct RoutedHost {
+pub struct FleetInstance {
     runtime: Runtime,
     gateway: Gateway,
 }
 
-impl RoutedHost {
-    async fn spawn(settings: Settings, view: MemoryEvents) -> Self {
+impl FleetInstance {
+    async fn spawn(settings: Settings, view: MemoryEventStore) -> Self {
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build();
         let runtime = runtime.expect("a runtime");
         let spawned = runtime.spawn(Gateway::spawn(settings, PlainDialect::default(), view)).await;
@@ -68,7 +68,7 @@
 /// # Panics
 /// Never: they are valid.
 #[must_use]
-pub fn bed_settings(name: &str, zone: &str, zones: &[&str], seeds: &[SocketAddr]) -> Settings {
+pub fn fleet_settings(name: &str, zone: &str, zones: &[&str], seeds: &[SocketAddr]) -> Settings {
     let text = serde_json::json!({
         "instance": { "name": name, "zone": zone },
         "listen": {
@@ -90,22 +90,22 @@
     parse_settings("bed", &text.to_string()).expect("the bed's settings are valid")
 }
 
-impl Drop for RoutedBed {
+impl Drop for GatewayFleet {
     fn drop(&mut self) {
-        for host in self.hosts.drain(..) {
+        for host in self.instances.drain(..) {
             host.kill();
         }
     }
 }
 
-impl RoutedBed {
+impl GatewayFleet {
     /// Starts one instance for each zone named, in order.
     ///
     /// # Panics
     /// When one does not start.
     pub async fn start(zones: &[&str]) -> Self {
-        let store = MemoryEvents::default();
-        let mut bed = Self { store, views: Vec::new(), hosts: Vec::new() };
+        let store = MemoryEventStore::default();
+        let mut bed = Self { store, store_clients: Vec::new(), instances: Vec::new() };
         for (number, zone) in zones.iter().enumerate() {
             bed.add(&format!("i{number}"), zone, zones).await;
         }
@@ -117,31 +117,37 @@
     /// # Panics
     /// When it does not start.
     pub async fn add(&mut self, name: &str, zone: &str, zones: &[&str]) {
-        self.add_turned_away(name, zone, zones, Fault::None).await;
+        self.add_with_store_fault(name, zone, zones, StoreFault::None).await;
     }
 
     /// Starts one more instance, which the store treats badly from its start.
     ///
     /// # Panics
     /// When it does not start.
-    pub async fn add_turned_away(&mut self, name: &str, zone: &str, zones: &[&str], fault: Fault) {
-        let peers = self.hosts.iter().map(|host| host.gateway.board().settings.listen.peer);
+    pub async fn add_with_store_fault(
+        &mut self,
+        name: &str,
+        zone: &str,
+        zones: &[&str],
+        fault: StoreFault,
+    ) {
+        let peers = self.instances.iter().map(|host| host.gateway.board().settings.listen.peer);
         let seeds: Vec<SocketAddr> = peers.take(3).collect();
-        let view = self.store.for_another();
+        let view = self.store.new_client();
         view.set_fault(fault);
-        let settings = bed_settings(name, zone, zones, &seeds);
-        self.hosts.push(RoutedHost::spawn(settings, view.clone()).await);
-        self.views.push(view);
+        let settings = fleet_settings(name, zone, zones, &seeds);
+        self.instances.push(FleetInstance::spawn(settings, view.clone()).await);
+        self.store_clients.push(view);
     }
 
     /// The state of an instance.
     #[must_use]
     pub fn board(&self, at: usize) -> &Arc<Blackboard> {
-        self.hosts[at].gateway.board()
+        self.instances[at].gateway.board()
     }
 
     /// Sends a request to an instance.
-    pub async fn call(&self, at: usize, line: &str, id: &str, body: &[u8]) -> RawAnswer {
+    pub async fn call(&self, at: usize, line: &str, id: &str, body: &[u8]) -> RawResponse {
         let to = self.board(at).settings.listen.caller;
         raw_call(to, line, &[("host", "shop.example"), ("request-id", id)], body).await
     }
@@ -154,7 +160,7 @@
         line: &str,
         id: &str,
         field: (&str, &str),
-    ) -> RawAnswer {
+    ) -> RawResponse {
         let to = self.board(at).settings.listen.caller;
         let fields = [("host", "shop.example"), ("request-id", id), field];
         raw_call_from(from.into(), to, line, &fields, &[]).await
@@ -167,7 +173,7 @@
         line: &str,
         id: &str,
         fields: &[(&str, &str)],
-    ) -> RawAnswer {
+    ) -> RawResponse {
         let to = self.board(at).settings.listen.caller;
         let mut all = vec![("host", "shop.example"), ("request-id", id)];
         all.extend(fields);
@@ -198,15 +204,15 @@
     ///
     /// # Panics
     /// When that takes too long.
-    pub async fn settle(&self) {
-        let until = tokio::time::Instant::now() + WAIT;
-        for at in 0..self.hosts.len() {
-            let all = self.hosts.len();
+    pub async fn wait_until_ready(&self) {
+        let until = tokio::time::Instant::now() + READY_TIMEOUT;
+        for at in 0..self.instances.len() {
+            let all = self.instances.len();
             while self.board(at).members_view().running_count() < all
                 || self.readiness(at).await != 200
             {
                 assert!(tokio::time::Instant::now() < until, "instance {at} is not ready");
-                tokio::time::sleep(TURN).await;
+                tokio::time::sleep(READY_POLL_INTERVAL).await;
             }
         }
     }
--- a/standins/src/routed/member_parts.rs
+++ b/standins/src/routed/member_parts.rs
@@ -6,7 +6,7 @@
 use sorrelwick::member::MemberState;
 
 /// Ports of so many members differ.
-const PORTS: u64 = 1_000;
+const PORT_COUNT: u64 = 1_000;
 
 /// A member that has just started.
 ///
@@ -14,7 +14,7 @@
 /// Never: the port is within its range.
 #[must_use]
 pub fn member_row(incarnation: u64) -> MemberRow {
-    let port = u16::try_from(10_000 + incarnation % PORTS).expect("a port");
+    let port = u16::try_from(10_000 + incarnation % PORT_COUNT).expect("a port");
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     MemberRow {
         incarnation,
--- a/standins/src/routed/memory_events.rs
+++ b/standins/src/routed/memory_event_store.rs
@@ -22,7 +22,7 @@
 
 /// How the store treats one caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fault {
+pub enum StoreFault {
     #[default]
     None,
     /// Answers that it is busy; nothing is done.
@@ -38,50 +38,50 @@
 struct State {
     items: BTreeMap<String, Item>,
     /// What readings that may be old bring; the latest where none is set.
-    old_items: Option<BTreeMap<String, Item>>,
+    stale_items: Option<BTreeMap<String, Item>>,
     history: Vec<ItemEvent>,
     /// Events up to here are forgotten.
-    forgotten: u64,
+    compacted_revision: u64,
     revision: u64,
 }
 
 /// The store as one of its callers sees it.
 #[derive(Clone, Debug)]
-pub struct MemoryEvents {
+pub struct MemoryEventStore {
     state: Arc<Mutex<State>>,
     changed: Arc<watch::Sender<u64>>,
-    fault: Arc<watch::Sender<Fault>>,
+    fault: Arc<watch::Sender<StoreFault>>,
     calls: Arc<AtomicU64>,
-    looks: Arc<AtomicU64>,
+    cheap_calls: Arc<AtomicU64>,
 }
 
-impl Default for MemoryEvents {
+impl Default for MemoryEventStore {
     fn default() -> Self {
         Self {
             state: Arc::default(),
             changed: Arc::new(watch::Sender::new(0)),
-            fault: Arc::new(watch::Sender::new(Fault::None)),
+            fault: Arc::new(watch::Sender::new(StoreFault::None)),
             calls: Arc::default(),
-            looks: Arc::default(),
+            cheap_calls: Arc::default(),
         }
     }
 }
 
-impl MemoryEvents {
+impl MemoryEventStore {
     /// The same store as another caller sees it, with faults and a count of calls of its own.
     #[must_use]
-    pub fn for_another(&self) -> Self {
+    pub fn new_client(&self) -> Self {
         Self {
             state: Arc::clone(&self.state),
             changed: Arc::clone(&self.changed),
-            fault: Arc::new(watch::Sender::new(Fault::None)),
+            fault: Arc::new(watch::Sender::new(StoreFault::None)),
             calls: Arc::default(),
-            looks: Arc::default(),
+            cheap_calls: Arc::default(),
         }
     }
 
     /// Treats this caller so from now on; calls that wait are cut.
-    pub fn set_fault(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: StoreFault) {
         self.fault.send_replace(fault);
     }
 
@@ -93,8 +93,8 @@
 
     /// Those of them that cost a tenth: readings that may be old, and looks whether it still answers.
     #[must_use]
-    pub fn looks(&self) -> u64 {
-        self.looks.load(Ordering::Relaxed)
+    pub fn cheap_calls(&self) -> u64 {
+        self.cheap_calls.load(Ordering::Relaxed)
     }
 
     /// Writes a key, as operators and backend servers do.
@@ -121,15 +121,15 @@
     }
 
     /// Readings that may be old bring what there is now, from now on.
-    pub fn keep_as_old(&self) {
+    pub fn freeze_stale_reads(&self) {
         let mut state = self.state.lock();
-        state.old_items = Some(state.items.clone());
+        state.stale_items = Some(state.items.clone());
     }
 
     /// Forgets all events so far.
-    pub fn forget_history(&self) {
+    pub fn compact_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
     }
 
@@ -139,13 +139,13 @@
         self.state.lock().revision
     }
 
-    async fn call(&self) -> Result<(), StoreError> {
+    async fn begin_call(&self) -> Result<(), StoreError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let fault = *self.fault.borrow();
         match fault {
-            Fault::None => Ok(()),
-            Fault::Busy => Err(StoreError::Refused("busy".into())),
-            Fault::Silent | Fault::Hung => {
+            StoreFault::None => Ok(()),
+            StoreFault::Busy => Err(StoreError::Refused("busy".into())),
+            StoreFault::Silent | StoreFault::Hung => {
                 tokio::time::sleep(CALL_TIMEOUT).await;
                 Err(StoreError::ResponseLost("timed out".into()))
             }
@@ -154,7 +154,7 @@
 
     fn events_after(&self, prefix: &str, after: u64) -> Option<WatchResult> {
         let state = self.state.lock();
-        if after < state.forgotten {
+        if after < state.compacted_revision {
             return Some(WatchResult::HistoryLost);
         }
         let below = |event: &&ItemEvent| match event {
@@ -168,7 +168,7 @@
     }
 }
 
-impl EventStore for MemoryEvents {
+impl EventStore for MemoryEventStore {
     async fn list_page(
         &self,
         prefix: &str,
@@ -176,11 +176,11 @@
         freshness: Freshness,
     ) -> Result<Page, StoreError> {
         if freshness == Freshness::Stale {
-            self.looks.fetch_add(1, Ordering::Relaxed);
+            self.cheap_calls.fetch_add(1, Ordering::Relaxed);
         }
-        self.call().await?;
+        self.begin_call().await?;
         let state = self.state.lock();
-        let old = state.old_items.as_ref().filter(|_| freshness == Freshness::Stale);
+        let old = state.stale_items.as_ref().filter(|_| freshness == Freshness::Stale);
         let below =
             old.unwrap_or(&state.items).values().filter(|item| item.key.starts_with(prefix));
         let mut left = below.filter(|item| after.is_none_or(|after| item.key.as_str() > after));
@@ -196,12 +196,12 @@
         wait: Duration,
     ) -> Result<WatchResult, StoreError> {
         let until = tokio::time::Instant::now() + wait;
-        if *self.fault.borrow() == Fault::Hung {
+        if *self.fault.borrow() == StoreFault::Hung {
             self.calls.fetch_add(1, Ordering::Relaxed);
             tokio::time::sleep_until(until + CALL_TIMEOUT).await;
             return Err(StoreError::ResponseLost("timed out".into()));
         }
-        self.call().await?;
+        self.begin_call().await?;
         let mut changed = self.changed.subscribe();
         let mut fault = self.fault.subscribe();
         loop {
@@ -211,7 +211,7 @@
             tokio::select! {
                 _ = changed.changed() => {}
                 _ = fault.changed() => {
-                    if *fault.borrow() == Fault::Hung {
+                    if *fault.borrow() == StoreFault::Hung {
                         tokio::time::sleep_until(until + CALL_TIMEOUT).await;
                     }
                     return Err(StoreError::ResponseLost("cut".into()));
@@ -224,22 +224,22 @@
     }
 
     async fn check_alive(&self) -> Result<(), StoreError> {
-        self.looks.fetch_add(1, Ordering::Relaxed);
-        self.call().await
+        self.cheap_calls.fetch_add(1, Ordering::Relaxed);
+        self.begin_call().await
     }
 
     async fn open_lease(&self, _: Duration) -> Result<u64, StoreError> {
-        self.call().await?;
+        self.begin_call().await?;
         Ok(1)
     }
 
     async fn renew_lease(&self, _: u64) -> Result<bool, StoreError> {
-        self.call().await?;
+        self.begin_call().await?;
         Ok(true)
     }
 
     async fn write_leased(&self, key: &str, value: &[u8], _: u64) -> Result<bool, StoreError> {
-        self.call().await?;
+        self.begin_call().await?;
         self.put(key, &String::from_utf8_lossy(value));
         Ok(true)
     }
--- a/standins/src/routed/memory_links.rs
+++ b/standins/src/routed/memory_links.rs
@@ -20,12 +20,12 @@
 use sorrelwick::peer::encode;
 
 /// One way of a message between two instances of a region.
-const WAY: Duration = Duration::from_millis(1);
+const ONE_WAY_LATENCY: Duration = Duration::from_millis(1);
 /// A ping without rumours.
 const PING_BYTES: usize = 120;
 
 /// An instance as others reach it.
-struct Reached<K> {
+struct Endpoint<K> {
     board: Arc<Blackboard>,
     mirror: Option<Arc<Mirror<K>>>,
     /// Bytes a second that its link carries in each direction.
@@ -34,21 +34,22 @@
     busy_until_us: AtomicU64,
 }
 
-impl<K> Reached<K> {
+impl<K> Endpoint<K> {
     /// Sends bytes over the link, after those that wait already.
-    async fn carry(&self, bytes: usize) {
+    async fn transmit(&self, bytes: usize) {
         let now_us = sorrelwick::clock::now_us();
         let takes_us = bytes as u64 * 1_000_000 / self.link_bytes_per_s;
         let begins_us = self.busy_until_us.load(Ordering::Relaxed).max(now_us);
         self.busy_until_us.store(begins_us + takes_us, Ordering::Relaxed);
-        tokio::time::sleep(Duration::from_micros(begins_us + takes_us - now_us) + WAY).await;
+        tokio::time::sleep(Duration::from_micros(begins_us + takes_us - now_us) + ONE_WAY_LATENCY)
+            .await;
     }
 }
 
 /// The instances that are there, by their peer addresses, and what they sent.
 struct Net<K> {
     /// `None` for one that was there, and is gone with its machine.
-    reached: Mutex<HashMap<SocketAddr, Option<Arc<Reached<K>>>>>,
+    endpoints: Mutex<HashMap<SocketAddr, Option<Arc<Endpoint<K>>>>>,
     messages: AtomicU64,
     bytes: AtomicU64,
 }
@@ -76,7 +77,7 @@
 impl<K: Sink> Default for MemoryLinks<K> {
     /// Links of nobody, on a net of its own; see [`MemoryLinks::add`].
     fn default() -> Self {
-        let net = Net { reached: Mutex::default(), messages: 0.into(), bytes: 0.into() };
+        let net = Net { endpoints: Mutex::default(), messages: 0.into(), bytes: 0.into() };
         Self { net: Arc::new(net), own: SocketAddr::from(([0, 0, 0, 0], 0)), calls: Arc::default() }
     }
 }
@@ -92,15 +93,15 @@
     ) -> Self {
         let own = board.settings.listen.peer;
         let board = Arc::clone(board);
-        let reached = Reached { board, mirror, link_bytes_per_s, busy_until_us: 0.into() };
-        self.net.reached.lock().insert(own, Some(Arc::new(reached)));
+        let reached = Endpoint { board, mirror, link_bytes_per_s, busy_until_us: 0.into() };
+        self.net.endpoints.lock().insert(own, Some(Arc::new(reached)));
         Self { net: Arc::clone(&self.net), own, calls: Arc::default() }
     }
 
     /// Takes an instance away with its machine: calls to it hang. Where none ever was, they are
     /// refused.
     pub fn remove(&self, address: SocketAddr) {
-        self.net.reached.lock().insert(address, None);
+        self.net.endpoints.lock().insert(address, None);
     }
 
     /// Calls that this instance made so far.
@@ -121,25 +122,25 @@
         self.net.bytes.load(Ordering::Relaxed)
     }
 
-    fn reached(&self, address: SocketAddr) -> Option<Arc<Reached<K>>> {
-        self.net.reached.lock().get(&address).cloned().flatten()
+    fn reached(&self, address: SocketAddr) -> Option<Arc<Endpoint<K>>> {
+        self.net.endpoints.lock().get(&address).cloned().flatten()
     }
 
-    fn ever_there(&self, address: SocketAddr) -> bool {
-        self.net.reached.lock().contains_key(&address)
+    fn was_added(&self, address: SocketAddr) -> bool {
+        self.net.endpoints.lock().contains_key(&address)
     }
 
     /// Sends a message from one end; hangs where the end is not there any more.
-    async fn sent(&self, from: SocketAddr, bytes: usize) {
+    async fn send(&self, from: SocketAddr, bytes: usize) {
         self.net.messages.fetch_add(1, Ordering::Relaxed);
         self.net.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         match self.reached(from) {
-            Some(end) => end.carry(bytes).await,
+            Some(end) => end.transmit(bytes).await,
             None => std::future::pending().await,
         }
     }
 
-    async fn answer(&self, to: &Reached<K>, request: PeerRequest) -> PeerReply {
+    async fn answer(&self, to: &Endpoint<K>, request: PeerRequest) -> PeerReply {
         let board = &to.board;
         match request {
             PeerRequest::Member(request) => handle_member_request(board, request),
@@ -164,20 +165,20 @@
     /// Reaches another instance in the place of one that could not. Only whether it is there counts.
     async fn ping_for(&self, board: &Blackboard, target: SocketAddr) -> PeerReply {
         let reached = async {
-            self.sent(board.settings.listen.peer, PING_BYTES).await;
-            self.sent(target, PING_BYTES).await;
+            self.send(board.settings.listen.peer, PING_BYTES).await;
+            self.send(target, PING_BYTES).await;
         };
         let within = Duration::from_millis(board.settings.peers.ping_timeout_ms);
         PeerReply::Reached(tokio::time::timeout(within, reached).await.is_ok())
     }
 
     async fn exchange(&self, address: SocketAddr, request: PeerRequest) -> PeerReply {
-        self.sent(self.own, encode(&request).len()).await;
+        self.send(self.own, encode(&request).len()).await;
         let Some(to) = self.reached(address) else {
             return std::future::pending().await;
         };
         let reply = self.answer(&to, request).await;
-        self.sent(address, encode(&reply).len()).await;
+        self.send(address, encode(&reply).len()).await;
         reply
     }
 }
@@ -190,8 +191,8 @@
         within: Duration,
     ) -> Result<PeerReply, PeerError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        if !self.ever_there(address) {
-            tokio::time::sleep(WAY * 2).await;
+        if !self.was_added(address) {
+            tokio::time::sleep(ONE_WAY_LATENCY * 2).await;
             return Err(PeerError::NotSent);
         }
         let exchanged = self.exchange(address, request.clone());
--- a/standins/src/routed/pool_parts.rs
+++ b/standins/src/routed/pool_parts.rs
@@ -4,7 +4,7 @@
 use sorrelwick::model::ServerRow;
 use sorrelwick::model::ServerState;
 
-const AIM_MS: f64 = 600.0;
+const TARGET_MS: f64 = 600.0;
 const DEADLINE_US: u64 = 1_500_000;
 
 /// A server of four slots that is ready and warm.
@@ -25,12 +25,12 @@
 
 /// A request that arrives now, to be answered within 600 ms and at most 1.5 s.
 #[must_use]
-pub fn ask_now(now_us: u64) -> RequestSpec {
+pub fn spec_now(now_us: u64) -> RequestSpec {
     RequestSpec {
         route: "look".into(),
         workspace: None,
         priority: 0,
-        target_ms: AIM_MS,
+        target_ms: TARGET_MS,
         arrived_us: now_us,
         spent_before_us: 0,
         deadline_us: now_us + DEADLINE_US,
--- a/standins/src/routed/raw_call.rs
+++ b/standins/src/routed/raw_call.rs
@@ -10,17 +10,17 @@
 
 /// What came back before the connection was closed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RawAnswer {
+pub struct RawResponse {
     /// 0 where no answer came.
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
 }
 
-impl RawAnswer {
+impl RawResponse {
     /// The value of a field of the head.
     #[must_use]
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().skip(1).filter_map(|line| line.split_once(": "));
         lines.into_iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
@@ -32,7 +32,7 @@
     line: &str,
     fields: &[(&str, &str)],
     body: &[u8],
-) -> RawAnswer {
+) -> RawResponse {
     exchange(TcpStream::connect(to).await, line, fields, body).await
 }
 
@@ -43,7 +43,7 @@
     line: &str,
     fields: &[(&str, &str)],
     body: &[u8],
-) -> RawAnswer {
+) -> RawResponse {
     exchange(connect_from(from, to).await, line, fields, body).await
 }
 
@@ -58,9 +58,9 @@
     line: &str,
     fields: &[(&str, &str)],
     body: &[u8],
-) -> RawAnswer {
+) -> RawResponse {
     let Ok(mut stream) = connected else {
-        return RawAnswer::default();
+        return RawResponse::default();
     };
     let mut head = format!("{line} HTTP/1.1\r\nconnection: close\r\n");
     for (name, value) in fields {
@@ -79,11 +79,11 @@
     split(&bytes)
 }
 
-fn split(bytes: &[u8]) -> RawAnswer {
+fn split(bytes: &[u8]) -> RawResponse {
     let Some(end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") else {
-        return RawAnswer::default();
+        return RawResponse::default();
     };
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let status = head.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
-    RawAnswer { status, head, body: bytes[end + 4..].to_vec() }
+    RawResponse { status, head, body: bytes[end + 4..].to_vec() }
 }
--- a/standins/src/routed/raw_server.rs
+++ b/standins/src/routed/raw_server.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::ColdSpell;
+use super::ColdPhase;
 use super::CrashRule;
 use super::PlainDialect;
 use crate::rebind::accept_until;
@@ -41,7 +41,7 @@
     /// Says that it did not run the request.
     Shed,
     /// Answers 503 without saying that it did not run the request.
-    Unproved,
+    Unavailable,
     /// Answers 500.
     Fail,
     /// Runs it and closes the connection without an answer.
@@ -62,41 +62,41 @@
 
 /// The limit that a server names.
 #[derive(Clone, Copy, Debug)]
-pub struct LimitWord {
+pub struct ReportedLimit {
     /// Requests a second from all instances together.
     pub per_s: f64,
     /// Whether answers to health checks name it too.
-    pub in_checks: bool,
+    pub in_health_checks: bool,
 }
 
 #[derive(Debug)]
 struct Shared {
     id: String,
-    names: HeaderNames,
+    header_names: HeaderNames,
     behaviour: Mutex<Behaviour>,
     crash_rule: Mutex<Option<CrashRule>>,
     crash: Notify,
     /// When it crashed, in order.
-    crashed_at: Mutex<Vec<tokio::time::Instant>>,
-    work: Mutex<Duration>,
-    cold: Mutex<Option<ColdSpell>>,
-    limit: Mutex<Option<LimitWord>>,
-    rest: Mutex<Option<Duration>>,
-    leaving: AtomicBool,
-    pace_percent: AtomicU32,
+    crash_times: Mutex<Vec<tokio::time::Instant>>,
+    work_time: Mutex<Duration>,
+    cold_phase: Mutex<Option<ColdPhase>>,
+    reported_limit: Mutex<Option<ReportedLimit>>,
+    retry_after: Mutex<Option<Duration>>,
+    draining: AtomicBool,
+    slowdown_percent: AtomicU32,
     /// Ids of the requests that it ran, in order.
-    ran: Mutex<Vec<String>>,
+    ran_ids: Mutex<Vec<String>>,
     /// Heads of all requests but health checks.
-    heads: Mutex<Vec<String>>,
+    request_heads: Mutex<Vec<String>>,
     /// When these came, in order.
-    arrived_at: Mutex<Vec<tokio::time::Instant>>,
+    arrival_times: Mutex<Vec<tokio::time::Instant>>,
     cancelled: AtomicU32,
     /// Bytes of large answers that were taken from it.
     large_bytes: AtomicU64,
     in_flight: AtomicU32,
-    in_flight_most: AtomicU32,
+    peak_in_flight: AtomicU32,
     connections: AtomicU32,
-    connections_most: AtomicU32,
+    peak_connections: AtomicU32,
 }
 
 /// A running server; it stops when dropped.
@@ -113,51 +113,51 @@
     /// # Panics
     /// When no port is free.
     pub async fn spawn(id: &str) -> Self {
-        Self::spawn_named(id, PlainDialect::default().header_names().clone()).await
+        Self::spawn_with_headers(id, PlainDialect::default().header_names().clone()).await
     }
 
     /// Starts a server that knows a platform's names.
     ///
     /// # Panics
     /// When no port is free.
-    pub async fn spawn_named(id: &str, names: HeaderNames) -> Self {
+    pub async fn spawn_with_headers(id: &str, names: HeaderNames) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared {
             id: id.into(),
-            names,
+            header_names: names,
             behaviour: Mutex::new(Behaviour::Answer),
             crash_rule: Mutex::default(),
             crash: Notify::new(),
-            crashed_at: Mutex::default(),
-            work: Mutex::new(Duration::from_millis(2)),
-            cold: Mutex::default(),
-            limit: Mutex::default(),
-            rest: Mutex::default(),
-            leaving: AtomicBool::new(false),
-            pace_percent: AtomicU32::new(100),
-            ran: Mutex::default(),
-            heads: Mutex::default(),
-            arrived_at: Mutex::default(),
+            crash_times: Mutex::default(),
+            work_time: Mutex::new(Duration::from_millis(2)),
+            cold_phase: Mutex::default(),
+            reported_limit: Mutex::default(),
+            retry_after: Mutex::default(),
+            draining: AtomicBool::new(false),
+            slowdown_percent: AtomicU32::new(100),
+            ran_ids: Mutex::default(),
+            request_heads: Mutex::default(),
+            arrival_times: Mutex::default(),
             cancelled: AtomicU32::new(0),
             large_bytes: AtomicU64::new(0),
             in_flight: AtomicU32::new(0),
-            in_flight_most: AtomicU32::new(0),
+            peak_in_flight: AtomicU32::new(0),
             connections: AtomicU32::new(0),
-            connections_most: AtomicU32::new(0),
+            peak_connections: AtomicU32::new(0),
         });
         let serving = Arc::clone(&shared);
-        let task = TaskGuard::spawn(live(listener, serving));
+        let task = TaskGuard::spawn(run_with_restarts(listener, serving));
         Self { address, shared, _task: task }
     }
 
     /// What it does from now on.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.shared.behaviour.lock() = behaviour;
     }
 
     /// Which requests crash it from now on.
-    pub fn crash_on(&self, rule: CrashRule) {
+    pub fn set_crash_rule(&self, rule: CrashRule) {
         *self.shared.crash_rule.lock() = Some(rule);
     }
 
@@ -168,64 +168,64 @@
 
     /// When it crashed.
     #[must_use]
-    pub fn crashed_at(&self) -> Vec<tokio::time::Instant> {
-        self.shared.crashed_at.lock().clone()
+    pub fn crash_times(&self) -> Vec<tokio::time::Instant> {
+        self.shared.crash_times.lock().clone()
     }
 
     /// How long it works on each request.
-    pub fn work(&self, work: Duration) {
-        *self.shared.work.lock() = work;
+    pub fn set_work_time(&self, work: Duration) {
+        *self.shared.work_time.lock() = work;
     }
 
     /// It is cold from now on, for so long, and crashes when more requests than that arrive within a
     /// second meanwhile.
-    pub fn grow_cold(&self, lasts: Duration, bears_per_s: usize) {
-        *self.shared.cold.lock() = Some(ColdSpell::new(lasts, bears_per_s));
+    pub fn start_cold_phase(&self, lasts: Duration, bears_per_s: usize) {
+        *self.shared.cold_phase.lock() = Some(ColdPhase::new(lasts, bears_per_s));
     }
 
     /// Most requests that arrived within a second while it was cold.
     #[must_use]
-    pub fn cold_arrivals_most(&self) -> usize {
-        self.shared.cold.lock().as_ref().map_or(0, ColdSpell::arrivals_most)
+    pub fn cold_peak_arrivals_per_s(&self) -> usize {
+        self.shared.cold_phase.lock().as_ref().map_or(0, ColdPhase::peak_arrivals_per_s)
     }
 
     /// What it names as its limit from now on, in requests a second; `None` for none any more.
-    pub fn name_limit(&self, limit: Option<LimitWord>) {
-        *self.shared.limit.lock() = limit;
+    pub fn set_reported_limit(&self, limit: Option<ReportedLimit>) {
+        *self.shared.reported_limit.lock() = limit;
     }
 
     /// It says that it leaves from now on, and goes on serving.
-    pub fn leave(&self) {
-        self.shared.leaving.store(true, Ordering::Relaxed);
+    pub fn announce_draining(&self) {
+        self.shared.draining.store(true, Ordering::Relaxed);
     }
 
     /// For how long it asks for rest where it says that it did not run a request.
-    pub fn ask_rest(&self, rest: Option<Duration>) {
-        *self.shared.rest.lock() = rest;
+    pub fn set_retry_after(&self, rest: Option<Duration>) {
+        *self.shared.retry_after.lock() = rest;
     }
 
     /// When requests arrived, health checks left out.
     #[must_use]
-    pub fn arrived_at(&self) -> Vec<tokio::time::Instant> {
-        self.shared.arrived_at.lock().clone()
+    pub fn arrival_times(&self) -> Vec<tokio::time::Instant> {
+        self.shared.arrival_times.lock().clone()
     }
 
     /// What it tells of its pace. With 0 it tells no load at all, and health checks wait like
     /// requests until it has nothing to do.
-    pub fn pace(&self, percent: u32) {
-        self.shared.pace_percent.store(percent, Ordering::Relaxed);
+    pub fn set_slowdown_percent(&self, percent: u32) {
+        self.shared.slowdown_percent.store(percent, Ordering::Relaxed);
     }
 
     /// Ids of the requests that it ran.
     #[must_use]
-    pub fn ran(&self) -> Vec<String> {
-        self.shared.ran.lock().clone()
+    pub fn ran_ids(&self) -> Vec<String> {
+        self.shared.ran_ids.lock().clone()
     }
 
     /// Heads of the requests that it got.
     #[must_use]
-    pub fn heads(&self) -> Vec<String> {
-        self.shared.heads.lock().clone()
+    pub fn request_heads(&self) -> Vec<String> {
+        self.shared.request_heads.lock().clone()
     }
 
     /// Requests whose connection closed while it worked.
@@ -242,25 +242,25 @@
 
     /// Most requests that it worked on at the same time.
     #[must_use]
-    pub fn in_flight_most(&self) -> u32 {
-        self.shared.in_flight_most.load(Ordering::Relaxed)
+    pub fn peak_in_flight(&self) -> u32 {
+        self.shared.peak_in_flight.load(Ordering::Relaxed)
     }
 
     /// Most connections that were open at the same time.
     #[must_use]
-    pub fn connections_most(&self) -> u32 {
-        self.shared.connections_most.load(Ordering::Relaxed)
+    pub fn peak_connections(&self) -> u32 {
+        self.shared.peak_connections.load(Ordering::Relaxed)
     }
 
     /// The entry of this server as the stand-in's store lists it.
     #[must_use]
     pub fn entry(&self, service: &str, zone: &str, slots: u32, state: &str) -> String {
-        self.entry_of_start(service, zone, slots, state, 0)
+        self.entry_started_at(service, zone, slots, state, 0)
     }
 
     /// As [`RawServer::entry`], of a process that started at `started_ms`.
     #[must_use]
-    pub fn entry_of_start(
+    pub fn entry_started_at(
         &self,
         service: &str,
         zone: &str,
@@ -278,24 +278,25 @@
 }
 
 /// Lives, crashes and is back again, on one address.
-async fn live(mut listener: TcpListener, shared: Arc<Shared>) {
+async fn run_with_restarts(mut listener: TcpListener, shared: Arc<Shared>) {
     let Ok(address) = listener.local_addr() else {
         return;
     };
     loop {
-        accept_until(listener, &shared.crash, |stream| counted(stream, Arc::clone(&shared))).await;
-        shared.crashed_at.lock().push(tokio::time::Instant::now());
+        accept_until(listener, &shared.crash, |stream| serve_counted(stream, Arc::clone(&shared)))
+            .await;
+        shared.crash_times.lock().push(tokio::time::Instant::now());
         shared.in_flight.store(0, Ordering::Relaxed);
         shared.connections.store(0, Ordering::Relaxed);
-        let down = shared.crash_rule.lock().as_ref().map_or(Duration::ZERO, |rule| rule.down);
+        let down = shared.crash_rule.lock().as_ref().map_or(Duration::ZERO, |rule| rule.downtime);
         listener = rebind(address, down).await;
     }
 }
 
 /// Serves a connection, and counts it meanwhile.
-async fn counted(stream: TcpStream, shared: Arc<Shared>) {
+async fn serve_counted(stream: TcpStream, shared: Arc<Shared>) {
     let open = shared.connections.fetch_add(1, Ordering::Relaxed) + 1;
-    shared.connections_most.fetch_max(open, Ordering::Relaxed);
+    shared.peak_connections.fetch_max(open, Ordering::Relaxed);
     serve(stream, Arc::clone(&shared)).await;
     shared.connections.fetch_sub(1, Ordering::Relaxed);
 }
@@ -334,7 +335,7 @@
     let _ = stream.set_nodelay(true);
     let mut input = Vec::new();
     let mut late: Option<String> = None;
-    while let Some(head) = read_head(&mut stream, &mut input, &shared.names).await {
+    while let Some(head) = read_head(&mut stream, &mut input, &shared.header_names).await {
         let checked = head.text.starts_with("GET /health ");
         let early = !checked && *shared.behaviour.lock() == Behaviour::AnswerEarly;
         if early && !answer(&mut stream, &shared, &head, &mut late).await {
@@ -357,7 +358,7 @@
             return;
         }
         if checked {
-            if stream.write_all(health(&shared).await.as_bytes()).await.is_err() {
+            if stream.write_all(health_response(&shared).await.as_bytes()).await.is_err() {
                 return;
             }
             continue;
@@ -368,26 +369,28 @@
     }
 }
 
-async fn health(shared: &Shared) -> String {
-    let silent = shared.pace_percent.load(Ordering::Relaxed) == 0;
+async fn health_response(shared: &Shared) -> String {
+    let silent = shared.slowdown_percent.load(Ordering::Relaxed) == 0;
     while silent && shared.in_flight.load(Ordering::Relaxed) > 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let (id, load) = (&shared.id, load(shared));
-    let HeaderNames { server_id, warmup_left_ms: cold_left_ms, .. } = &shared.names;
-    let left = shared.cold.lock().as_ref().and_then(ColdSpell::left);
+    let HeaderNames { server_id, warmup_left_ms: cold_left_ms, .. } = &shared.header_names;
+    let left = shared.cold_phase.lock().as_ref().and_then(ColdPhase::remaining);
     let cold =
         left.map_or_else(String::new, |left| format!("{cold_left_ms}: {}\r\n", left.as_millis()));
-    let words = words(shared, true);
-    format!("HTTP/1.1 200 OK\r\n{server_id}: {id}\r\n{load}{cold}{words}content-length: 0\r\n\r\n")
+    let limit_and_draining_headers = words(shared, true);
+    format!(
+        "HTTP/1.1 200 OK\r\n{server_id}: {id}\r\n{load}{cold}{limit_and_draining_headers}content-length: 0\r\n\r\n"
+    )
 }
 
 /// The fields by which it names a limit and says that it leaves, as far as it does.
 fn words(shared: &Shared, check: bool) -> String {
-    let names = &shared.names;
-    let limit = shared.limit.lock().filter(|word| !check || word.in_checks);
+    let names = &shared.header_names;
+    let limit = shared.reported_limit.lock().filter(|word| !check || word.in_health_checks);
     let limit = limit.map(|word| format!("{}: {}\r\n", names.rate_limit, word.per_s));
-    let leaves = shared.leaving.load(Ordering::Relaxed);
+    let leaves = shared.draining.load(Ordering::Relaxed);
     let leaving = leaves.then(|| format!("{}: 1\r\n", names.draining));
     limit.into_iter().chain(leaving).collect()
 }
@@ -395,9 +398,9 @@
 /// The field that tells the load; nothing for a server that does not tell.
 fn load(shared: &Shared) -> String {
     let running = shared.in_flight.load(Ordering::Relaxed);
-    match shared.pace_percent.load(Ordering::Relaxed) {
+    match shared.slowdown_percent.load(Ordering::Relaxed) {
         0 => String::new(),
-        pace => format!("{}: {running},0,4,{pace}\r\n", shared.names.load),
+        pace => format!("{}: {running},0,4,{pace}\r\n", shared.header_names.load),
     }
 }
 
@@ -408,32 +411,32 @@
     head: &Head,
     late: &mut Option<String>,
 ) -> bool {
-    shared.heads.lock().push(head.text.clone());
-    shared.arrived_at.lock().push(tokio::time::Instant::now());
-    if shared.cold.lock().as_mut().is_some_and(ColdSpell::arrives) {
+    shared.request_heads.lock().push(head.text.clone());
+    shared.arrival_times.lock().push(tokio::time::Instant::now());
+    if shared.cold_phase.lock().as_mut().is_some_and(ColdPhase::record_arrival) {
         shared.crash.notify_one();
         return false;
     }
     let behaviour = *shared.behaviour.lock();
     let id = &head.id;
     if behaviour == Behaviour::Shed {
-        let not_run = &shared.names.not_run;
+        let not_run = &shared.header_names.not_run;
         let words = words(shared, false);
-        let rest = *shared.rest.lock();
+        let rest = *shared.retry_after.lock();
         let rest = rest.map(|rest| format!("retry-after: {}\r\n", rest.as_secs_f64()));
         let fields = format!("{not_run}: 1\r\n{words}{}", rest.unwrap_or_default());
         let text = format!("HTTP/1.1 503 Busy\r\n{fields}content-length: 0\r\n\r\n");
         return stream.write_all(text.as_bytes()).await.is_ok();
     }
-    shared.ran.lock().push(id.clone());
+    shared.ran_ids.lock().push(id.clone());
     if !work(stream, shared).await {
         return false;
     }
-    if let Some(rule) = crashing(shared, head) {
+    if let Some(rule) = matching_crash_rule(shared, head) {
         if rule.mid_response {
             let begun = format!(
                 "HTTP/1.1 200 OK\r\n{}: {id}\r\ncontent-length: {LARGE_BYTES}\r\n\r\n",
-                shared.names.request_id
+                shared.header_names.request_id
             );
             let piece = vec![b'x'; LARGE_PIECE_BYTES * 8];
             let _ = stream.write_all(begun.as_bytes()).await;
@@ -442,7 +445,7 @@
         shared.crash.notify_one();
         std::future::pending::<()>().await;
     }
-    let HeaderNames { request_id, signature, .. } = &shared.names;
+    let HeaderNames { request_id, signature, .. } = &shared.header_names;
     let (load, words) = (load(shared), words(shared, false));
     let fields = format!("{request_id}: {id}\r\n{signature}: s-{id}\r\n{load}{words}");
     let whole = format!("HTTP/1.1 200 OK\r\n{fields}content-length: {}\r\n\r\n{id}", id.len());
@@ -457,7 +460,7 @@
             (format!("HTTP/1.1 200 OK\r\n{fields}transfer-encoding: chunked\r\n\r\n{chunks}"), true)
         }
         Behaviour::AnswerByClose => (format!("HTTP/1.1 200 OK\r\n{fields}\r\n{id}"), false),
-        Behaviour::Unproved => {
+        Behaviour::Unavailable => {
             (format!("HTTP/1.1 503 Busy\r\n{fields}content-length: 0\r\n\r\n"), true)
         }
         Behaviour::Fail => (format!("HTTP/1.1 500 Oh\r\n{fields}content-length: 0\r\n\r\n"), true),
@@ -480,9 +483,9 @@
 }
 
 /// The rule by which a request crashes the server, if it does.
-fn crashing(shared: &Shared, head: &Head) -> Option<CrashRule> {
+fn matching_crash_rule(shared: &Shared, head: &Head) -> Option<CrashRule> {
     let rule = shared.crash_rule.lock().clone()?;
-    head.text.contains(&rule.head_part).then_some(rule)
+    head.text.contains(&rule.head_contains).then_some(rule)
 }
 
 /// Writes the body of a large answer; `false` when the connection closed meanwhile.
@@ -500,8 +503,8 @@
 /// Works; `false` when the connection closed meanwhile.
 async fn work(stream: &mut TcpStream, shared: &Shared) -> bool {
     let in_flight = shared.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
-    shared.in_flight_most.fetch_max(in_flight, Ordering::Relaxed);
-    let work = *shared.work.lock();
+    shared.peak_in_flight.fetch_max(in_flight, Ordering::Relaxed);
+    let work = *shared.work_time.lock();
     let mut byte = [0; 1];
     let whole = tokio::select! {
         () = tokio::time::sleep(work) => true,
--- a/standins/src/routed/relay_fleet.rs
+++ b/standins/src/routed/relay_fleet.rs
@@ -23,8 +23,8 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::Fault;
-use super::MemoryEvents;
+use super::MemoryEventStore;
+use super::StoreFault;
 
 /// How many instances play, in how many zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,9 +50,9 @@
 
 /// When the last item was written here.
 #[derive(Clone, Debug, Default)]
-pub struct Seen(pub Arc<Mutex<Option<(u64, Instant)>>>);
+pub struct LastWrite(pub Arc<Mutex<Option<(u64, Instant)>>>);
 
-impl Sink for Seen {
+impl Sink for LastWrite {
     fn written(&mut self, item: &Item) {
         *self.0.lock() = Some((item.revision, Instant::now()));
     }
@@ -62,23 +62,23 @@
 
 /// How an instance fails from a moment on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum InstanceFault {
     None,
     /// It answers nobody.
     Silent,
     /// It reaches nobody, and nobody reaches it.
-    Cut,
+    Isolated,
     /// Its answers to others take so long.
     Slow(Duration),
     /// The store treats it so.
-    Store(Fault),
+    Store(StoreFault),
 }
 
 /// The instances as they reach each other.
 #[derive(Debug)]
 pub struct RelayNet {
-    pub mirrors: Vec<Arc<Mirror<Seen>>>,
-    pub losses: Mutex<Vec<Loss>>,
+    pub mirrors: Vec<Arc<Mirror<LastWrite>>>,
+    pub faults: Mutex<Vec<InstanceFault>>,
 }
 
 /// An instance's links to the others.
@@ -109,27 +109,32 @@
     ) -> Option<FeedAnswer> {
         let at = usize::from(peer.port() - 1_000);
         let asked_us = boot_us();
-        if self.net.losses.lock()[self.own] == Loss::Cut {
+        if self.net.faults.lock()[self.own] == InstanceFault::Isolated {
             tokio::time::sleep(within).await;
             return None;
         }
         let answer = async {
-            let loss = self.net.losses.lock()[at];
+            let loss = self.net.faults.lock()[at];
             match loss {
-                Loss::Silent | Loss::Cut => std::future::pending::<()>().await,
-                Loss::Slow(delay) => tokio::time::sleep(delay).await,
-                Loss::None | Loss::Store(_) => tokio::time::sleep(Duration::from_millis(1)).await,
+                InstanceFault::Silent | InstanceFault::Isolated => {
+                    std::future::pending::<()>().await;
+                }
+                InstanceFault::Slow(delay) => tokio::time::sleep(delay).await,
+                InstanceFault::None | InstanceFault::Store(_) => {
+                    tokio::time::sleep(Duration::from_millis(1)).await;
+                }
             }
             FeedAnswer::of(self.net.mirrors[at].serve(after, hold).await, asked_us)
         };
         let answer = tokio::time::timeout(within, answer).await.ok()?;
         // What began before the loss does not come either.
-        let answers = !matches!(self.net.losses.lock()[at], Loss::Silent | Loss::Cut);
+        let answers =
+            !matches!(self.net.faults.lock()[at], InstanceFault::Silent | InstanceFault::Isolated);
         answers.then_some(answer)
     }
 }
 
-fn row(size: FleetSize, at: usize, capacity_per_s: u32) -> MemberRow {
+fn new_member_row(size: FleetSize, at: usize, capacity_per_s: u32) -> MemberRow {
     MemberRow {
         incarnation: at as u64 + 1,
         generation: 0,
@@ -145,8 +150,8 @@
     }
 }
 
-fn board(size: FleetSize, at: usize) -> Arc<Blackboard> {
-    let own = row(size, at, 0);
+fn new_board(size: FleetSize, at: usize) -> Arc<Blackboard> {
+    let own = new_member_row(size, at, 0);
     let zones: Vec<String> = (0..size.zones).map(|zone| format!("z{zone}")).collect();
     let text = serde_json::json!({
         "instance": { "name": own.name, "zone": own.zone },
@@ -160,7 +165,7 @@
     let settings = parse_settings("t", &text.to_string()).expect("valid");
     let board = Arc::new(Blackboard::new(settings, own.incarnation));
     for other in (0..size.instances).filter(|other| *other != at) {
-        let row = row(size, other, board.own_capacity_per_s());
+        let row = new_member_row(size, other, board.own_capacity_per_s());
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
@@ -168,13 +173,13 @@
 }
 
 /// Who fails how, drawn.
-pub fn losses(size: FleetSize, random: &mut Pcg64) -> Vec<Loss> {
+pub fn random_faults(size: FleetSize, random: &mut Pcg64) -> Vec<InstanceFault> {
     let share = random.random_range(0.0..0.6);
     let kinds = [
-        Loss::Silent,
-        Loss::Slow(Duration::from_millis(random.random_range(5..=900))),
-        Loss::Store(Fault::Busy),
-        Loss::Store(Fault::Silent),
+        InstanceFault::Silent,
+        InstanceFault::Slow(Duration::from_millis(random.random_range(5..=900))),
+        InstanceFault::Store(StoreFault::Busy),
+        InstanceFault::Store(StoreFault::Silent),
     ];
     let kind = kinds[random.random_range(0..kinds.len())];
     let mixed = random.random_bool(0.5);
@@ -182,7 +187,7 @@
     let watchers_share = if random.random_bool(0.5) { 0.9 } else { share };
     let draw = |at| {
         if !random.random_bool(if at < size.zones { watchers_share } else { share }) {
-            return Loss::None;
+            return InstanceFault::None;
         }
         if mixed { kinds[random.random_range(0..kinds.len())] } else { kind }
     };
@@ -193,9 +198,9 @@
 #[derive(Debug)]
 pub struct RelayFleet {
     size: FleetSize,
-    pub sinks: Vec<Seen>,
+    pub sinks: Vec<LastWrite>,
     pub net: Arc<RelayNet>,
-    pub views: Vec<MemoryEvents>,
+    pub store_clients: Vec<MemoryEventStore>,
     pub boards: Vec<Arc<Blackboard>>,
     tasks: JoinSet<()>,
 }
@@ -203,25 +208,26 @@
 impl RelayFleet {
     /// Instances that follow the store as ours do.
     #[must_use]
-    pub fn start(store: &MemoryEvents, size: FleetSize) -> Self {
+    pub fn start(store: &MemoryEventStore, size: FleetSize) -> Self {
         Self::start_with(store, size, Self::follow)
     }
 
     /// Instances that follow the store in a way of their own.
     pub fn start_with(
-        store: &MemoryEvents,
+        store: &MemoryEventStore,
         size: FleetSize,
-        follow: impl Fn(&mut Self, usize),
+        start_follower: impl Fn(&mut Self, usize),
     ) -> Self {
-        let sinks: Vec<Seen> = (0..size.instances).map(|_| Seen::default()).collect();
+        let sinks: Vec<LastWrite> = (0..size.instances).map(|_| LastWrite::default()).collect();
         let mirrors = sinks.iter().map(|sink| Arc::new(Mirror::new(sink.clone()))).collect();
-        let losses = Mutex::new(vec![Loss::None; size.instances]);
-        let net = Arc::new(RelayNet { mirrors, losses });
-        let views: Vec<MemoryEvents> = (0..size.instances).map(|_| store.for_another()).collect();
+        let losses = Mutex::new(vec![InstanceFault::None; size.instances]);
+        let net = Arc::new(RelayNet { mirrors, faults: losses });
+        let views: Vec<MemoryEventStore> =
+            (0..size.instances).map(|_| store.new_client()).collect();
         let (boards, tasks) = (Vec::new(), JoinSet::new());
-        let mut fleet = Self { size, sinks, net, views, boards, tasks };
+        let mut fleet = Self { size, sinks, net, store_clients: views, boards, tasks };
         for at in 0..size.instances {
-            follow(&mut fleet, at);
+            start_follower(&mut fleet, at);
         }
         fleet
     }
@@ -233,28 +239,28 @@
     }
 
     /// Runs something until the fleet is dropped.
-    pub fn run(&mut self, task: impl Future<Output = ()> + Send + 'static) {
+    pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.spawn(task);
     }
 
     fn follow(&mut self, at: usize) {
-        let board = board(self.size, at);
+        let board = new_board(self.size, at);
         self.boards.push(Arc::clone(&board));
-        let (view, peers) = (self.views[at].clone(), self.peers(at));
+        let (view, peers) = (self.store_clients[at].clone(), self.peers(at));
         let mirror = Arc::clone(&self.net.mirrors[at]);
         let new = || {
             let (view, peers, board) = (view.clone(), peers.clone(), Arc::clone(&board));
             Follower::new(view, peers, board, Arc::clone(&mirror), Feed::Config, "config")
         };
-        self.run(new().run());
-        self.run(new().cross_check());
+        self.spawn(new().run());
+        self.spawn(new().cross_check());
         let (first, second) = (Arc::clone(&mirror), Arc::clone(&mirror));
-        self.run(run_store_check(view, board, first, second));
+        self.spawn(run_store_check(view, board, first, second));
     }
 
     /// How the others see an instance.
     #[must_use]
-    pub fn row_of(&self, at: usize) -> MemberRow {
-        row(self.size, at, self.boards[0].own_capacity_per_s())
+    pub fn member_row(&self, at: usize) -> MemberRow {
+        new_member_row(self.size, at, self.boards[0].own_capacity_per_s())
     }
 }
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -10,8 +10,8 @@
 use standins::bed::BedPlan;
 use standins::bed::until;
 use standins::caller::Call;
+use standins::caller::CallResult;
 use standins::caller::Caller;
-use standins::caller::Told;
 use tokio::task::JoinSet;
 
 const BYTES: usize = 200;
@@ -21,7 +21,7 @@
 }
 
 /// Asserts that no id ran twice, and that the last answer to one that ran is not `not-run`.
-fn assert_at_most_once(bed: &Bed, answers_by_id: &HashMap<String, Vec<Told>>) {
+fn assert_at_most_once(bed: &Bed, answers_by_id: &HashMap<String, Vec<CallResult>>) {
     let counts = bed.run_counts();
     for (id, answers) in answers_by_id {
         let runs = counts.get(id).copied().unwrap_or(0);
@@ -44,7 +44,7 @@
     let bed = Bed::start(BedPlan { instances: 4, ..BedPlan::default() }).await;
     bed.create("orders").await;
     let addresses = bed.caller_addresses();
-    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for number in 0..40 {
         let id = format!("o-{number}");
         let caller = bed.caller("orders", number);
@@ -87,7 +87,7 @@
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
     let addresses = bed.caller_addresses();
-    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for number in 0..30 {
         let id = format!("p-{number}");
         let caller = bed.caller("orders", number);
@@ -118,16 +118,16 @@
     let first = caller.call_at(addresses[0], &order("ran").with_key("plain-ran")).await;
     assert_eq!(first.outcome(), "ran");
     bed.stop_platform();
-    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for address in &addresses {
         for id in ["ran", "new"] {
-            let call = order(id).with_key(&format!("plain-{id}")).within_ms(2_000);
+            let call = order(id).with_key(&format!("plain-{id}")).with_timeout_ms(2_000);
             let answer = caller.call_at(*address, &call).await;
             assert_eq!(answer.outcome(), "unknown", "{id}: {answer:?}");
             answers_by_id.entry(id.into()).or_default().push(answer);
         }
     }
-    let (_, bound) = caller.call_keyed(&order("bound")).await;
+    let (_, bound) = caller.call_with_new_key(&order("bound")).await;
     assert_eq!(bound.outcome(), "ran");
     bed.start_platform().await;
     let repeat = caller.call_at(addresses[1], &order("ran").with_key("plain-ran")).await;
@@ -154,7 +154,7 @@
         let id = format!("f-{number}");
         let key = format!("{}-{id}", listed[0].key_prefix);
         let caller = caller.clone();
-        let call = order(&id).with_key(&key).within_ms(3_000);
+        let call = order(&id).with_key(&key).with_timeout_ms(3_000);
         work.spawn(async move {
             tokio::time::sleep(Duration::from_micros(500 * number)).await;
             let first = caller.call_at(victim, &call).await;
@@ -163,7 +163,7 @@
     }
     tokio::time::sleep(Duration::from_millis(20)).await;
     bed.kill(victim_at);
-    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for (id, call, first) in work.join_all().await {
         let mut answers = vec![first];
         for address in addresses.iter().filter(|address| **address != victim) {
@@ -174,7 +174,7 @@
     assert_at_most_once(&bed, &answers_by_id);
     let broken = answers_by_id
         .values()
-        .filter(|answers| !matches!(answers[0], Told::Answered { .. }))
+        .filter(|answers| !matches!(answers[0], CallResult::Answered { .. }))
         .count();
     assert!(broken > 0, "the kill must interrupt requests, or the test proves nothing");
 }
@@ -190,7 +190,7 @@
     let listed = caller.addresses().await;
     let owner = listed[0].address;
     let at = addresses.iter().position(|address| *address == owner).expect("known");
-    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     let mut calls = Vec::new();
     for number in 0..30 {
         let id = format!("s-{number}");
@@ -255,7 +255,7 @@
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
-    let (key, first) = caller.call_keyed(&order("known")).await;
+    let (key, first) = caller.call_with_new_key(&order("known")).await;
     assert_eq!(first.outcome(), "ran");
     bed.operator(0).delete("orders", 1).await.expect("deleted");
     until("it is gone", async || bed.boards().iter().all(|b| b.services().is_empty())).await;
@@ -315,7 +315,7 @@
     let bed = Bed::start(plan).await;
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
-    let (key, first) = caller.call_keyed(&order("old")).await;
+    let (key, first) = caller.call_with_new_key(&order("old")).await;
     assert_eq!(first.outcome(), "ran");
     let call = order("old").with_key(&key.expect("a key"));
     until("the record is gone", async || bed.boards().iter().all(|b| b.outcomes.is_empty())).await;
@@ -334,7 +334,7 @@
     bed.create("orders").await;
     let caller = bed.caller("orders", 0);
     let listed = caller.addresses().await;
-    let mut answers_by_id: HashMap<String, Vec<Told>> = HashMap::new();
+    let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for number in 0..20 {
         let id = format!("l-{number}");
         let call = order(&id).with_key(&format!("{}-{id}", listed[0].key_prefix));
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -16,10 +16,10 @@
 use sorrelwick::starts::HomeSet;
 use standins::routed::CONFIG_KEY;
 use standins::routed::EVACUATIONS_PREFIX;
+use standins::routed::GatewayFleet;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
-use standins::routed::ask_now;
 use standins::routed::ready_row;
+use standins::routed::spec_now;
 use standins::routed::two_routes;
 
 mod common;
@@ -95,7 +95,7 @@
     let (mut most, mut all) = (0, 0);
     for now_us in (0..WARMUP_MS * MS).step_by(2_000) {
         for (pool, ticket) in pools.iter_mut().zip(now_us..) {
-            let spec = ask_now(now_us);
+            let spec = spec_now(now_us);
             let Some(choice) = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5) else {
                 continue;
             };
@@ -122,7 +122,7 @@
     pool.upsert_server(row("s0", WARMUP_MS), 0);
     for ticket in 1..100 {
         let now_us = ticket * MS;
-        let spec = ask_now(now_us);
+        let spec = spec_now(now_us);
         let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5).expect("room");
         pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Unsent, now_us);
     }
@@ -138,11 +138,11 @@
     pool.upsert_server(row("s0", 0), 0);
     let key = server_key(&row("s0", 0));
     for ticket in 0..5 {
-        let spec = ask_now(MS);
+        let spec = spec_now(MS);
         let choice = pool.acquire_slot(ticket, &spec, "z", MS, &mut || 0.5).expect("a warm server");
         pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Refused, MS);
     }
-    let spec = ask_now(2 * MS);
+    let spec = spec_now(2 * MS);
     let choice = pool.acquire_slot(9, &spec, "z", 2 * MS, &mut || 0.5).expect("a warm server");
     // With ten times the expected time, slowness alone is no reason.
     let expected_ms = 10.0 * choice.expected_ms;
@@ -175,20 +175,20 @@
 /// have reported it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_readmitted_cold_is_not_crashed() {
-    let bed = RoutedBed::start(&["a", "a"]).await;
+    let bed = GatewayFleet::start(&["a", "a"]).await;
     let server = RawServer::spawn("s1").await;
     let mut config: serde_json::Value = serde_json::from_str(&two_routes(1)).expect("JSON");
     config["services"][0]["warmup_s"] = 3.0.into();
     config["services"][0]["cold_per_s"] = 4.8.into();
     bed.store.put(CONFIG_KEY, &config.to_string());
     bed.store.put("servers/s1", &server.entry("parts", "a", 4, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     while bed.call(0, "GET /look/a", "first", &[]).await.status != 200 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     bed.store.put(&format!("{EVACUATIONS_PREFIX}a"), "{}");
     tokio::time::sleep(Duration::from_millis(500)).await;
-    server.grow_cold(Duration::from_millis(WARMUP_MS), REQUESTS_MAX);
+    server.start_cold_phase(Duration::from_millis(WARMUP_MS), REQUESTS_MAX);
     bed.store.remove(&format!("{EVACUATIONS_PREFIX}a"));
     let began = Instant::now();
     while began.elapsed() < Duration::from_millis(1_500) {
@@ -196,11 +196,11 @@
             bed.call(at, "GET /look/a", "again", &[]).await;
         }
     }
-    assert!(server.crashed_at().is_empty());
+    assert!(server.crash_times().is_empty());
     assert!(
-        (1..=REQUESTS_MAX).contains(&server.cold_arrivals_most()),
+        (1..=REQUESTS_MAX).contains(&server.cold_peak_arrivals_per_s()),
         "{}",
-        server.cold_arrivals_most()
+        server.cold_peak_arrivals_per_s()
     );
 }
 
@@ -215,7 +215,7 @@
     let slow = LoadReport { running: 0, waiting: 0, pace_percent: 200 };
     for ticket in 0..400 {
         let now_us = (ticket + 1) * 5 * MS;
-        let spec = ask_now(now_us);
+        let spec = spec_now(now_us);
         let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5);
         let choice = choice.unwrap_or_else(|| panic!("request {ticket} finds no server"));
         let server = pool.server_mut(&choice.server).expect("listed");
@@ -231,6 +231,6 @@
             now_us + 440 * MS,
         );
     }
-    let usual_ms = pool.typical_ms(&ask_now(0));
+    let usual_ms = pool.typical_ms(&spec_now(0));
     assert!((200.0..280.0).contains(&usual_ms), "{usual_ms} ms");
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -9,8 +9,8 @@
 use standins::caller::Call;
 use standins::routed::CONFIG_KEY;
 use standins::routed::CrashRule;
+use standins::routed::GatewayFleet;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
 use standins::routed::raw_call;
 use standins::routed::two_routes;
 use tokio::time::Instant;
@@ -35,7 +35,7 @@
 
 /// Three instances and twelve servers of one service, all of which the same request crashes.
 struct CrashFixture {
-    bed: RoutedBed,
+    bed: GatewayFleet,
     servers: Vec<RawServer>,
     /// Number of requests sent, used for ids.
     sent: usize,
@@ -44,19 +44,23 @@
 impl CrashFixture {
     /// With `mid_response`, servers crash halfway through a large response.
     async fn start(service: &str, mid_response: bool) -> Self {
-        let bed = RoutedBed::start(&ZONES).await;
+        let bed = GatewayFleet::start(&ZONES).await;
         bed.store.put(CONFIG_KEY, &two_routes(1));
         let mut servers = Vec::new();
         for number in 0..SERVERS {
             let id = format!("s{number}");
             let server = RawServer::spawn(&id).await;
-            server.work(Duration::from_millis(20));
-            server.crash_on(CrashRule { head_part: POISON.into(), down: DOWNTIME, mid_response });
+            server.set_work_time(Duration::from_millis(20));
+            server.set_crash_rule(CrashRule {
+                head_contains: POISON.into(),
+                downtime: DOWNTIME,
+                mid_response,
+            });
             let entry = server.entry(service, ZONES[number % ZONES.len()], 4, "ready");
             bed.store.put(&format!("servers/{id}"), &entry);
             servers.push(server);
         }
-        bed.settle().await;
+        bed.wait_until_ready().await;
         let mut fixture = Self { bed, servers, sent: 0 };
         for at in 0..ZONES.len() {
             fixture.wait_until_served(at, service).await;
@@ -75,14 +79,14 @@
     }
 
     /// Sends a request under a new id.
-    async fn call(&mut self, at: usize, line: &str, body: &[u8]) -> standins::routed::RawAnswer {
+    async fn call(&mut self, at: usize, line: &str, body: &[u8]) -> standins::routed::RawResponse {
         self.sent += 1;
         self.bed.call(at, line, &format!("id-{}", self.sent), body).await
     }
 
     /// Times of all crashes, sorted.
     fn crash_times(&self) -> Vec<Instant> {
-        let mut all: Vec<Instant> = self.servers.iter().flat_map(RawServer::crashed_at).collect();
+        let mut all: Vec<Instant> = self.servers.iter().flat_map(RawServer::crash_times).collect();
         all.sort();
         all
     }
@@ -130,7 +134,7 @@
         let refused = fixture.call(at, "GET /look/poison", b"").await;
         assert_eq!(refused.status, 503, "instance {at}");
         assert!(
-            refused.field("retry-after").is_some(),
+            refused.header("retry-after").is_some(),
             "instance {at} sends no retry-after: {refused:?}"
         );
         let other = fixture.call(at, "GET /look/another", b"").await;
@@ -250,11 +254,11 @@
 async fn page_is_served_soon_after_a_full_outage() {
     let mut fixture = CrashFixture::start("parts", false).await;
     let crash = |head_part: &str| CrashRule {
-        head_part: head_part.into(),
-        down: Duration::from_millis(50),
+        head_contains: head_part.into(),
+        downtime: Duration::from_millis(50),
         mid_response: false,
     };
-    fixture.servers.iter().for_each(|server| server.crash_on(crash("GET /look")));
+    fixture.servers.iter().for_each(|server| server.set_crash_rule(crash("GET /look")));
     let until = Instant::now() + PROPAGATION_MAX;
     let mut number = 0_u8;
     while Instant::now() < until {
@@ -267,7 +271,7 @@
         fixture.crash_times().len() > CRASHES_TO_QUARANTINE,
         "too few servers crashed for an outage"
     );
-    fixture.servers.iter().for_each(|server| server.crash_on(crash("nothing")));
+    fixture.servers.iter().for_each(|server| server.set_crash_rule(crash("nothing")));
     let mended = Instant::now();
     for at in 0..ZONES.len() {
         while fixture.call(at, "GET /look/front-page", b"").await.status != 200 {
@@ -284,10 +288,10 @@
     let mut fixture = CrashFixture::start("parts", false).await;
     fixture.repeat("GET /look/poison", b"").await;
     fixture.bed.add("late", "b", &ZONES).await;
-    fixture.bed.settle().await;
+    fixture.bed.wait_until_ready().await;
     tokio::time::sleep(PROPAGATION_MAX).await;
     let before = fixture.crash_times().len();
-    let newcomer = fixture.bed.hosts.len() - 1;
+    let newcomer = fixture.bed.instances.len() - 1;
     for _ in 0..10 {
         assert_eq!(fixture.call(newcomer, "GET /look/poison", b"").await.status, 503);
     }
@@ -300,11 +304,11 @@
 async fn quarantine_survives_a_restart_of_all_instances() {
     let mut fixture = CrashFixture::start("parts", false).await;
     fixture.repeat_with_others("GET /look/poison", b"", true).await;
-    fixture.bed.hosts.drain(..).for_each(standins::routed::RoutedHost::kill);
+    fixture.bed.instances.drain(..).for_each(standins::routed::FleetInstance::kill);
     for (number, zone) in ZONES.iter().enumerate() {
         fixture.bed.add(&format!("again-{number}"), zone, &ZONES).await;
     }
-    fixture.bed.settle().await;
+    fixture.bed.wait_until_ready().await;
     tokio::time::sleep(PROPAGATION_MAX).await;
     let before = fixture.crash_times().len();
     for at in 0..ZONES.len() {
@@ -340,7 +344,7 @@
             let call = Call {
                 method: method.into(),
                 body: format!("body {kind}").into(),
-                ..Call::get("/poison", &id).within_ms(2_000)
+                ..Call::get("/poison", &id).with_timeout_ms(2_000)
             };
             let call = if keyed { call.with_key(&format!("key-{id}")) } else { call };
             caller.call_at(addresses[number % addresses.len()], &call).await;
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -19,11 +19,11 @@
 use sorrelwick::store::ItemEvent;
 use standins::routed::CONFIG_KEY;
 use standins::routed::EVACUATIONS_PREFIX;
-use standins::routed::Fault;
+use standins::routed::GatewayFleet;
 use standins::routed::PlainDialect;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
-use standins::routed::bed_settings;
+use standins::routed::StoreFault;
+use standins::routed::fleet_settings;
 use standins::routed::two_routes;
 
 mod common;
@@ -137,7 +137,7 @@
 }
 
 fn board() -> Arc<Blackboard> {
-    Arc::new(Blackboard::new(bed_settings("i", "a", &ZONES, &[]), 1))
+    Arc::new(Blackboard::new(fleet_settings("i", "a", &ZONES, &[]), 1))
 }
 
 fn mirror(dispatcher: &Dispatcher) -> Mirror<OperatorSink<PlainDialect>> {
@@ -224,24 +224,25 @@
     assert!(zones.iter().map(|zone| &**zone).eq(["b", "nowhere"]));
 }
 
-async fn two_zones() -> (RoutedBed, [RawServer; 2]) {
-    let bed = RoutedBed::start(&["a", "a", "b", "b"]).await;
+async fn two_zones() -> (GatewayFleet, [RawServer; 2]) {
+    let bed = GatewayFleet::start(&["a", "a", "b", "b"]).await;
     let servers = [RawServer::spawn("a1").await, RawServer::spawn("b1").await];
     bed.store.put(CONFIG_KEY, &two_routes(1));
     bed.store.put("servers/a1", &servers[0].entry("parts", "a", 4, "ready"));
     bed.store.put("servers/b1", &servers[1].entry("parts", "b", 4, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     (bed, servers)
 }
 
 /// Waits until requests at an instance reach only this server.
-async fn until_only(bed: &RoutedBed, at: usize, server: &RawServer, since: Instant) {
+async fn until_only(bed: &GatewayFleet, at: usize, server: &RawServer, since: Instant) {
     let mut in_a_row = 0;
     while in_a_row < 10 {
         assert!(since.elapsed() < APPLY_MAX, "instance {at}");
-        let ran = server.ran().len();
+        let ran = server.ran_ids().len();
         let answer = bed.call(at, "GET /look/a", "probe", &[]).await;
-        in_a_row = if answer.status == 200 && server.ran().len() > ran { in_a_row + 1 } else { 0 };
+        in_a_row =
+            if answer.status == 200 && server.ran_ids().len() > ran { in_a_row + 1 } else { 0 };
     }
 }
 
@@ -251,16 +252,16 @@
 async fn evacuation_is_applied_everywhere_in_half_the_time_limit() {
     let (mut bed, [in_a, in_b]) = two_zones().await;
     until_only(&bed, 0, &in_a, Instant::now()).await;
-    bed.views[1].set_fault(Fault::Busy);
+    bed.store_clients[1].set_fault(StoreFault::Busy);
     let since = Instant::now();
     bed.store.put(&key("a"), "{}");
     bed.add("late", "a", &["a", "b"]).await;
     for at in 0..5 {
         until_only(&bed, at, &in_b, since).await;
     }
-    let ran = in_a.ran().len();
+    let ran = in_a.ran_ids().len();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert_eq!(in_a.ran().len(), ran);
+    assert_eq!(in_a.ran_ids().len(), ran);
     bed.store.remove(&key("a"));
     bed.store.put(&key("b"), "{}");
     let since = Instant::now();
--- a/tests/first_copy.rs
+++ b/tests/first_copy.rs
@@ -14,9 +14,9 @@
 use sorrelwick::peer::Feed;
 use sorrelwick::peer::FeedReply;
 use sorrelwick::store::Item;
-use standins::routed::Fault;
-use standins::routed::MemoryEvents;
+use standins::routed::MemoryEventStore;
 use standins::routed::MemoryLinks;
+use standins::routed::StoreFault;
 
 /// The mirrored value of each key.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
 }
 
 /// Starts a lone instance; the only seed in its settings is not running.
-fn start(store: &MemoryEvents, first_start: bool) -> ValuesSink {
+fn start(store: &MemoryEventStore, first_start: bool) -> ValuesSink {
     let text = serde_json::json!({
         "instance": { "name": "a2", "zone": "z" },
         "gateway": {
@@ -71,22 +71,22 @@
 /// waited for peers, which started half a second later, to save the cost of a read.
 #[tokio::test(start_paused = true)]
 async fn lone_instance_uses_stale_read_at_once() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "one");
     let in_force = start(&store, false);
     pass(100).await;
     assert_eq!(in_force.keys(), pairs(&[("servers/s1", "one")]));
-    assert_eq!((store.calls(), store.looks()), (1, 1), "one call at a tenth of the price");
+    assert_eq!((store.calls(), store.cheap_calls()), (1, 1), "one call at a tenth of the price");
 }
 
 /// Guards against keeping outdated data from the stale read: since then one server had left, one
 /// had changed and one had been added.
 #[tokio::test(start_paused = true)]
 async fn stale_read_is_replaced_by_fresh_snapshot() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "one");
     store.put("servers/s2", "two");
-    store.keep_as_old();
+    store.freeze_stale_reads();
     store.remove("servers/s1");
     store.put("servers/s2", "two anew");
     store.put("servers/s3", "three");
@@ -101,13 +101,13 @@
 /// Guards against giving up after the store did not answer the stale read.
 #[tokio::test(start_paused = true)]
 async fn store_is_read_after_failed_stale_read() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "one");
-    store.set_fault(Fault::Silent);
+    store.set_fault(StoreFault::Silent);
     let in_force = start(&store, false);
     pass(2_000).await;
     assert!(in_force.keys().is_empty());
-    store.set_fault(Fault::None);
+    store.set_fault(StoreFault::None);
     pass(2_500).await;
     assert_eq!(in_force.keys(), pairs(&[("servers/s1", "one")]));
 }
@@ -116,7 +116,7 @@
 /// before they read.
 #[tokio::test(start_paused = true)]
 async fn first_start_waits_for_peers_before_reading() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "one");
     let in_force = start(&store, true);
     pass(200).await;
--- a/tests/follower.rs
+++ b/tests/follower.rs
@@ -13,8 +13,8 @@
 use sorrelwick::peer::Feed;
 use sorrelwick::peer::Links;
 use sorrelwick::store::Item;
-use standins::routed::Fault;
-use standins::routed::MemoryEvents;
+use standins::routed::MemoryEventStore;
+use standins::routed::StoreFault;
 
 /// Records removals with the grace given to each.
 #[derive(Clone, Debug, Default)]
@@ -29,7 +29,7 @@
 }
 
 /// Starts a lone instance that follows the servers of `store`.
-fn follow(store: &MemoryEvents) -> Removals {
+fn follow(store: &MemoryEventStore) -> Removals {
     let text = r#"{ instance: { name: "a1", zone: "z" } }"#;
     let board = Arc::new(Blackboard::new(parse_settings("t", text).expect("valid"), 1));
     let removals = Removals::default();
@@ -46,7 +46,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn removed_server_gets_no_grace() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "{}");
     let removals = follow(&store);
     pass(1_000).await;
@@ -59,14 +59,14 @@
 /// expired although the servers were running.
 #[tokio::test(start_paused = true)]
 async fn entry_expired_in_outage_gets_grace_after_store_returns() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "{}");
     let removals = follow(&store);
     pass(1_000).await;
-    store.set_fault(Fault::Busy);
+    store.set_fault(StoreFault::Busy);
     pass(6_000).await;
     store.remove("servers/s1");
-    store.set_fault(Fault::None);
+    store.set_fault(StoreFault::None);
     pass(2_000).await;
     let removed = removals.0.lock().clone();
     assert_eq!(removed.len(), 1);
@@ -77,13 +77,13 @@
 /// learned of the removal 3.3 s after the connection was restored, and mistook it for an expiry.
 #[tokio::test(start_paused = true)]
 async fn grace_is_counted_from_outage_not_from_notification() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("servers/s1", "{}");
     let removals = follow(&store);
     pass(1_000).await;
-    store.set_fault(Fault::Silent);
+    store.set_fault(StoreFault::Silent);
     pass(6_000).await;
-    store.set_fault(Fault::None);
+    store.set_fault(StoreFault::None);
     // The first calls after the outage return no change; the removal follows later.
     pass(3_000).await;
     store.remove("servers/s1");
--- a/tests/gateway_fleet.rs
+++ b/tests/gateway_fleet.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use standins::routed::CONFIG_KEY;
-use standins::routed::Fault;
+use standins::routed::GatewayFleet;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
+use standins::routed::StoreFault;
 use standins::routed::two_routes;
 
 /// Time limit for applying a change, from its acknowledgement by the store.
@@ -25,7 +25,7 @@
 
 /// Waits until every instance of `asked` answers a removed route with 404; returns how long it
 /// took.
-async fn until_dropped(bed: &RoutedBed, asked: &[usize], since: Instant) -> Duration {
+async fn until_dropped(bed: &GatewayFleet, asked: &[usize], since: Instant) -> Duration {
     for at in asked {
         while bed.call(*at, "POST /order/a", "dropped", &[]).await.status != 404 {
             assert!(since.elapsed() < APPLY_MAX * 3, "instance {at} still has the route");
@@ -35,10 +35,10 @@
     since.elapsed()
 }
 
-async fn fleet() -> RoutedBed {
-    let bed = RoutedBed::start(&ZONES).await;
+async fn fleet() -> GatewayFleet {
+    let bed = GatewayFleet::start(&ZONES).await;
     bed.store.put(CONFIG_KEY, &two_routes(1));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     bed
 }
 
@@ -46,12 +46,13 @@
 async fn change_is_applied_everywhere_with_few_store_callers() {
     let bed = fleet().await;
     tokio::time::sleep(START_MAX).await;
-    let before: Vec<u64> = bed.views.iter().map(standins::routed::MemoryEvents::calls).collect();
+    let before: Vec<u64> =
+        bed.store_clients.iter().map(standins::routed::MemoryEventStore::calls).collect();
     let since = Instant::now();
     bed.store.put(CONFIG_KEY, &without_order(2));
     let took = until_dropped(&bed, &[0, 1, 2, 3, 4, 5], since).await;
     assert!(took < APPLY_MAX, "{took:?}");
-    let after = bed.views.iter().map(standins::routed::MemoryEvents::calls);
+    let after = bed.store_clients.iter().map(standins::routed::MemoryEventStore::calls);
     let called = after.zip(&before).filter(|(after, before)| after > *before).count();
     assert!(called <= 3, "{called} instances called the store");
 }
@@ -60,10 +61,10 @@
 /// instances trust their outdated data.
 #[tokio::test(flavor = "multi_thread")]
 async fn served_instances_do_not_rely_on_rejected_watchers() {
-    for fault in [Fault::Busy, Fault::Silent] {
+    for fault in [StoreFault::Busy, StoreFault::Silent] {
         let bed = fleet().await;
         for watching in [0, 2, 4] {
-            bed.views[watching].set_fault(fault);
+            bed.store_clients[watching].set_fault(fault);
         }
         let since = Instant::now();
         bed.store.put(CONFIG_KEY, &without_order(2));
@@ -76,8 +77,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn rejected_instance_learns_changes_from_peers() {
     let bed = fleet().await;
-    bed.views[0].set_fault(Fault::Busy);
-    bed.views[1].set_fault(Fault::Silent);
+    bed.store_clients[0].set_fault(StoreFault::Busy);
+    bed.store_clients[1].set_fault(StoreFault::Silent);
     let since = Instant::now();
     bed.store.put(CONFIG_KEY, &without_order(2));
     let took = until_dropped(&bed, &[0, 1], since).await;
@@ -101,15 +102,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_store_history_triggers_snapshot() {
     let bed = fleet().await;
-    for view in &bed.views {
-        view.set_fault(Fault::Busy);
+    for view in &bed.store_clients {
+        view.set_fault(StoreFault::Busy);
     }
     let server = RawServer::spawn("p1").await;
     bed.store.put("servers/p1", &server.entry("parts", "a", 4, "ready"));
     bed.store.put(CONFIG_KEY, &without_order(2));
-    bed.store.forget_history();
-    for view in &bed.views {
-        view.set_fault(Fault::None);
+    bed.store.compact_history();
+    for view in &bed.store_clients {
+        view.set_fault(StoreFault::None);
     }
     let since = Instant::now();
     until_dropped(&bed, &[0, 1, 2, 3, 4, 5], since).await;
@@ -129,7 +130,7 @@
         assert_eq!(bed.addresses(at, "b").await, [home]);
     }
     let next = bed.board(3).settings.listen.caller;
-    bed.hosts.remove(2).kill();
+    bed.instances.remove(2).kill();
     let since = Instant::now();
     while bed.addresses(0, "b").await != [next] {
         assert!(since.elapsed() < Duration::from_secs(5), "the dead home is still named");
@@ -148,9 +149,9 @@
     while bed.call(1, "GET /look/a", "before", &[]).await.status != 200 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    bed.hosts.remove(0).kill();
-    bed.add_turned_away("i0", "a", &ZONES, Fault::Silent).await;
-    let restarted = bed.hosts.len() - 1;
+    bed.instances.remove(0).kill();
+    bed.add_with_store_fault("i0", "a", &ZONES, StoreFault::Silent).await;
+    let restarted = bed.instances.len() - 1;
     let since = Instant::now();
     while bed.call(restarted, "GET /look/a", "after", &[]).await.status != 200 {
         assert!(
--- a/tests/gateway_requests.rs
+++ b/tests/gateway_requests.rs
@@ -9,9 +9,9 @@
 use sorrelwick::gateway::MemoryBudget;
 use standins::routed::Behaviour;
 use standins::routed::CONFIG_KEY;
+use standins::routed::GatewayFleet;
 use standins::routed::LARGE_BYTES;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
 use standins::routed::raw_call;
 use standins::routed::two_routes;
 use tokio::io::AsyncReadExt;
@@ -20,20 +20,20 @@
 const WAIT: Duration = Duration::from_secs(10);
 
 /// Starts one instance and one server for each service.
-async fn start_one_of_each() -> (RoutedBed, RawServer, RawServer) {
-    let bed = RoutedBed::start(&["z"]).await;
+async fn start_one_of_each() -> (GatewayFleet, RawServer, RawServer) {
+    let bed = GatewayFleet::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
     let orders = RawServer::spawn("o1").await;
     bed.store.put(CONFIG_KEY, &two_routes(1));
     bed.store.put("servers/p1", &parts.entry("parts", "z", 4, "ready"));
     bed.store.put("servers/o1", &orders.entry("orders", "z", 4, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     until_served(&bed, "GET /look/a").await;
     until_served(&bed, "POST /order/a").await;
     (bed, parts, orders)
 }
 
-async fn until_served(bed: &RoutedBed, line: &str) {
+async fn until_served(bed: &GatewayFleet, line: &str) {
     let until = Instant::now() + WAIT;
     while bed.call(0, line, "first", &[]).await.status != 200 {
         assert!(Instant::now() < until, "{line} is not served");
@@ -42,16 +42,16 @@
 }
 
 /// Waits until a newly listed server receives lookups.
-async fn until_used(bed: &RoutedBed, server: &RawServer) {
+async fn until_used(bed: &GatewayFleet, server: &RawServer) {
     let until = Instant::now() + WAIT;
-    while server.ran().is_empty() {
+    while server.ran_ids().is_empty() {
         assert!(Instant::now() < until, "the new server receives no requests");
         bed.call(0, "GET /look/a", "warm", &[]).await;
     }
 }
 
 fn run_count(server: &RawServer, id: &str) -> usize {
-    server.ran().iter().filter(|ran| *ran == id).count()
+    server.ran_ids().iter().filter(|ran| *ran == id).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -59,9 +59,9 @@
     let (bed, _, orders) = start_one_of_each().await;
     let response = bed.call(0, "POST /order/x?y=%20z", "r1", b"body of the order").await;
     assert_eq!((response.status, response.body.as_slice()), (200, b"r1".as_slice()));
-    assert_eq!(response.field("signature"), Some("s-r1"));
-    assert_eq!(response.field("request-id"), Some("r1"));
-    let head = orders.heads().pop().expect("the server received the request");
+    assert_eq!(response.header("signature"), Some("s-r1"));
+    assert_eq!(response.header("request-id"), Some("r1"));
+    let head = orders.request_heads().pop().expect("the server received the request");
     assert!(head.starts_with("POST /order/x?y=%20z HTTP/1.1"), "{head}");
     assert!(head.contains("expected-server: o1") && head.contains("timeout-ms: 11"), "{head}");
 }
@@ -70,7 +70,7 @@
 async fn forwards_chunked_and_close_delimited_bodies() {
     let (bed, parts, _) = start_one_of_each().await;
     for behaviour in [Behaviour::AnswerInChunks, Behaviour::AnswerByClose] {
-        parts.behave(behaviour);
+        parts.set_behaviour(behaviour);
         let response = bed.call(0, "GET /look/a", "r2", &[]).await;
         assert_eq!(
             (response.status, response.body.as_slice()),
@@ -85,7 +85,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn duplicate_response_is_not_taken_for_the_next() {
     let (bed, _, orders) = start_one_of_each().await;
-    orders.behave(Behaviour::AnswerTwice);
+    orders.set_behaviour(Behaviour::AnswerTwice);
     for number in 0..20 {
         let id = format!("twice-{number}");
         let response = bed.call(0, "POST /order/a", &id, &[]).await;
@@ -99,7 +99,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connection_with_unsent_body_is_not_reused() {
     let (bed, _, orders) = start_one_of_each().await;
-    orders.behave(Behaviour::AnswerEarly);
+    orders.set_behaviour(Behaviour::AnswerEarly);
     let long = vec![b'x'; 900_000];
     for number in 0..5 {
         let id = format!("early-{number}");
@@ -107,7 +107,7 @@
         assert_eq!((response.status, response.body.as_slice()), (200, id.as_bytes()));
         assert_eq!(run_count(&orders, &id), 1);
     }
-    let heads = orders.heads();
+    let heads = orders.request_heads();
     assert!(heads.iter().all(|head| head.starts_with("POST /order/")), "{heads:?}");
 }
 
@@ -118,14 +118,15 @@
     let (bed, _, orders) = start_one_of_each().await;
     let second = RawServer::spawn("o2").await;
     bed.store.put("servers/o2", &second.entry("orders", "z", 4, "ready"));
-    for behaviour in [Behaviour::Close, Behaviour::Truncate, Behaviour::Garble, Behaviour::Unproved]
+    for behaviour in
+        [Behaviour::Close, Behaviour::Truncate, Behaviour::Garble, Behaviour::Unavailable]
     {
-        orders.behave(behaviour);
-        second.behave(behaviour);
+        orders.set_behaviour(behaviour);
+        second.set_behaviour(behaviour);
         let id = format!("{behaviour:?}");
         let response = bed.call(0, "POST /order/a", &id, &[]).await;
         assert_eq!(response.status, 502, "{behaviour:?}");
-        assert_eq!(response.field("signature"), None);
+        assert_eq!(response.header("signature"), None);
         assert_eq!(run_count(&orders, &id) + run_count(&second, &id), 1, "{behaviour:?}");
     }
 }
@@ -139,7 +140,7 @@
     bed.store.put("servers/p2", &sound.entry("parts", "z", 4, "ready"));
     until_used(&bed, &sound).await;
     for behaviour in [Behaviour::Close, Behaviour::Truncate, Behaviour::Garble, Behaviour::Fail] {
-        parts.behave(behaviour);
+        parts.set_behaviour(behaviour);
         for number in 0..4 {
             let id = format!("{behaviour:?}-{number}");
             let response = bed.call(0, "GET /look/a", &id, &[]).await;
@@ -152,11 +153,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn order_refused_with_proof_runs_once_elsewhere() {
     let (bed, _, orders) = start_one_of_each().await;
-    orders.behave(Behaviour::Shed);
+    orders.set_behaviour(Behaviour::Shed);
     let refused = bed.call(0, "POST /order/a", "shed", &[]).await;
     assert_eq!(refused.status, 503);
-    assert!(refused.field("retry-after").is_some_and(|text| text.parse::<f64>().is_ok()));
-    assert!(orders.ran().iter().all(|id| id != "shed"));
+    assert!(refused.header("retry-after").is_some_and(|text| text.parse::<f64>().is_ok()));
+    assert!(orders.ran_ids().iter().all(|id| id != "shed"));
     let second = RawServer::spawn("o2").await;
     bed.store.put("servers/o2", &second.entry("orders", "z", 4, "ready"));
     until_served(&bed, "POST /order/a").await;
@@ -169,7 +170,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replies_immediately_at_route_timeout() {
     let (bed, _, orders) = start_one_of_each().await;
-    orders.behave(Behaviour::Silent);
+    orders.set_behaviour(Behaviour::Silent);
     let began = Instant::now();
     let response = bed.call(0, "POST /order/a", "silent", &[]).await;
     assert_eq!(response.status, 504);
@@ -181,7 +182,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn request_is_cancelled_when_caller_disconnects() {
     let (bed, parts, _) = start_one_of_each().await;
-    parts.work(Duration::from_secs(1));
+    parts.set_work_time(Duration::from_secs(1));
     let call = bed.call(0, "GET /look/a", "left", &[]);
     assert!(tokio::time::timeout(Duration::from_millis(200), call).await.is_err());
     let until = Instant::now() + WAIT;
@@ -195,13 +196,13 @@
 /// configuration yet.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_are_retryable_without_configuration() {
-    let bed = RoutedBed::start(&["z"]).await;
+    let bed = GatewayFleet::start(&["z"]).await;
     assert_eq!(bed.readiness(0).await, 503);
     let response = bed.call(0, "GET /look/a", "early", &[]).await;
     assert_eq!(response.status, 503);
-    assert!(response.field("retry-after").is_some());
+    assert!(response.header("retry-after").is_some());
     bed.store.put(CONFIG_KEY, &two_routes(1));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     assert_eq!(bed.call(0, "GET /other/", "late", &[]).await.status, 404);
 }
 
@@ -212,12 +213,12 @@
     bed.store.put("servers/p2", &other.entry("parts", "z", 4, "ready"));
     bed.store.put("servers/p1", &parts.entry("parts", "z", 4, "draining"));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let before = parts.ran().len();
+    let before = parts.ran_ids().len();
     for number in 0..20 {
         let response = bed.call(0, "GET /look/a", &format!("drain-{number}"), &[]).await;
         assert_eq!(response.status, 200);
     }
-    assert_eq!(parts.ran().len(), before);
+    assert_eq!(parts.ran_ids().len(), before);
     bed.store.remove("servers/p2");
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(bed.call(0, "GET /look/a", "none", &[]).await.status, 503);
@@ -227,7 +228,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_serves_in_flight_and_late_requests() {
     let (mut bed, _, orders) = start_one_of_each().await;
-    orders.work(Duration::from_millis(600));
+    orders.set_work_time(Duration::from_millis(600));
     let to = bed.board(0).settings.listen.caller;
     let fields = [("host", "shop.example"), ("request-id", "stopping")];
     let call =
@@ -235,7 +236,7 @@
             async move { standins::routed::raw_call(to, "POST /order/a", &fields, &[]).await },
         );
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let stopped = tokio::spawn(bed.hosts.remove(0).stop());
+    let stopped = tokio::spawn(bed.instances.remove(0).stop());
     tokio::time::sleep(Duration::from_millis(100)).await;
     let late = [("host", "shop.example"), ("request-id", "after")];
     let after = standins::routed::raw_call(to, "POST /order/a", &late, &[]).await;
@@ -250,18 +251,18 @@
 /// be gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn busy_server_without_load_reports_stays_available() {
-    let bed = RoutedBed::start(&["z"]).await;
+    let bed = GatewayFleet::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
-    parts.pace(0);
+    parts.set_slowdown_percent(0);
     bed.store.put(CONFIG_KEY, &two_routes(1));
     bed.store.put("servers/p1", &parts.entry("parts", "z", 4, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     until_served(&bed, "GET /look/a").await;
-    parts.work(Duration::from_millis(1_400));
+    parts.set_work_time(Duration::from_millis(1_400));
     let first = bed.call(0, "GET /look/a", "long", &[]);
     let second = async {
         tokio::time::sleep(Duration::from_millis(900)).await;
-        parts.work(Duration::from_millis(20));
+        parts.set_work_time(Duration::from_millis(20));
         let began = Instant::now();
         let response = bed.call(0, "GET /look/a", "short", &[]).await;
         (response.status, began.elapsed())
@@ -283,17 +284,17 @@
     for number in 0..40 {
         let (slow, fast) = if number % 2 == 0 { (&parts, &other) } else { (&other, &parts) };
         // Both are known to be fast: health checks run eight times a second.
-        slow.pace(100);
-        fast.pace(100);
+        slow.set_slowdown_percent(100);
+        fast.set_slowdown_percent(100);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        slow.pace(500);
+        slow.set_slowdown_percent(500);
         // The last response reported the earlier slowdown, which is relied on for some
         // milliseconds.
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let before = slow.ran().len();
+        let before = slow.ran_ids().len();
         let response = bed.call(0, "GET /look/a", &format!("pace-{number}"), &[]).await;
         assert_eq!(response.status, 200);
-        assert_eq!(slow.ran().len(), before, "request {number} began on the slow server");
+        assert_eq!(slow.ran_ids().len(), before, "request {number} began on the slow server");
     }
 }
 
@@ -307,21 +308,21 @@
     bed.store.put("servers/p2", &other.entry("parts", "z", 4, "ready"));
     until_used(&bed, &other).await;
     for number in 0..10 {
-        parts.pace(100);
-        other.pace(100);
-        parts.behave(Behaviour::AnswerTwice);
-        other.behave(Behaviour::AnswerTwice);
+        parts.set_slowdown_percent(100);
+        other.set_slowdown_percent(100);
+        parts.set_behaviour(Behaviour::AnswerTwice);
+        other.set_behaviour(Behaviour::AnswerTwice);
         tokio::time::sleep(Duration::from_millis(200)).await;
         for warm in 0..4 {
             bed.call(0, "GET /look/a", &format!("warm-{number}-{warm}"), &[]).await;
         }
-        parts.behave(Behaviour::Answer);
-        parts.pace(500);
+        parts.set_behaviour(Behaviour::Answer);
+        parts.set_slowdown_percent(500);
         tokio::time::sleep(Duration::from_millis(10)).await;
-        let before = parts.ran().len();
+        let before = parts.ran_ids().len();
         let response = bed.call(0, "GET /look/a", &format!("again-{number}"), &[]).await;
         assert_eq!(response.status, 200);
-        assert_eq!(parts.ran().len(), before, "request {number} began on the slow server");
+        assert_eq!(parts.ran_ids().len(), before, "request {number} began on the slow server");
     }
 }
 
@@ -330,13 +331,13 @@
 /// instead.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_stay_within_server_limit() {
-    let bed = RoutedBed::start(&["z"]).await;
+    let bed = GatewayFleet::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
-    parts.work(Duration::from_millis(20));
+    parts.set_work_time(Duration::from_millis(20));
     let config = two_routes(1).replace("\"connections_max\":200", "\"connections_max\":4");
     bed.store.put(CONFIG_KEY, &config);
     bed.store.put("servers/p1", &parts.entry("parts", "z", 16, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     until_served(&bed, "GET /look/a").await;
     // The share of each instance is recalculated several times a second.
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -351,7 +352,7 @@
     }
     let statuses = calls.join_all().await;
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    assert!(parts.connections_most() <= 4, "{} connections at once", parts.connections_most());
+    assert!(parts.peak_connections() <= 4, "{} connections at once", parts.peak_connections());
 }
 
 /// Guards against a failed request waiting for another server that does not exist: the only server
@@ -360,7 +361,7 @@
 async fn failure_of_the_only_server_is_reported_at_once() {
     for behaviour in [Behaviour::Close, Behaviour::Truncate, Behaviour::Garble] {
         let (bed, parts, _) = start_one_of_each().await;
-        parts.behave(behaviour);
+        parts.set_behaviour(behaviour);
         let since = Instant::now();
         let response = bed.call(0, "GET /look/a", "only", &[]).await;
         let took = since.elapsed();
@@ -378,20 +379,22 @@
     let fields = [("host", "nobody.example"), ("request-id", "absolute")];
     let response = raw_call(to, "GET http://shop.example/look/a", &fields, &[]).await;
     assert_eq!(response.status, 200);
-    assert!(parts.heads().pop().is_some_and(|head| head.starts_with("GET /look/a HTTP/1.1")));
+    assert!(
+        parts.request_heads().pop().is_some_and(|head| head.starts_with("GET /look/a HTTP/1.1"))
+    );
 }
 
 /// Guards against waiting for the slots of a crashed server, or sending to its old address, after
 /// it has restarted under the same id at another address.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_server_is_used_at_once() {
-    let bed = RoutedBed::start(&["z"]).await;
+    let bed = GatewayFleet::start(&["z"]).await;
     let before = RawServer::spawn("p1").await;
     bed.store.put(CONFIG_KEY, &two_routes(1));
-    bed.store.put("servers/p1", &before.entry_of_start("parts", "z", 4, "ready", 1_000));
-    bed.settle().await;
+    bed.store.put("servers/p1", &before.entry_started_at("parts", "z", 4, "ready", 1_000));
+    bed.wait_until_ready().await;
     until_served(&bed, "GET /look/a").await;
-    before.behave(Behaviour::Silent);
+    before.set_behaviour(Behaviour::Silent);
     let lost = async {
         tokio::join!(
             bed.call(0, "GET /look/b", "l1", &[]),
@@ -400,11 +403,11 @@
         )
     };
     let served = async {
-        while before.ran().len() < 4 {
+        while before.ran_ids().len() < 4 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         let after = RawServer::spawn("p1").await;
-        bed.store.put("servers/p1", &after.entry_of_start("parts", "z", 4, "ready", 2_000));
+        bed.store.put("servers/p1", &after.entry_started_at("parts", "z", 4, "ready", 2_000));
         until_used(&bed, &after).await;
         let since = Instant::now();
         for number in 0..20 {
@@ -421,7 +424,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn large_response_is_streamed_as_fast_as_the_caller_reads() {
     let (bed, parts, _) = start_one_of_each().await;
-    parts.behave(Behaviour::AnswerLarge);
+    parts.set_behaviour(Behaviour::AnswerLarge);
     let to = bed.board(0).settings.listen.caller;
     let mut stream = tokio::net::TcpStream::connect(to).await.expect("connected");
     let call = b"GET /look/a HTTP/1.1\r\nhost: shop.example\r\nrequest-id: d1\r\n\r\n";
--- a/tests/key_revocation.rs
+++ b/tests/key_revocation.rs
@@ -5,12 +5,12 @@
 use rand::RngExt;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use standins::routed::Fault;
 use standins::routed::FleetSize;
-use standins::routed::Loss;
-use standins::routed::MemoryEvents;
+use standins::routed::InstanceFault;
+use standins::routed::MemoryEventStore;
 use standins::routed::RelayFleet;
-use standins::routed::losses;
+use standins::routed::StoreFault;
+use standins::routed::random_faults;
 use tokio::time::Instant;
 
 const REVOCATION_BOUND: Duration = Duration::from_secs(5);
@@ -28,7 +28,7 @@
 struct Versions(Vec<(u64, Instant)>);
 
 impl Versions {
-    fn write(&mut self, store: &MemoryEvents) {
+    fn write(&mut self, store: &MemoryEventStore) {
         store.put("config", "another");
         self.0.push((store.revision(), Instant::now()));
     }
@@ -46,40 +46,42 @@
     fleet.net.mirrors[at].proof_age().is_some_and(|age| age <= REVOCATION_BOUND)
 }
 
-fn apply_losses(fleet: &RelayFleet, lost: &[Loss]) {
-    fleet.net.losses.lock().clone_from_slice(lost);
-    for (view, loss) in fleet.views.iter().zip(lost) {
+fn apply_losses(fleet: &RelayFleet, lost: &[InstanceFault]) {
+    fleet.net.faults.lock().clone_from_slice(lost);
+    for (view, loss) in fleet.store_clients.iter().zip(lost) {
         view.set_fault(match loss {
-            Loss::Store(fault) => *fault,
-            Loss::Cut => Fault::Silent,
-            _ => Fault::None,
+            InstanceFault::Store(fault) => *fault,
+            InstanceFault::Isolated => StoreFault::Silent,
+            _ => StoreFault::None,
         });
     }
 }
 
 /// Draws random losses, an outage of the store, or instances that reach neither the store nor each other.
-fn losses_or_outage(rng: &mut Pcg64) -> Vec<Loss> {
-    let outages = [Fault::Busy, Fault::Silent, Fault::Hung];
+fn losses_or_outage(rng: &mut Pcg64) -> Vec<InstanceFault> {
+    let outages = [StoreFault::Busy, StoreFault::Silent, StoreFault::Hung];
     match rng.random_range(0..4) {
-        0 => vec![Loss::Store(outages[rng.random_range(0..3)]); SMALL.instances],
+        0 => vec![InstanceFault::Store(outages[rng.random_range(0..3)]); SMALL.instances],
         1 => {
-            let cut = |_| if rng.random_bool(0.4) { Loss::Cut } else { Loss::None };
+            let cut = |_| {
+                if rng.random_bool(0.4) { InstanceFault::Isolated } else { InstanceFault::None }
+            };
             (0..SMALL.instances).map(cut).collect()
         }
-        _ => losses(SMALL, rng),
+        _ => random_faults(SMALL, rng),
     }
 }
 
 /// Calls to the store at full cost, i.e. without stale reads and reachability checks, which cost a tenth.
 fn full_cost_calls(fleet: &RelayFleet) -> u64 {
-    fleet.views.iter().map(|view| view.calls() - view.looks()).sum()
+    fleet.store_clients.iter().map(|view| view.calls() - view.cheap_calls()).sum()
 }
 
 /// Changes the configuration under one random set of losses after the other. Returns how many checks met an
 /// instance that may accept keys, and how many one that may not.
 async fn run_schedule(seed: u64) -> (u64, u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     let mut versions = Versions::default();
     versions.write(&store);
     let fleet = RelayFleet::start(&store, SMALL);
@@ -135,12 +137,12 @@
 /// Guards against taking a watch whose connection went silent as proof that nothing changed.
 #[tokio::test(start_paused = true)]
 async fn hung_watch_does_not_refresh_the_proof() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, SMALL);
     tokio::time::sleep(SETTLE).await;
     assert!((0..SMALL.instances).all(|at| may_accept_keys(&fleet, at)));
-    apply_losses(&fleet, &vec![Loss::Store(Fault::Hung); SMALL.instances]);
+    apply_losses(&fleet, &vec![InstanceFault::Store(StoreFault::Hung); SMALL.instances]);
     tokio::time::sleep(REVOCATION_BOUND).await;
     let accepting = (0..SMALL.instances).filter(|at| may_accept_keys(&fleet, *at)).count();
     assert_eq!(accepting, 0);
@@ -152,7 +154,7 @@
     const CALM: Duration = Duration::from_secs(10);
     let mut calls = Vec::new();
     for size in [SMALL, FleetSize { zones: 3, ..LARGE }, LARGE] {
-        let store = MemoryEvents::default();
+        let store = MemoryEventStore::default();
         store.put("config", "1");
         let fleet = RelayFleet::start(&store, size);
         tokio::time::sleep(SETTLE).await;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -29,9 +29,9 @@
 use sorrelwick::store::Roster;
 use sorrelwick::store::RosterEntry;
 use sorrelwick::store::StoreError;
-use standins::routed::Fault;
-use standins::routed::MemoryEvents;
+use standins::routed::MemoryEventStore;
 use standins::routed::MemoryLinks;
+use standins::routed::StoreFault;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
@@ -88,14 +88,14 @@
     board: Arc<Blackboard>,
     mirror: Arc<Mirror<SampleSink>>,
     links: FleetLinks,
-    store: MemoryEvents,
+    store: MemoryEventStore,
     _tasks: JoinSet<()>,
 }
 
 /// Instances that initially know only the addresses of three of them.
 struct Fleet {
     net: FleetLinks,
-    store: MemoryEvents,
+    store: MemoryEventStore,
     instances: Vec<Instance>,
     sink: SampleSink,
     random: Pcg64,
@@ -139,7 +139,7 @@
     }
 
     async fn start_with(count: usize, seed: u64, sink: SampleSink) -> Self {
-        let store = MemoryEvents::default();
+        let store = MemoryEventStore::default();
         for number in 0..ENTRIES {
             store.put(&format!("servers/i-{number:06}"), &"x".repeat(ENTRY_BYTES));
         }
@@ -164,7 +164,7 @@
         let mirror = Arc::new(Mirror::new(self.sink));
         let link = LINKS[usize::from(!large(at))];
         let links = self.net.add(&board, Some(Arc::clone(&mirror)), link);
-        let store = self.store.for_another();
+        let store = self.store.new_client();
         let mut tasks = JoinSet::new();
         tasks.spawn(run_failure_detector(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), EmptyRoster, links.clone()));
@@ -225,7 +225,7 @@
     /// Store calls at full price, without the checks whether it still answers, which cost a tenth.
     fn store_calls(&self) -> u64 {
         let stores = self.instances.iter().map(|instance| &instance.store);
-        stores.map(|store| store.calls() - store.looks()).sum()
+        stores.map(|store| store.calls() - store.cheap_calls()).sum()
     }
 }
 
@@ -441,7 +441,7 @@
         let turned_away =
             if watches { zone < "z2" } else { fleet.random.random_range(0..100) < 35 };
         if turned_away {
-            fleet.instances[at].store.set_fault(Fault::Busy);
+            fleet.instances[at].store.set_fault(StoreFault::Busy);
         }
     }
     let (began, messages, bytes) = (Instant::now(), fleet.net.messages(), fleet.net.bytes());
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -113,10 +113,10 @@
     until("the server receives requests", async || !backend.record.runs().is_empty()).await;
     backend.behaviour.draining.store(true, Ordering::Release);
     time_to_last_request(&bed, backend, tokio::time::Instant::now()).await;
-    let probed = backend.record.measuring().len();
+    let probed = backend.record.probe_times().len();
     let before = backend.record.runs().len();
     until("the server is probed while it drains", async || {
-        backend.record.measuring().len() > probed + 1
+        backend.record.probe_times().len() > probed + 1
     })
     .await;
     assert_eq!(
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -23,7 +23,7 @@
 use sorrelwick::peer::PeerReply;
 use sorrelwick::peer::PeerRequest;
 use sorrelwick::peer::encode;
-use standins::routed::bed_settings;
+use standins::routed::fleet_settings;
 
 /// Servers in one home's partition of a large zone.
 const SERVERS: u16 = 125;
@@ -60,7 +60,7 @@
 
 /// The state of an instance whose zone has two homes.
 fn board() -> Arc<Blackboard> {
-    let mut settings = bed_settings("i", "a", &["a", "b"], &[]);
+    let mut settings = fleet_settings("i", "a", &["a", "b"], &[]);
     settings.gateway.as_mut().expect("a gateway").homes_per_zone = 2;
     Arc::new(Blackboard::new(settings, 1))
 }
@@ -167,7 +167,7 @@
 /// homes, each with an occasional request, must not report to the homes of all zones.
 #[tokio::test(start_paused = true)]
 async fn an_instance_that_is_not_a_home_reports_only_to_the_homes_of_its_zone() {
-    let mut settings = bed_settings("i", "a", &["a", "b"], &[]);
+    let mut settings = fleet_settings("i", "a", &["a", "b"], &[]);
     settings.instance.cpu_share = 0.1;
     let board = Arc::new(Blackboard::new(settings, 1));
     for row in [member(2, "a", SAME_ZONE_PEER), member(3, "b", OTHER_ZONE_PEER)] {
--- a/tests/measuring_budget.rs
+++ b/tests/measuring_budget.rs
@@ -112,7 +112,7 @@
 }
 
 fn probe_times_ms(bed: &Bed, start: tokio::time::Instant) -> Vec<u64> {
-    let times = bed.backends.iter().flat_map(|backend| backend.record.measuring());
+    let times = bed.backends.iter().flat_map(|backend| backend.record.probe_times());
     times.map(|at| u64::try_from((at - start).as_millis()).unwrap_or(u64::MAX)).collect()
 }
 
@@ -166,5 +166,5 @@
     }
     let counts: HashMap<String, usize> = bed.run_counts();
     assert_eq!(counts.len(), 200);
-    assert!(bed.backends.iter().all(|backend| backend.record.measuring().is_empty()));
+    assert!(bed.backends.iter().all(|backend| backend.record.probe_times().is_empty()));
 }
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -7,12 +7,12 @@
 use standins::bed::Bed;
 use standins::bed::BedPlan;
 use standins::caller::Call;
+use standins::caller::CallResult;
 use standins::caller::Caller;
-use standins::caller::Told;
 use tokio::task::JoinSet;
 
 /// Asserts that no backend server ran a request answered `not-run`; returns how many there were.
-fn assert_not_run(bed: &Bed, results: &[(String, Told)]) -> usize {
+fn assert_not_run(bed: &Bed, results: &[(String, CallResult)]) -> usize {
     let counts = bed.run_counts();
     let not_run = results.iter().filter(|(_, result)| result.outcome() == "not-run");
     let mut checked = 0;
@@ -23,7 +23,7 @@
     checked
 }
 
-async fn send_burst(callers: &[Caller], calls: Vec<Call>) -> Vec<(String, Told)> {
+async fn send_burst(callers: &[Caller], calls: Vec<Call>) -> Vec<(String, CallResult)> {
     let mut work = JoinSet::new();
     for (at, call) in calls.into_iter().enumerate() {
         let caller = callers[at % callers.len()].clone();
@@ -33,7 +33,8 @@
 }
 
 fn orders(name: &str, count: usize, timeout_ms: u64) -> Vec<Call> {
-    let order = |number| Call::post("/orders", &format!("{name}-{number}")).within_ms(timeout_ms);
+    let order =
+        |number| Call::post("/orders", &format!("{name}-{number}")).with_timeout_ms(timeout_ms);
     (0..count).map(order).collect()
 }
 
@@ -55,8 +56,11 @@
     let not_run = assert_not_run(&bed, &results);
     assert!(not_run > 100, "requests must be rejected, or the test proves nothing: {not_run}");
     for (id, result) in &results {
-        assert!(matches!(result, Told::Answered { .. }), "{id} got no final answer: {result:?}");
-        if let Told::Answered { outcome, retry_after_ms, .. } = result
+        assert!(
+            matches!(result, CallResult::Answered { .. }),
+            "{id} got no final answer: {result:?}"
+        );
+        if let CallResult::Answered { outcome, retry_after_ms, .. } = result
             && outcome == "not-run"
         {
             assert!(*retry_after_ms > 0, "the answer to {id} has no retry time");
@@ -113,7 +117,7 @@
     let bed = Bed::start(BedPlan { backends: 3, ..BedPlan::default() }).await;
     bed.create("orders").await;
     for backend in &bed.backends {
-        backend.behaviour.lose_answers.store(100, Ordering::Release);
+        backend.behaviour.responses_to_drop.store(100, Ordering::Release);
     }
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
     let results = send_burst(&callers, orders("lost", 30, 5_000)).await;
@@ -140,10 +144,11 @@
     }
     let revision = bed.put(0, &service, 0).await.expect("accepted");
     bed.until_in_force("lookups", revision).await;
-    bed.backends[0].behaviour.lose_answers.store(1_000, Ordering::Release);
+    bed.backends[0].behaviour.responses_to_drop.store(1_000, Ordering::Release);
     bed.backends[1].behaviour.shedding.store(true, Ordering::Release);
     bed.backends[1].behaviour.slow_factor.store(50, Ordering::Release);
-    let lookups = (0..60).map(|n| Call::get("/l", &format!("l-{n}")).within_ms(4_000)).collect();
+    let lookups =
+        (0..60).map(|n| Call::get("/l", &format!("l-{n}")).with_timeout_ms(4_000)).collect();
     let results = send_burst(&[bed.caller("lookups", 0)], lookups).await;
     assert_not_run(&bed, &results);
     let unknown = results.iter().filter(|(_, result)| result.outcome() == "unknown").count();
@@ -184,9 +189,9 @@
     let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
     bed.create("lookups").await;
     let caller = bed.caller("lookups", 0);
-    bed.backends[0].behaviour.lose_answers.store(1, Ordering::Release);
+    bed.backends[0].behaviour.responses_to_drop.store(1, Ordering::Release);
     let since = std::time::Instant::now();
-    let result = caller.call(&Call::get("/part", "only").within_ms(2_000)).await;
+    let result = caller.call(&Call::get("/part", "only").with_timeout_ms(2_000)).await;
     assert_eq!(result.outcome(), "unknown", "{result:?}");
     assert!(since.elapsed().as_millis() < 400, "{:?}", since.elapsed());
 }
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -7,14 +7,14 @@
 use standins::bed::Bed;
 use standins::bed::BedPlan;
 use standins::caller::Call;
+use standins::caller::CallResult;
 use standins::caller::Caller;
-use standins::caller::Told;
 use tokio::task::JoinHandle;
 use tokio::task::JoinSet;
 
 /// Sends requests at a steady rate from callers that use each address list as long as they may;
 /// returns every result that is not a complete answer.
-fn spawn_steady_load(bed: &Bed, service: &str, requests: usize) -> JoinHandle<Vec<Told>> {
+fn spawn_steady_load(bed: &Bed, service: &str, requests: usize) -> JoinHandle<Vec<CallResult>> {
     let callers: Vec<Caller> = (0..6).map(|at| bed.caller(service, at)).collect();
     tokio::spawn(async move {
         let mut work = JoinSet::new();
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -11,14 +11,14 @@
 use standins::bed::Fleet;
 use standins::bed::until;
 use standins::caller::Call;
+use standins::caller::CallResult;
 use standins::caller::Caller;
-use standins::caller::Told;
 use tokio::task::JoinSet;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sorrelwickd");
 const BYTES: usize = 100;
 
-fn check(bed: &Bed, told: &HashMap<String, Vec<Told>>) {
+fn check(bed: &Bed, told: &HashMap<String, Vec<CallResult>>) {
     let counts = bed.run_counts();
     for (id, answers) in told {
         let runs = counts.get(id).copied().unwrap_or(0);
@@ -29,7 +29,12 @@
 }
 
 /// Sends orders bound to the instance at `at`, and repeats each at all other instances.
-async fn orders(fleet: &Fleet, at: usize, name: &str, count: usize) -> HashMap<String, Vec<Told>> {
+async fn orders(
+    fleet: &Fleet,
+    at: usize,
+    name: &str,
+    count: usize,
+) -> HashMap<String, Vec<CallResult>> {
     let addresses = fleet.callers();
     let caller = Caller::new("orders", "burnaby", &addresses);
     let named = caller.addresses().await;
@@ -41,12 +46,12 @@
         let id = format!("{name}-{number}");
         let call = Call::post(&format!("/o?bytes={BYTES}&work_us=20000"), &id)
             .with_key(&format!("{prefix}-{id}"))
-            .within_ms(2_000);
+            .with_timeout_ms(2_000);
         let (caller, addresses) = (caller.clone(), addresses.clone());
         work.spawn(async move {
             tokio::time::sleep(Duration::from_millis(2 * number as u64)).await;
             let first = tokio::time::timeout(Duration::from_secs(4), caller.call_at(target, &call));
-            let mut answers = vec![first.await.unwrap_or(Told::Broken)];
+            let mut answers = vec![first.await.unwrap_or(CallResult::Broken)];
             for address in addresses.into_iter().filter(|address| *address != target) {
                 answers.push(caller.call_at(address, &call).await);
             }
@@ -131,7 +136,7 @@
     until("it has ended", async || fleet.daemons[0].exited().is_some()).await;
     assert_eq!(fleet.daemons[0].exited(), Some(0));
     let told = load.await.expect("the load ran");
-    let faults: Vec<&Told> = told.iter().filter(|told| told.outcome() != "ran").collect();
+    let faults: Vec<&CallResult> = told.iter().filter(|told| told.outcome() != "ran").collect();
     assert!(faults.is_empty(), "{} of {}: {:?}", faults.len(), told.len(), faults[0]);
     assert!(fleet.bed.run_counts().values().all(|count| *count == 1));
 }
@@ -149,7 +154,7 @@
     fleet.operator(0).put(&service_to_wire(&service), 0).await.expect("accepted");
     let seen = || {
         let backends = fleet.bed.backends.iter();
-        backends.flat_map(|backend| backend.record.measuring()).collect::<Vec<_>>()
+        backends.flat_map(|backend| backend.record.probe_times()).collect::<Vec<_>>()
     };
     until("probes are sent", async || seen().len() > 10).await;
     for daemon in &fleet.daemons {
--- a/tests/relay_schedules.rs
+++ b/tests/relay_schedules.rs
@@ -16,15 +16,15 @@
 use sorrelwick::peer::FeedReply;
 use sorrelwick::store::EventStore;
 use sorrelwick::store::WatchResult;
-use standins::routed::Fault;
 use standins::routed::FleetSize;
-use standins::routed::Loss;
-use standins::routed::MemoryEvents;
+use standins::routed::InstanceFault;
+use standins::routed::LastWrite;
+use standins::routed::MemoryEventStore;
 use standins::routed::RelayFleet;
 use standins::routed::RelayPeers;
-use standins::routed::Seen;
-use standins::routed::losses;
+use standins::routed::StoreFault;
 use standins::routed::peer_address;
+use standins::routed::random_faults;
 use tokio::time::Instant;
 
 /// Time limit for applying a change, from its acknowledgement by the store.
@@ -60,9 +60,9 @@
 async fn run_sequential_follower(
     size: FleetSize,
     at: usize,
-    store: MemoryEvents,
+    store: MemoryEventStore,
     peers: RelayPeers,
-    mirror: Arc<Mirror<Seen>>,
+    mirror: Arc<Mirror<LastWrite>>,
 ) {
     let FleetSize { zones, instances, .. } = size;
     let zone = at % zones;
@@ -94,7 +94,7 @@
 /// Polls the relays sequentially until one is fresh; only the first one holds the request.
 async fn poll_sequentially(
     relays: &[usize],
-    mirror: &Mirror<Seen>,
+    mirror: &Mirror<LastWrite>,
     peers: &RelayPeers,
     hold: Duration,
 ) -> bool {
@@ -120,38 +120,38 @@
 /// Runs one change while some instances fail.
 async fn run_schedule(seed: u64, size: FleetSize, way: Strategy) -> Outcome {
     let mut random = Pcg64::seed_from_u64(seed);
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("config", "1");
     let fleet = match way {
         Strategy::Follower => RelayFleet::start(&store, size),
         Strategy::Sequential => RelayFleet::start_with(&store, size, |fleet, at| {
-            let (view, peers) = (fleet.views[at].clone(), fleet.peers(at));
+            let (view, peers) = (fleet.store_clients[at].clone(), fleet.peers(at));
             let mirror = Arc::clone(&fleet.net.mirrors[at]);
-            fleet.run(run_sequential_follower(size, at, view, peers, mirror));
+            fleet.spawn(run_sequential_follower(size, at, view, peers, mirror));
         }),
     };
-    let RelayFleet { sinks, net, views, .. } = &fleet;
+    let RelayFleet { sinks, net, store_clients: views, .. } = &fleet;
     tokio::time::sleep(SETTLE_TIME).await;
-    let lost = losses(size, &mut random);
-    net.losses.lock().clone_from(&lost);
+    let lost = random_faults(size, &mut random);
+    net.faults.lock().clone_from(&lost);
     for (view, loss) in views.iter().zip(&lost) {
-        if let Loss::Store(fault) = loss {
+        if let InstanceFault::Store(fault) = loss {
             view.set_fault(*fault);
         }
     }
     tokio::time::sleep(Duration::from_millis(random.random_range(0..=LOSS_LEAD_MAX_MS))).await;
-    let calls_before: u64 = views.iter().map(MemoryEvents::calls).sum();
+    let calls_before: u64 = views.iter().map(MemoryEventStore::calls).sum();
     let since = Instant::now();
     store.put("config", "2");
     tokio::time::sleep(APPLY_MAX * 2).await;
     let after = store.revision();
-    let whole = sinks.iter().zip(&lost).filter(|(_, loss)| **loss == Loss::None);
+    let whole = sinks.iter().zip(&lost).filter(|(_, loss)| **loss == InstanceFault::None);
     let took = whole.map(|(sink, _)| match *sink.0.lock() {
         Some((revision, at)) if revision >= after => at.saturating_duration_since(since),
         _ => APPLY_MAX * 2,
     });
     let took = took.collect();
-    let calls = views.iter().map(MemoryEvents::calls).sum::<u64>() - calls_before;
+    let calls = views.iter().map(MemoryEventStore::calls).sum::<u64>() - calls_before;
     Outcome { took, calls }
 }
 
@@ -205,22 +205,22 @@
 #[tokio::test(start_paused = true)]
 async fn change_after_store_hang_is_applied_in_time() {
     for silent_ms in [700, 1_500, 2_500, 4_500, 6_000] {
-        let store = MemoryEvents::default();
+        let store = MemoryEventStore::default();
         store.put("config", "1");
         let fleet = RelayFleet::start(&store, FleetSize::SMALL);
         tokio::time::sleep(SETTLE_TIME).await;
-        for view in &fleet.views {
-            view.set_fault(Fault::Hung);
+        for view in &fleet.store_clients {
+            view.set_fault(StoreFault::Hung);
         }
         tokio::time::sleep(Duration::from_millis(silent_ms)).await;
-        for view in &fleet.views {
-            view.set_fault(Fault::None);
+        for view in &fleet.store_clients {
+            view.set_fault(StoreFault::None);
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
         store.put("config", "2");
         tokio::time::sleep(APPLY_MAX).await;
         let learned =
-            |sink: &&Seen| sink.0.lock().is_some_and(|(seen, _)| seen == store.revision());
+            |sink: &&LastWrite| sink.0.lock().is_some_and(|(seen, _)| seen == store.revision());
         let learned = fleet.sinks.iter().filter(learned).count();
         assert_eq!(learned, FleetSize::SMALL.instances, "silent for {silent_ms} ms");
     }
@@ -230,7 +230,7 @@
 /// starts and takes its place at the same moment, so peers no longer ask it for what it missed.
 #[tokio::test(start_paused = true)]
 async fn replaced_watcher_learns_from_its_successor() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
     tokio::time::sleep(SETTLE_TIME).await;
@@ -238,9 +238,10 @@
     let newcomer = MemberRow {
         incarnation: 1_000,
         name: "a".into(),
-        ..fleet.row_of(FleetSize::SMALL.instances - 1)
+        ..fleet.member_row(FleetSize::SMALL.instances - 1)
     };
-    fleet.views[(FleetSize::SMALL.instances - 1) % FleetSize::SMALL.zones].set_fault(Fault::Hung);
+    fleet.store_clients[(FleetSize::SMALL.instances - 1) % FleetSize::SMALL.zones]
+        .set_fault(StoreFault::Hung);
     for board in &fleet.boards {
         board.members.lock().merge(&newcomer, 1_000);
         board.publish_members();
@@ -258,43 +259,44 @@
 /// prefix, for eight seconds.
 #[tokio::test(start_paused = true)]
 async fn only_readers_call_store_during_outage() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
     tokio::time::sleep(SETTLE_TIME).await;
-    let before: Vec<u64> = fleet.views.iter().map(MemoryEvents::calls).collect();
-    for view in &fleet.views {
-        view.set_fault(Fault::Busy);
+    let before: Vec<u64> = fleet.store_clients.iter().map(MemoryEventStore::calls).collect();
+    for view in &fleet.store_clients {
+        view.set_fault(StoreFault::Busy);
     }
     tokio::time::sleep(APPLY_MAX * 4).await;
-    for (at, view) in fleet.views.iter().enumerate().skip(FleetSize::SMALL.readers()) {
+    for (at, view) in fleet.store_clients.iter().enumerate().skip(FleetSize::SMALL.readers()) {
         let calls = view.calls() - before[at];
         assert!(calls <= 3, "instance {at}: {calls} calls");
     }
     // After the outage, all instances apply the next change.
-    for view in &fleet.views {
-        view.set_fault(Fault::None);
+    for view in &fleet.store_clients {
+        view.set_fault(StoreFault::None);
     }
     store.put("config", "2");
     tokio::time::sleep(APPLY_MAX).await;
-    let learned = |sink: &&Seen| sink.0.lock().is_some_and(|(seen, _)| seen == store.revision());
+    let learned =
+        |sink: &&LastWrite| sink.0.lock().is_some_and(|(seen, _)| seen == store.revision());
     assert_eq!(fleet.sinks.iter().filter(learned).count(), FleetSize::SMALL.instances);
 }
 
 /// Guards against paying for calls that stay unanswered in a store outage.
 #[tokio::test(start_paused = true)]
 async fn outage_costs_at_most_two_paid_calls_per_instance() {
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::SMALL);
     tokio::time::sleep(SETTLE_TIME).await;
-    let paid = |view: &MemoryEvents| view.calls() - view.looks();
-    let before: Vec<u64> = fleet.views.iter().map(paid).collect();
-    for view in &fleet.views {
-        view.set_fault(Fault::Busy);
+    let paid = |view: &MemoryEventStore| view.calls() - view.cheap_calls();
+    let before: Vec<u64> = fleet.store_clients.iter().map(paid).collect();
+    for view in &fleet.store_clients {
+        view.set_fault(StoreFault::Busy);
     }
     tokio::time::sleep(APPLY_MAX * 4).await;
-    for (at, view) in fleet.views.iter().enumerate() {
+    for (at, view) in fleet.store_clients.iter().enumerate() {
         // The call that failed first, and one of a reader that stands in.
         let calls = paid(view) - before[at];
         assert!(calls <= 2, "instance {at}: {calls} calls");
@@ -309,11 +311,11 @@
     /// Two calls of each zone's first home for each change, the limit set in docs/CAPACITY.md: the
     /// watch that brings the change, and the next watch.
     const CALLS_A_ZONE: u64 = 2 * 6;
-    let store = MemoryEvents::default();
+    let store = MemoryEventStore::default();
     store.put("config", "1");
     let fleet = RelayFleet::start(&store, FleetSize::LARGE);
     tokio::time::sleep(SETTLE_TIME).await;
-    let before: u64 = fleet.views.iter().map(MemoryEvents::calls).sum();
+    let before: u64 = fleet.store_clients.iter().map(MemoryEventStore::calls).sum();
     for zone in ["z0", "z1"] {
         let key = format!("config/evacuations/{zone}");
         store.put(&key, "{}");
@@ -322,9 +324,10 @@
         store.put(&key, "{}");
     }
     tokio::time::sleep(HALF).await;
-    let learned = |sink: &&Seen| sink.0.lock().is_some_and(|(seen, _)| seen == store.revision());
+    let learned =
+        |sink: &&LastWrite| sink.0.lock().is_some_and(|(seen, _)| seen == store.revision());
     assert_eq!(fleet.sinks.iter().filter(learned).count(), FleetSize::LARGE.instances);
-    let calls = fleet.views.iter().map(MemoryEvents::calls).sum::<u64>() - before;
+    let calls = fleet.store_clients.iter().map(MemoryEventStore::calls).sum::<u64>() - before;
     println!("{calls} calls");
     assert!(calls <= CALLS_A_ZONE * FleetSize::LARGE.zones as u64, "{calls} calls");
 }
@@ -333,9 +336,9 @@
 #[tokio::test(start_paused = true)]
 async fn change_without_loss_costs_only_watcher_calls() {
     let draws_no_loss = |seed: &u64| {
-        losses(FleetSize::SMALL, &mut Pcg64::seed_from_u64(*seed))
+        random_faults(FleetSize::SMALL, &mut Pcg64::seed_from_u64(*seed))
             .iter()
-            .all(|loss| *loss == Loss::None)
+            .all(|loss| *loss == InstanceFault::None)
     };
     let seed = (0..10_000).find(draws_no_loss).expect("one of these seeds draws no loss");
     let outcome = run_schedule(seed, FleetSize::SMALL, Strategy::Follower).await;
--- a/tests/server_leaves.rs
+++ b/tests/server_leaves.rs
@@ -5,8 +5,8 @@
 
 use sorrelwick::task::TaskGuard;
 use standins::routed::CONFIG_KEY;
+use standins::routed::GatewayFleet;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
 use standins::routed::two_routes;
 use tokio::time::Instant;
 
@@ -14,7 +14,7 @@
 const DRAIN: Duration = Duration::from_secs(2);
 
 /// Callers of one instance, until dropped.
-fn spawn_callers(bed: &Arc<RoutedBed>) -> Vec<TaskGuard> {
+fn spawn_callers(bed: &Arc<GatewayFleet>) -> Vec<TaskGuard> {
     let caller = |_| {
         let bed = Arc::clone(bed);
         TaskGuard::spawn(async move {
@@ -29,7 +29,7 @@
 
 /// One instance and two servers in use, one of which will drain.
 struct Scene {
-    bed: Arc<RoutedBed>,
+    bed: Arc<GatewayFleet>,
     draining: RawServer,
     _stays: RawServer,
     callers: Vec<TaskGuard>,
@@ -37,15 +37,15 @@
 
 impl Scene {
     async fn start() -> Self {
-        let bed = Arc::new(RoutedBed::start(&["a"]).await);
+        let bed = Arc::new(GatewayFleet::start(&["a"]).await);
         let (draining, stays) = (RawServer::spawn("s1").await, RawServer::spawn("s2").await);
         bed.store.put(CONFIG_KEY, &two_routes(1));
         bed.store.put("servers/s1", &draining.entry("parts", "a", 4, "ready"));
         bed.store.put("servers/s2", &stays.entry("parts", "a", 4, "ready"));
-        bed.settle().await;
+        bed.wait_until_ready().await;
         let callers = spawn_callers(&bed);
         until("both servers receive requests", || {
-            !draining.ran().is_empty() && !stays.ran().is_empty()
+            !draining.ran_ids().is_empty() && !stays.ran_ids().is_empty()
         })
         .await;
         Self { bed, draining, _stays: stays, callers }
@@ -65,18 +65,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_draining_overrides_listed_state() {
     let Scene { bed, draining, _stays, callers } = Scene::start().await;
-    draining.leave();
+    draining.announce_draining();
     let left_at = Instant::now();
     // A delayed report says that the server is ready.
     tokio::time::sleep(DRAIN / 2).await;
     bed.store.put("servers/s1", &draining.entry("parts", "a", 4, "ready"));
     tokio::time::sleep(DRAIN).await;
-    let late = draining.arrived_at().iter().filter(|at| **at > left_at + DRAIN / 2).count();
+    let late = draining.arrival_times().iter().filter(|at| **at > left_at + DRAIN / 2).count();
     assert_eq!(late, 0, "the server received requests after it announced draining");
     // Another process at its address, under the same id, does not drain.
     let next = RawServer::spawn("s1").await;
-    bed.store.put("servers/s1", &next.entry_of_start("parts", "a", 4, "ready", 1));
-    until("the next start of the server receives requests", || !next.ran().is_empty()).await;
+    bed.store.put("servers/s1", &next.entry_started_at("parts", "a", 4, "ready", 1));
+    until("the next start of the server receives requests", || !next.ran_ids().is_empty()).await;
     drop(callers);
 }
 
@@ -85,16 +85,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_is_remembered_when_entry_reappears() {
     let Scene { bed, draining, _stays, callers } = Scene::start().await;
-    draining.leave();
+    draining.announce_draining();
     tokio::time::sleep(DRAIN / 2).await;
-    let known = draining.arrived_at().len();
+    let known = draining.arrival_times().len();
     bed.store.remove("servers/s1");
     // The server has been removed by then.
     tokio::time::sleep(DRAIN).await;
     bed.store.put("servers/s1", &draining.entry("parts", "a", 4, "ready"));
     tokio::time::sleep(DRAIN / 2).await;
     assert_eq!(
-        draining.arrived_at().len(),
+        draining.arrival_times().len(),
         known,
         "the server received requests after it announced draining"
     );
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -14,11 +14,11 @@
 use sorrelwick::starts::HomeSet;
 use sorrelwick::task::TaskGuard;
 use standins::routed::CONFIG_KEY;
-use standins::routed::LimitWord;
+use standins::routed::GatewayFleet;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
-use standins::routed::ask_now;
+use standins::routed::ReportedLimit;
 use standins::routed::ready_row;
+use standins::routed::spec_now;
 use standins::routed::two_routes;
 use tokio::time::Instant;
 
@@ -55,38 +55,38 @@
 }
 
 /// Callers in each zone, more than an unlimited server has slots, until dropped.
-fn callers(bed: &Arc<RoutedBed>) -> Vec<TaskGuard> {
+fn callers(bed: &Arc<GatewayFleet>) -> Vec<TaskGuard> {
     let caller = |number: usize| {
         let bed = Arc::clone(bed);
         TaskGuard::spawn(async move {
             loop {
-                bed.call(number % bed.hosts.len(), "GET /look/a", "look", &[]).await;
+                bed.call(number % bed.instances.len(), "GET /look/a", "look", &[]).await;
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         })
     };
-    (0..3 * bed.hosts.len()).map(caller).collect()
+    (0..3 * bed.instances.len()).map(caller).collect()
 }
 
 /// Arrivals at a rate-limited server beside an unlimited one, with three instances and callers in
 /// all zones.
-async fn arrivals_at_limited_server(word: LimitWord) -> (Vec<Instant>, Instant) {
-    let bed = Arc::new(RoutedBed::start(&ZONES).await);
+async fn arrivals_at_limited_server(word: ReportedLimit) -> (Vec<Instant>, Instant) {
+    let bed = Arc::new(GatewayFleet::start(&ZONES).await);
     let (limited, unlimited) = (RawServer::spawn("s1").await, RawServer::spawn("s2").await);
     bed.store.put(CONFIG_KEY, &two_routes(1));
     bed.store.put("servers/s1", &limited.entry("parts", "a", 4, "ready"));
     bed.store.put("servers/s2", &unlimited.entry("parts", "a", 4, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     for server in [&limited, &unlimited] {
-        server.work(Duration::from_millis(100));
+        server.set_work_time(Duration::from_millis(100));
     }
     let callers = callers(&bed);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    limited.name_limit(Some(word));
+    limited.set_reported_limit(Some(word));
     let advertised_at = Instant::now();
     tokio::time::sleep(ENFORCED_AFTER + SERVER_WINDOW).await;
     drop(callers);
-    (limited.arrived_at(), advertised_at)
+    (limited.arrival_times(), advertised_at)
 }
 
 fn limit(text: &str) -> RateLimit {
@@ -139,8 +139,8 @@
 /// enforce its limit together.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rate_limited_server_gets_no_more_from_all_instances_together() {
-    for in_checks in [false, true] {
-        let word = LimitWord { per_s: 1.2, in_checks };
+    for in_health_checks in [false, true] {
+        let word = ReportedLimit { per_s: 1.2, in_health_checks };
         let (arrived_at, advertised_at) = arrivals_at_limited_server(word).await;
         let most = most_within_window(&arrived_at, advertised_at);
         #[expect(clippy::cast_precision_loss, reason = "some hundred requests")]
@@ -186,7 +186,7 @@
     let mut started_us = Vec::new();
     for now_us in (0..60 * SECOND_US).step_by(5_000) {
         for (pool, ticket) in pools.iter_mut().zip(now_us..) {
-            let spec = ask_now(now_us);
+            let spec = spec_now(now_us);
             if let Some(choice) = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5) {
                 started_us.push(now_us);
                 pool.finish_request(
@@ -232,7 +232,7 @@
     let mut to_limited = 0;
     for ticket in 0..400 {
         let now_us = ticket * 50 * MS;
-        let spec = ask_now(now_us);
+        let spec = spec_now(now_us);
         let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5).expect("room");
         to_limited += u32::from(&*choice.server == "s0");
         pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Answered, now_us + 40 * MS);
@@ -248,7 +248,7 @@
     advertise_limit(&mut pool, "s0", "1", 0);
     for ticket in 1..100 {
         let now_us = ticket * MS;
-        let spec = ask_now(now_us);
+        let spec = spec_now(now_us);
         let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5).expect("room");
         pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Unsent, now_us);
     }
@@ -264,20 +264,20 @@
     }
     let now_us = 10 * SECOND_US;
     for ticket in 0..2 {
-        let spec = ask_now(now_us);
+        let spec = spec_now(now_us);
         let choice = pool.acquire_slot(ticket, &spec, "z", now_us, &mut || 0.5).expect("room");
         pool.finish_request(&choice.server, ticket, &spec, SendOutcome::Answered, now_us + 50 * MS);
     }
     // The next start is allowed after an even part of the window.
     let pause_us = LIMIT_WINDOW_US / u64::from(limit("1").starts_tolerated(1));
     let soon_us = now_us + 60 * MS;
-    assert!(pool.acquire_slot(90, &ask_now(soon_us), "z", soon_us, &mut || 0.5).is_none());
-    let refused = pool.enqueue(90, ask_now(soon_us), soon_us).expect_err("no server may start it");
+    assert!(pool.acquire_slot(90, &spec_now(soon_us), "z", soon_us, &mut || 0.5).is_none());
+    let refused = pool.enqueue(90, spec_now(soon_us), soon_us).expect_err("no server may start it");
     assert!(!refused.no_server);
     let left_ms = (now_us + pause_us - soon_us) / MS;
     assert!((left_ms..=left_ms + 100).contains(&refused.retry_after_ms), "{left_ms}: {refused:?}");
     let later_us = now_us + pause_us - 100 * MS;
-    pool.enqueue(91, ask_now(later_us), later_us).expect("it may start in time");
+    pool.enqueue(91, spec_now(later_us), later_us).expect("it may start in time");
 }
 
 /// Guards against a queue that is longer than rate-limited servers can serve, however many slots
@@ -285,12 +285,12 @@
 #[test]
 fn the_queue_for_rate_limited_servers_is_as_short_as_their_limits() {
     let mut pool = pool(&[1], 1, &["s0"]);
-    let warm = ask_now(0);
+    let warm = spec_now(0);
     let choice = pool.acquire_slot(0, &warm, "z", 0, &mut || 0.5).expect("room");
     pool.finish_request(&choice.server, 0, &warm, SendOutcome::Answered, 200 * MS);
     advertise_limit(&mut pool, "s0", "4", 200 * MS);
     let now_us = 5 * SECOND_US;
-    let admitted = (1..40).filter(|ticket| pool.enqueue(*ticket, ask_now(now_us), now_us).is_ok());
+    let admitted = (1..40).filter(|ticket| pool.enqueue(*ticket, spec_now(now_us), now_us).is_ok());
     let admitted = admitted.count();
     // 400 ms are left to start, in which the server accepts one or two requests.
     assert!((1..=2).contains(&admitted), "{admitted} wait");
@@ -302,8 +302,8 @@
 fn an_instance_that_may_start_nothing_refuses_with_a_short_retry_time() {
     let mut pool = pool(&[1, 2, 3], 4, &["s0"]);
     advertise_limit(&mut pool, "s0", "1", 0);
-    assert!(pool.acquire_slot(1, &ask_now(MS), "z", MS, &mut || 0.5).is_none());
-    let refused = pool.enqueue(1, ask_now(MS), MS).expect_err("it may start nothing there");
+    assert!(pool.acquire_slot(1, &spec_now(MS), "z", MS, &mut || 0.5).is_none());
+    let refused = pool.enqueue(1, spec_now(MS), MS).expect_err("it may start nothing there");
     assert!(!refused.no_server);
     assert!(refused.retry_after_ms <= 100, "{refused:?}");
 }
--- a/tests/server_subset.rs
+++ b/tests/server_subset.rs
@@ -9,8 +9,8 @@
 use sorrelwick::balance::ServerSubset;
 use sorrelwick::balance::ServicePool;
 use sorrelwick::model::ServerRow;
-use standins::routed::ask_now;
 use standins::routed::ready_row;
+use standins::routed::spec_now;
 
 const MS: u64 = 1_000;
 const ZONE: &str = "z";
@@ -42,7 +42,7 @@
         let began = Instant::now();
         for number in 0..REQUESTS {
             let now_us = (1 + run * REQUESTS + number) * 10 * MS;
-            let spec = ask_now(now_us);
+            let spec = spec_now(now_us);
             let choice = pool.acquire_slot(number, &spec, ZONE, now_us, &mut random).expect("room");
             assert!(pool.dispatch_queued(ZONE, now_us, &mut random).is_none());
             pool.finish_request(
@@ -98,7 +98,7 @@
     // All servers are scanned at most every 5 ms, so requests come at 6 ms intervals.
     for number in 0..1_000 {
         let now_us = (1 + number) * 6 * MS;
-        let choice = pool.acquire_slot(number, &ask_now(now_us), ZONE, now_us, &mut random);
+        let choice = pool.acquire_slot(number, &spec_now(now_us), ZONE, now_us, &mut random);
         others += u32::from(!preferred.contains(&choice.expect("room").server));
     }
     assert!(others > 500, "{others} went to servers outside the subset");
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -8,8 +8,8 @@
 use standins::bed::Bed;
 use standins::bed::BedPlan;
 use standins::caller::Call;
+use standins::caller::CallResult;
 use standins::caller::Caller;
-use standins::caller::Told;
 use standins::load::LoadPlan;
 use standins::load::run_load;
 
@@ -21,8 +21,8 @@
 async fn responses_are_complete_and_reach_their_callers() {
     let bed = Bed::start(BedPlan::default()).await;
     bed.create("catalogue").await;
-    bed.backends[0].behaviour.cut_bodies.store(30, Ordering::Release);
-    bed.backends[1].behaviour.lose_answers.store(30, Ordering::Release);
+    bed.backends[0].behaviour.bodies_to_truncate.store(30, Ordering::Release);
+    bed.backends[1].behaviour.responses_to_drop.store(30, Ordering::Release);
     bed.backends[2].behaviour.slow_factor.store(20, Ordering::Release);
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("catalogue", zone)).collect();
     let crowd = LoadPlan {
@@ -52,13 +52,13 @@
     bed.create("portal").await;
     let target = format!("/list?bytes={LARGE_BYTES}&work_us=100");
     for (at, chunked) in [(0, false), (1, false), (2, false), (0, true), (1, true), (2, true)] {
-        bed.backends[0].behaviour.cut_chunked.store(chunked, Ordering::Release);
+        bed.backends[0].behaviour.truncate_chunked.store(chunked, Ordering::Release);
         let caller = bed.caller("portal", at);
         let whole = caller.call(&Call::get(&target, "whole")).await;
         assert_eq!(whole.body(), &body_for("whole", LARGE_BYTES)[..]);
-        bed.backends[0].behaviour.cut_bodies.store(1, Ordering::Release);
+        bed.backends[0].behaviour.bodies_to_truncate.store(1, Ordering::Release);
         let cut = caller.call(&Call::post(&target, "cut")).await;
-        assert_eq!(cut, Told::Broken, "through instance {at}");
+        assert_eq!(cut, CallResult::Broken, "through instance {at}");
     }
 }
 
@@ -153,8 +153,8 @@
     service.backend_servers[0].address = address;
     let revision = bed.put(0, &service, 0).await.expect("accepted");
     bed.until_in_force("odd", revision).await;
-    let told = bed.caller("odd", 0).call(&Call::post("/", "s").within_ms(300)).await;
-    assert_eq!(told, Told::Broken);
+    let told = bed.caller("odd", 0).call(&Call::post("/", "s").with_timeout_ms(300)).await;
+    assert_eq!(told, CallResult::Broken);
     let state = bed.boards()[0].services().get("odd").cloned().expect("in force");
     standins::bed::until("the slot is released", async || {
         state.runtime.slot_queue.free_slots_and_waiting().0 == 4
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -10,8 +10,8 @@
 use sorrelwick::workspace::KeyHash;
 use sorrelwick::workspace::redact_keys;
 use standins::routed::CONFIG_KEY;
+use standins::routed::GatewayFleet;
 use standins::routed::RawServer;
-use standins::routed::RoutedBed;
 use standins::routed::routes_with_workspaces;
 
 const WAIT: Duration = Duration::from_secs(10);
@@ -26,12 +26,12 @@
 }
 
 /// Starts one instance and a server for lookups.
-async fn start_bed(workspaces: &serde_json::Value) -> (RoutedBed, RawServer) {
-    let bed = RoutedBed::start(&["z"]).await;
+async fn start_bed(workspaces: &serde_json::Value) -> (GatewayFleet, RawServer) {
+    let bed = GatewayFleet::start(&["z"]).await;
     let parts = RawServer::spawn("p1").await;
     bed.store.put(CONFIG_KEY, &routes_with_workspaces(1, workspaces));
     bed.store.put("servers/p1", &parts.entry("parts", "z", 4, "ready"));
-    bed.settle().await;
+    bed.wait_until_ready().await;
     let until = Instant::now() + WAIT;
     while bed.call(0, "GET /open/a", "first", &[]).await.status != 200 {
         assert!(Instant::now() < until, "the route without keys is not served");
@@ -41,7 +41,7 @@
 }
 
 fn request_head(server: &RawServer, id: &str) -> String {
-    let heads = server.heads();
+    let heads = server.request_heads();
     heads
         .into_iter()
         .find(|head| head.contains(&format!("request-id: {id}\r")))
@@ -100,9 +100,9 @@
     for (number, fields) in cases.iter().enumerate() {
         let answer = bed.call_with(0, "GET /look/a", &format!("none-{number}"), fields).await;
         assert_eq!(answer.status, 401, "case {number}: {answer:?}");
-        assert_eq!(answer.field("retry-after"), None);
+        assert_eq!(answer.header("retry-after"), None);
     }
-    assert!(parts.ran().iter().all(|id| !id.starts_with("none-")));
+    assert!(parts.ran_ids().iter().all(|id| !id.starts_with("none-")));
 }
 
 /// Guards against plain-text keys in the memory of instances or in messages between them.
