--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -71,14 +71,19 @@
     /// apply them last and hide a member. Changed in place unless a reader holds the current
     /// snapshot.
     view: RwLock<Arc<MembersView>>,
+    /// The active services.
     services: ArcSwap<ServiceMap>,
     /// Counts changes that the placement depends on.
     changed: watch::Sender<u64>,
     /// Whether the last call to the platform's store succeeded.
     store_up: AtomicBool,
+    /// The availability zones that operators have evacuated.
     evacuated_zones: ArcSwap<Vec<Arc<str>>>,
+    /// Requests per second that the homes of a zone together must be able to carry.
     zone_demand_per_s: AtomicU32,
+    /// The [`Phase`] of the process.
     phase: AtomicU8,
+    /// Callers' requests in flight.
     in_flight: Arc<AtomicUsize>,
 }
 
--- a/src/board/events.rs
+++ b/src/board/events.rs
@@ -14,14 +14,17 @@
 pub enum EventKind {
     Started,
     Stopping,
+    /// This instance handed its recorded outcomes over to another.
     HandedOver {
         rows: usize,
         to: u64,
     },
+    /// This instance took over the recorded outcomes of another.
     Adopted {
         rows: usize,
         from: u64,
     },
+    /// A member changed its state.
     Member {
         name: String,
         incarnation: u64,
@@ -34,27 +37,34 @@
         dead: usize,
         known: usize,
     },
+    /// A service's configuration became active.
     ConfigApplied {
         service: String,
         revision: u64,
     },
+    /// A backend server began to drain.
     ServerLeaving {
         service: String,
         server: String,
     },
+    /// A draining backend server returned.
     ServerBack {
         service: String,
         server: String,
     },
+    /// This instance acquired a shard's lease.
     ShardTaken {
         shard: u32,
     },
+    /// This instance lost a shard's lease.
     ShardLost {
         shard: u32,
     },
+    /// The platform's store stopped answering.
     StoreLost {
         why: String,
     },
+    /// The platform's store answers again.
     StoreBack,
 }
 
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -26,22 +26,13 @@
 #[derive(Clone, Debug)]
 pub enum Edit {
     /// Replaces the service at the expected revision; 0 for a service that must not exist.
-    Put {
-        service: Service,
-        expected: u64,
-    },
-    Delete {
-        expected: u64,
-    },
+    Put { service: Service, expected: u64 },
+    /// Deletes the service at the expected revision.
+    Delete { expected: u64 },
     /// Drains or restores one server, at any revision.
-    Drain {
-        server: String,
-        drained: bool,
-    },
+    Drain { server: String, drained: bool },
     /// Sets the probe budget, at any revision.
-    Budget {
-        per_s: u32,
-    },
+    Budget { per_s: u32 },
 }
 
 /// Why a change is not known to be committed.
@@ -119,7 +110,7 @@
 }
 
 impl<S: Store> Committer<S> {
-    /// A committer on this store.
+    /// A committer that writes to this store.
     #[must_use]
     pub const fn new(store: S) -> Self {
         Self { store }
@@ -134,7 +125,8 @@
         Ok(StoredService { index: entry.index, row })
     }
 
-    /// Commits `edit` as the change `change_id`; the same id may be sent again after a fault.
+    /// Commits `edit` under the id `change_id`. A call may be repeated with the same id after an
+    /// error.
     ///
     /// # Errors
     /// `Conflict` with the current row, `NotFound`, `ServiceInvalid`, `StoreUnreachable` if nothing
--- a/src/member/joiner.rs
+++ b/src/member/joiner.rs
@@ -28,8 +28,8 @@
 /// slots of all servers on its own until it has found another; a refused call costs next to
 /// nothing.
 const ALONE_INTERVAL_MS: u64 = 40;
-/// While no other instance is known, the platform's list is read once in so many rounds, since the
-/// platform charges for each call.
+/// While no other instance is known, the platform's list is read once per this many rounds, since
+/// the platform charges for each call.
 const ALONE_ROUNDS_PER_LISTING: u64 = 16;
 /// Known instances per round between two reads of the platform's list: an instance that knows 200
 /// others reads it every tenth round.
--- a/src/member/suspicion_timer.rs
+++ b/src/member/suspicion_timer.rs
@@ -11,7 +11,7 @@
 /// Tick interval while there are no suspects.
 const IDLE_TICK_MS: u64 = 250;
 
-/// Times suspicions out, counting only the time in which this instance itself was not stalled.
+/// Timer of suspicions; counts only the time in which this instance itself was not stalled.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspicionTimer {
     /// How long a suspect has to refute the suspicion.
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -57,8 +57,8 @@
 pub enum MemberChange {
     /// The member's row, with its current uptime.
     Updated(MemberRow),
-    /// The member, by incarnation, was removed from the table [`TOMBSTONE_TTL_MS`] after it was
-    /// gone.
+    /// The incarnation of a member removed from the table, [`TOMBSTONE_TTL_MS`] after it died or
+    /// left.
     Removed(u64),
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl MemberTable {
-    /// A table that holds only the own row.
+    /// A table that holds only this instance's own row.
     #[must_use]
     pub fn new(own: MemberRow, now_ms: u64) -> Self {
         let mut table = Self {
@@ -154,7 +154,7 @@
         Some(entry)
     }
 
-    /// The own row with its current uptime.
+    /// This instance's own row with its current uptime.
     #[must_use]
     pub fn own_row(&self, now_ms: u64) -> MemberRow {
         self.entries[&self.own_incarnation].row_at(now_ms)
@@ -242,6 +242,7 @@
         self.merge_row(row, Source::Sync, now_ms)
     }
 
+    /// Merges a row; returns whether the table changed.
     fn merge_row(&mut self, row: &MemberRow, source: Source, now_ms: u64) -> bool {
         if row.incarnation == self.own_incarnation {
             return self.refute(row, now_ms);
@@ -303,7 +304,7 @@
         }
     }
 
-    /// Changes the own state and gossips it.
+    /// Changes the state of this instance and gossips it.
     pub fn set_own_state(&mut self, state: MemberState, successor: Option<u64>, now_ms: u64) {
         let own = &self.entries[&self.own_incarnation];
         let generation = own.row.generation + 1;
--- a/src/peer/forward.rs
+++ b/src/peer/forward.rs
@@ -65,6 +65,7 @@
     pub head: ForwardReplyHead,
     /// Body bytes received together with the head.
     pub first: Bytes,
+    /// The rest of the body.
     pub rest: RecvStream,
 }
 
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -57,7 +57,9 @@
 /// A part of the platform's store that instances replicate to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Feed {
+    /// The configuration.
     Config,
+    /// All backend servers.
     Servers,
     /// Some backend servers of each service, for an instance that is not a home and rarely gets a
     /// request.
@@ -101,53 +103,41 @@
 /// A request from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
+    /// A request of the membership protocol.
     Member(MemberRequest),
     /// Asks for an indirect ping of an instance that the sender could not reach.
-    IndirectPing {
-        target: SocketAddr,
-    },
+    IndirectPing { target: SocketAddr },
     /// Asks for the configuration summary unless the receiver's configuration has this digest.
-    Digest {
-        digest: u64,
-    },
+    Digest { digest: u64 },
+    /// Configuration changes; merging them is idempotent.
     /// Configuration changes; merging them is idempotent.
     Changes(Vec<(String, Versioned)>),
     /// Asks for the configuration of these services.
     Fetch(Vec<String>),
+    /// Load of the sender as a home of a service; the reply carries the receiver's free slots.
     Load(LoadNote),
     /// The sender has seen a backend server begin to drain (`true`) or return (`false`).
-    ServerLeaving {
-        service: String,
-        server: String,
-        leaving: bool,
-    },
+    ServerLeaving { service: String, server: String, leaving: bool },
     /// All backend servers that the platform lists as draining.
     ServersLeaving(Vec<SocketAddr>),
+    /// Asks for probe budget.
     Grant(GrantRequest),
+    /// The sender's in-flight requests at backend servers.
     ServerLoads(ServerLoads),
     /// Long poll for changes after a revision; the receiver holds it for up to `hold_ms` while
     /// there are none.
-    Feed {
-        feed: Feed,
-        after: Option<u64>,
-        hold_ms: u64,
-    },
+    Feed { feed: Feed, after: Option<u64>, hold_ms: u64 },
     /// Records of requests suspected of crashing servers. The receiver answers with those of them
     /// that it holds in another state and, if `complete` says that these are all the sender has,
     /// with any others too.
-    Suspects {
-        records: Vec<SuspectRecord>,
-        complete: bool,
-    },
+    Suspects { records: Vec<SuspectRecord>, complete: bool },
     /// Asks for tokens of a workspace's quota, in millitokens.
-    QuotaTokens {
-        workspace: String,
-        wanted_millitokens: u32,
-    },
+    QuotaTokens { workspace: String, wanted_millitokens: u32 },
     /// Recorded outcomes of an instance that stops; the receiver becomes the owner of its
     /// idempotency keys.
     HandOver {
         part: OwnerSnapshot,
+        /// Whether this is the last part.
         last: bool,
     },
 }
@@ -155,14 +145,19 @@
 /// A reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
+    /// Accepted, with nothing to return.
     Done,
+    /// Rows of the responder's member table.
     Members(Vec<MemberRow>),
+    /// Answer to a direct ping.
     Ack {
+        /// The responder's hybrid logical clock.
         stamp: u64,
         /// Hash of the responder's members digest.
         digest_hash: u64,
         /// Digest of the responder's records of suspect requests.
         suspects_digest: u64,
+        /// Rows that the responder gossips.
         gossip: Vec<MemberRow>,
     },
     /// The buckets in which the two members digests differ, and the fingerprints of the responder's
@@ -181,6 +176,7 @@
     Granted(Vec<u32>),
     /// Free slots at the responder.
     FreeSlots(u32),
+    /// Response to a feed request.
     Feed(FeedResponse),
     /// Tokens that the responder gives away, in millitokens.
     QuotaTokens(u32),
