--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -24,7 +24,7 @@
 use sorrelwick::member::MemberRequest;
 use sorrelwick::member::MemberRow;
 use sorrelwick::model::Service;
-use sorrelwick::model::Versioned;
+use sorrelwick::model::VersionedService;
 use sorrelwick::outcome::KeyDecision;
 use sorrelwick::outcome::OutcomeTable;
 use sorrelwick::outcome::RecordedAnswer;
@@ -128,8 +128,9 @@
     json5::from_str(&text).expect("a valid declaration")
 }
 
-fn row(number: usize) -> (String, Versioned) {
-    let versioned = Versioned::next(None, Uuid::from_u128(number as u128), Some(service(number)));
+fn row(number: usize) -> (String, VersionedService) {
+    let versioned =
+        VersionedService::next(None, Uuid::from_u128(number as u128), Some(service(number)));
     (format!("service-{number}"), versioned)
 }
 
--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -8,15 +8,15 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-use super::peer_answers::PeerAnswers;
-use super::stop::stop;
+use super::daemon_peer_service::DaemonPeerService;
+use super::graceful_stop::stop_gracefully;
 use crate::board::Blackboard;
 use crate::board::EventKind;
 use crate::catalog::run_repair;
 use crate::catalog::run_watcher;
 use crate::conf::Settings;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::measure::Shard;
 use crate::measure::TokenBuckets;
 use crate::measure::run_prober;
@@ -32,10 +32,10 @@
 use crate::route::Router;
 use crate::route::run_placement;
 use crate::route::run_queues;
-use crate::status::StatusPage;
+use crate::status::StatusListener;
 use crate::store::AnyStore;
 
-const TIDY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A running instance; dropped, it ends at once, as a kill would end it.
 #[derive(Debug)]
@@ -45,24 +45,27 @@
     tasks: JoinSet<()>,
     _peers: PeerListener,
     _operators: OperatorListener,
-    _status: StatusPage,
+    _status: StatusListener,
 }
 
-pub(super) async fn listen(address: SocketAddr, what: &str) -> Result<TcpListener, Coded> {
-    TcpListener::bind(address)
-        .await
-        .map_err(|err| Coded::new(Code::ListenFailed, format!("listen.{what} {address}: {err}")))
+pub(super) async fn bind_listener(
+    address: SocketAddr,
+    what: &str,
+) -> Result<TcpListener, CodedError> {
+    TcpListener::bind(address).await.map_err(|err| {
+        CodedError::new(Code::ListenFailed, format!("listen.{what} {address}: {err}"))
+    })
 }
 
-pub(super) fn local(listener: &TcpListener, set: &mut SocketAddr) {
+pub(super) fn record_bound_address(listener: &TcpListener, set: &mut SocketAddr) {
     if let Ok(address) = listener.local_addr() {
         *set = address;
     }
 }
 
-async fn tidy(board: Arc<Blackboard>) {
+async fn run_cleanup(board: Arc<Blackboard>) {
     loop {
-        tokio::time::sleep(TIDY).await;
+        tokio::time::sleep(CLEANUP_INTERVAL).await;
         board.outcomes.expire(board.incarnation);
         for state in board.services().values() {
             let servers = state.runtime.slot_queue.declared_servers().into_iter();
@@ -79,15 +82,15 @@
     ///
     /// # Errors
     /// `ListenFailed` names the listener that cannot be bound.
-    pub async fn spawn(mut settings: Settings) -> Result<Self, Coded> {
-        let callers = listen(settings.listen.caller, "caller").await?;
-        let operators = listen(settings.listen.operator, "operator").await?;
-        let peers = listen(settings.listen.peer, "peer").await?;
-        let status = listen(settings.listen.status, "status").await?;
-        local(&callers, &mut settings.listen.caller);
-        local(&operators, &mut settings.listen.operator);
-        local(&peers, &mut settings.listen.peer);
-        local(&status, &mut settings.listen.status);
+    pub async fn spawn(mut settings: Settings) -> Result<Self, CodedError> {
+        let callers = bind_listener(settings.listen.caller, "caller").await?;
+        let operators = bind_listener(settings.listen.operator, "operator").await?;
+        let peers = bind_listener(settings.listen.peer, "peer").await?;
+        let status = bind_listener(settings.listen.status, "status").await?;
+        record_bound_address(&callers, &mut settings.listen.caller);
+        record_bound_address(&operators, &mut settings.listen.operator);
+        record_bound_address(&peers, &mut settings.listen.peer);
+        record_bound_address(&status, &mut settings.listen.status);
         let store = AnyStore::open(settings.platform.as_ref());
         let links = Links::new(&settings.peers.secret);
         let incarnation = rand::rng().random::<u64>();
@@ -96,8 +99,11 @@
             Router { board: Arc::clone(&board), links: links.clone(), store: store.clone() };
         let shard = Shard::default();
         let buckets = TokenBuckets::default();
-        let answers =
-            PeerAnswers { router: router.clone(), shard: shard.clone(), buckets: buckets.clone() };
+        let answers = DaemonPeerService {
+            router: router.clone(),
+            shard: shard.clone(),
+            buckets: buckets.clone(),
+        };
         let secret: Arc<str> = links.secret().into();
         let mut tasks = JoinSet::new();
         tasks.spawn(run_placement(Arc::clone(&board)));
@@ -110,12 +116,12 @@
         tasks.spawn(run_prober(router.clone(), buckets, shard));
         tasks.spawn(run_roster(Arc::clone(&board), store, links.clone()));
         tasks.spawn(run_queues(router.clone()));
-        tasks.spawn(tidy(Arc::clone(&board)));
+        tasks.spawn(run_cleanup(Arc::clone(&board)));
         board.record_event(EventKind::Started);
         Ok(Self {
             _peers: PeerListener::spawn(peers, secret, answers),
             _operators: OperatorListener::spawn(operators, router.clone()),
-            _status: StatusPage::spawn(status, Arc::clone(&board)),
+            _status: StatusListener::spawn(status, Arc::clone(&board)),
             listener: CallerListener::spawn(callers, router.clone()),
             router,
             tasks,
@@ -130,7 +136,7 @@
 
     /// Stops as planned; returns when nothing is in flight any more.
     pub async fn stop(mut self) {
-        stop(&self.router.board, &self.router.links, self.listener).await;
+        stop_gracefully(&self.router.board, &self.router.links, self.listener).await;
         self.tasks.shutdown().await;
     }
 }
--- a/src/app/peer_answers.rs
+++ b/src/app/daemon_peer_service.rs
@@ -32,14 +32,14 @@
 
 /// Serves the peer listener; clones share.
 #[derive(Clone, Debug)]
-pub struct PeerAnswers {
+pub struct DaemonPeerService {
     pub router: Router,
     pub shard: Shard,
     pub buckets: TokenBuckets,
 }
 
-impl PeerAnswers {
-    fn digest(&self, digest: u64) -> PeerReply {
+impl DaemonPeerService {
+    fn compare_digest(&self, digest: u64) -> PeerReply {
         let catalog = self.router.board.catalog.lock();
         if catalog.digest() == digest {
             return PeerReply::Done;
@@ -47,7 +47,7 @@
         PeerReply::Summary(catalog.summary())
     }
 
-    fn load(&self, note: &LoadNote) -> PeerReply {
+    fn record_load(&self, note: &LoadNote) -> PeerReply {
         let services = self.router.board.services();
         PeerReply::FreeSlots(
             services
@@ -56,7 +56,7 @@
         )
     }
 
-    fn leaving(&self, service: &str, server: &str, leaving: bool) -> PeerReply {
+    fn set_leaving(&self, service: &str, server: &str, leaving: bool) -> PeerReply {
         let board = &self.router.board;
         let Some(state) = board.services().get(service).cloned() else {
             return PeerReply::Done;
@@ -70,11 +70,12 @@
     fn adopt(&self, part: OwnerSnapshot, last: bool) -> PeerReply {
         let board = &self.router.board;
         let from = part.incarnation;
-        let told_born_ms = now_ms().saturating_sub(part.uptime_ms);
+        let reported_started_ms = now_ms().saturating_sub(part.uptime_ms);
         // The earlier of both is nearer to the truth: this message may have waited.
-        let heard_born_ms = board.members.lock().started_ms(from).unwrap_or(told_born_ms);
+        let gossiped_started_ms =
+            board.members.lock().started_ms(from).unwrap_or(reported_started_ms);
         let rows = part.rows.len();
-        board.outcomes.adopt(part, told_born_ms.min(heard_born_ms), last);
+        board.outcomes.adopt(part, reported_started_ms.min(gossiped_started_ms), last);
         if last {
             board.record_event(EventKind::Adopted { rows, from });
         }
@@ -82,7 +83,7 @@
     }
 }
 
-impl PeerService for PeerAnswers {
+impl PeerService for DaemonPeerService {
     async fn handle_control(&self, request: PeerRequest) -> PeerReply {
         let board = &self.router.board;
         match request {
@@ -90,7 +91,7 @@
             PeerRequest::IndirectPing { target } => {
                 handle_indirect_ping(board, &self.router.links, target).await
             }
-            PeerRequest::Digest { digest } => self.digest(digest),
+            PeerRequest::Digest { digest } => self.compare_digest(digest),
             PeerRequest::Changes(rows) => {
                 merge_rows(board, rows);
                 PeerReply::Done
@@ -100,9 +101,9 @@
                 let rows = board.catalog.lock().get_many(&names);
                 PeerReply::Changes(split_rows(&rows).into_iter().next().unwrap_or_default())
             }
-            PeerRequest::Load(note) => self.load(&note),
+            PeerRequest::Load(note) => self.record_load(&note),
             PeerRequest::ServerLeaving { service, server, leaving } => {
-                self.leaving(&service, &server, leaving)
+                self.set_leaving(&service, &server, leaving)
             }
             PeerRequest::ServersLeaving(leaving) => {
                 apply_platform_list(board, &leaving.into_iter().collect());
--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -8,9 +8,9 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-use super::daemon::listen;
-use super::daemon::local;
-use super::gateway_peers::GatewayPeers;
+use super::daemon::bind_listener;
+use super::daemon::record_bound_address;
+use super::gateway_peer_service::GatewayPeerService;
 use crate::balance::RetryAllowance;
 use crate::board::Blackboard;
 use crate::board::EventKind;
@@ -19,7 +19,7 @@
 use crate::conf::GatewaySettings;
 use crate::conf::Settings;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::gateway::AddressHandler;
 use crate::gateway::Admission;
 use crate::gateway::CallerHandler;
@@ -52,29 +52,29 @@
 use crate::peer::PeerListener;
 use crate::quarantine::run_suspect_gossip;
 use crate::quota::Quotas;
-use crate::status::StatusPage;
+use crate::status::StatusListener;
 use crate::store::EventStore;
 
 /// Connections for the platform's own questions: one a second from a few places, and one for
 /// each caller that asks for addresses.
-const SMALL_CONNECTIONS_MAX: u32 = 1_000;
+const PLATFORM_CONNECTIONS_MAX: u32 = 1_000;
 /// Part of the memory that the bodies of requests may take, and as much again those of answers that
 /// are held whole.
-const BODY_MEMORY_SHARE: usize = 4;
+const BODY_MEMORY_DIVISOR: usize = 4;
 /// Part of the repeat ratio that is used: a repeat may be counted in another window than its
 /// request.
-const REPEAT_SHARE: f64 = 0.9;
+const RETRY_RATIO_FACTOR: f64 = 0.9;
 /// Part of the slack of the repeat budget that the homes divide. The rest is for homes that
 /// changed within a window, each of which may have used its part.
-const SLACK_SHARE: f64 = 0.7;
+const RETRY_SLACK_FACTOR: f64 = 0.7;
 /// Callers that keep an old address answer are served for this long after the signal to stop, in
 /// percent of the grace.
-const SERVE_ON_PERCENT: u32 = 55;
+const SERVE_AFTER_STOP_PERCENT: u32 = 55;
 /// Kept back from the grace for the end of the process itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 /// Time to tell the others that this instance has stopped, within that margin.
-const LAST_WORD: Duration = Duration::from_millis(100);
-const STOP_TURN: Duration = Duration::from_millis(20);
+const FINAL_ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(100);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running instance; dropped, it ends at once, as a kill would end it.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     _readiness: HttpListener,
     _addresses: HttpListener,
     _peers: PeerListener,
-    _status: StatusPage,
+    _status: StatusListener,
 }
 
 /// The listening sockets of an instance.
@@ -100,40 +100,43 @@
 }
 
 impl Sockets {
-    async fn bind(settings: &mut Settings, gateway: &mut GatewaySettings) -> Result<Self, Coded> {
+    async fn bind(
+        settings: &mut Settings,
+        gateway: &mut GatewaySettings,
+    ) -> Result<Self, CodedError> {
         let sockets = Self {
-            callers: listen(settings.listen.caller, "caller").await?,
-            peers: listen(settings.listen.peer, "peer").await?,
-            status: listen(settings.listen.status, "status").await?,
-            readiness: listen(gateway.readiness, "readiness").await?,
-            addresses: listen(gateway.addresses, "addresses").await?,
+            callers: bind_listener(settings.listen.caller, "caller").await?,
+            peers: bind_listener(settings.listen.peer, "peer").await?,
+            status: bind_listener(settings.listen.status, "status").await?,
+            readiness: bind_listener(gateway.readiness, "readiness").await?,
+            addresses: bind_listener(gateway.addresses, "addresses").await?,
         };
-        local(&sockets.callers, &mut settings.listen.caller);
-        local(&sockets.peers, &mut settings.listen.peer);
-        local(&sockets.status, &mut settings.listen.status);
-        local(&sockets.readiness, &mut gateway.readiness);
-        local(&sockets.addresses, &mut gateway.addresses);
+        record_bound_address(&sockets.callers, &mut settings.listen.caller);
+        record_bound_address(&sockets.peers, &mut settings.listen.peer);
+        record_bound_address(&sockets.status, &mut settings.listen.status);
+        record_bound_address(&sockets.readiness, &mut gateway.readiness);
+        record_bound_address(&sockets.addresses, &mut gateway.addresses);
         Ok(sockets)
     }
 }
 
 /// What all homes together may repeat. Instances that are none get next to no requests, and the
 /// unused part of the slack covers those.
-fn allowance(gateway: &GatewaySettings) -> RetryAllowance {
+fn retry_allowance(gateway: &GatewaySettings) -> RetryAllowance {
     RetryAllowance {
-        ratio: gateway.repeat_ratio * REPEAT_SHARE,
+        ratio: gateway.repeat_ratio * RETRY_RATIO_FACTOR,
         window_us: u64::try_from(gateway.repeat_window().as_micros()).unwrap_or(u64::MAX),
-        slack: gateway.repeat_slack * SLACK_SHARE,
+        slack: gateway.repeat_slack * RETRY_SLACK_FACTOR,
     }
 }
 
 /// Homes while the members are not known yet.
-fn homes_at_least(gateway: &GatewaySettings) -> usize {
+fn initial_home_count(gateway: &GatewaySettings) -> usize {
     gateway.homes_per_zone * gateway.zones.len()
 }
 
 /// What this instance knows of the store, for itself and for others that ask.
-struct Copies<D> {
+struct StoreMirrors<D> {
     config_age: Arc<MirrorAge>,
     config: Arc<Mirror<OperatorSink<D>>>,
     servers: Arc<Mirror<ServerSink<D>>>,
@@ -148,7 +151,7 @@
     board: &Arc<Blackboard>,
     table: &CurrentRouteTable,
     dispatcher: &Dispatcher,
-) -> Copies<D> {
+) -> StoreMirrors<D> {
     let keys = dialect.store_keys();
     let config_age = Arc::new(MirrorAge::default());
     let operators = OperatorSink {
@@ -174,7 +177,7 @@
     tasks.spawn(follow_config().cross_check());
     tasks.spawn(follow_servers().run());
     tasks.spawn(follow_servers().cross_check());
-    Copies { config_age, config, servers }
+    StoreMirrors { config_age, config, servers }
 }
 
 impl Gateway {
@@ -188,9 +191,9 @@
         mut settings: Settings,
         dialect: D,
         store: S,
-    ) -> Result<Self, Coded> {
+    ) -> Result<Self, CodedError> {
         let Some(mut gateway) = settings.gateway.take() else {
-            return Err(Coded::new(Code::SettingsValue, "gateway: the section is missing"));
+            return Err(CodedError::new(Code::SettingsValue, "gateway: the section is missing"));
         };
         let sockets = Sockets::bind(&mut settings, &mut gateway).await?;
         settings.gateway = Some(gateway.clone());
@@ -199,32 +202,32 @@
         let links = Links::new(&settings.peers.secret);
         let board = Arc::new(Blackboard::new(settings, rand::rng().random::<u64>()));
         let table: CurrentRouteTable = Arc::new(ArcSwapOption::empty());
-        let dispatcher = Dispatcher::new(&zone, allowance(&gateway));
-        dispatcher.set_home_count(homes_at_least(&gateway), true);
+        let dispatcher = Dispatcher::new(&zone, retry_allowance(&gateway));
+        dispatcher.set_home_count(initial_home_count(&gateway), true);
 
         let mut tasks = JoinSet::new();
-        let Copies { config_age, config, servers } =
+        let StoreMirrors { config_age, config, servers } =
             spawn_followers(&mut tasks, &dialect, &store, &links, &board, &table, &dispatcher);
-        let (config_copy, servers_copy) = (Arc::clone(&config), Arc::clone(&servers));
-        let checked = run_store_check(store.clone(), Arc::clone(&board), config_copy, servers_copy);
-        tasks.spawn(checked);
-        let keeper = QuarantineStore {
+        let (config_ref, servers_ref) = (Arc::clone(&config), Arc::clone(&servers));
+        let check = run_store_check(store.clone(), Arc::clone(&board), config_ref, servers_ref);
+        tasks.spawn(check);
+        let quarantine_store = QuarantineStore {
             dialect: dialect.clone(),
             store: store.clone(),
             board: Arc::clone(&board),
         };
         if !gateway.first_start {
             // At the first start of all there is nothing to read.
-            tasks.spawn(keeper.clone().load_when_first_home());
+            tasks.spawn(quarantine_store.clone().load_when_first_home());
         }
-        tasks.spawn(keeper.run_writer());
+        tasks.spawn(quarantine_store.run_writer());
         let registry = Registry { dialect: dialect.clone(), store, board: Arc::clone(&board) };
         tasks.spawn(registry.clone().run());
         tasks.spawn(run_failure_detector(Arc::clone(&board), links.clone()));
         tasks.spawn(run_joiner(Arc::clone(&board), registry, links.clone()));
         tasks.spawn(run_suspect_gossip(Arc::clone(&board), links.clone()));
         tasks.spawn(dispatcher.clone().run());
-        let quotas = Arc::new(Quotas::new(gateway.quota_bound()));
+        let quotas = Arc::new(Quotas::new(gateway.quota_tolerance()));
         let admission = Admission::new(Arc::clone(&table), config_age, &gateway);
         let grace = gateway.grace();
         let memory_bytes = gateway.memory_max_bytes();
@@ -237,7 +240,7 @@
         };
         tasks.spawn(prober.run());
 
-        let load_share = LoadReporter {
+        let load_reporter = LoadReporter {
             board: Arc::clone(&board),
             links: links.clone(),
             dispatcher: dispatcher.clone(),
@@ -255,23 +258,23 @@
             quotas,
         };
         tasks.spawn(planner.run());
-        tasks.spawn(load_share.run());
-        let peers = GatewayPeers {
+        tasks.spawn(load_reporter.run());
+        let peers = GatewayPeerService {
             board: Arc::clone(&board),
             links: links.clone(),
             dispatcher: dispatcher.clone(),
             config,
             servers,
-            quota_gate: quota_limiter.clone(),
+            quota_limiter: quota_limiter.clone(),
         };
         let forwarder = Forwarder {
             dialect: dialect.clone(),
             board: Arc::clone(&board),
             dispatcher,
             admission: admission.clone(),
-            response_memory: Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE)),
+            response_memory: Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_DIVISOR)),
         };
-        let body_memory = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_SHARE));
+        let body_memory = Arc::new(MemoryBudget::new(memory_bytes / BODY_MEMORY_DIVISOR));
         let spent_time = Arc::new(SpentTimeEstimator::default());
         let callers = CallerHandler { forwarder, body_memory, spent_time, quota_limiter };
         let readiness =
@@ -283,10 +286,10 @@
             callers: HttpListener::spawn(sockets.callers, callers, connections_max),
             tasks,
             grace,
-            _readiness: HttpListener::spawn(sockets.readiness, readiness, SMALL_CONNECTIONS_MAX),
-            _addresses: HttpListener::spawn(sockets.addresses, addresses, SMALL_CONNECTIONS_MAX),
+            _readiness: HttpListener::spawn(sockets.readiness, readiness, PLATFORM_CONNECTIONS_MAX),
+            _addresses: HttpListener::spawn(sockets.addresses, addresses, PLATFORM_CONNECTIONS_MAX),
             _peers: PeerListener::spawn(sockets.peers, secret, peers),
-            _status: StatusPage::spawn(sockets.status, Arc::clone(&board)),
+            _status: StatusListener::spawn(sockets.status, Arc::clone(&board)),
             board,
             links,
         })
@@ -305,21 +308,22 @@
         self.board.record_event(EventKind::Stopping);
         self.board.members.lock().set_own_state(MemberState::Leaving, None, now_ms());
         self.board.publish_members();
-        let serve_on = self.grace * SERVE_ON_PERCENT / 100;
+        let serve_time = self.grace * SERVE_AFTER_STOP_PERCENT / 100;
         let started = tokio::time::Instant::now();
         let end = started + self.grace.saturating_sub(GRACE_MARGIN);
-        let _ = tokio::time::timeout(serve_on, announce(&self.board, &self.links)).await;
-        tokio::time::sleep_until(started + serve_on).await;
-        let left = end.saturating_duration_since(tokio::time::Instant::now());
+        let _ = tokio::time::timeout(serve_time, announce(&self.board, &self.links)).await;
+        tokio::time::sleep_until(started + serve_time).await;
+        let remaining = end.saturating_duration_since(tokio::time::Instant::now());
         // Connections that are not closed by then end with the process.
-        let _ = tokio::time::timeout(left, self.callers.stop()).await;
+        let _ = tokio::time::timeout(remaining, self.callers.stop()).await;
         while self.board.requests_in_flight() > 0 && tokio::time::Instant::now() < end {
-            tokio::time::sleep(STOP_TURN).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         self.board.members.lock().set_own_state(MemberState::Left, None, now_ms());
         self.board.publish_members();
         // Who misses this finds out by itself; the process must end within the grace.
-        let _ = tokio::time::timeout(LAST_WORD, announce(&self.board, &self.links)).await;
+        let _ =
+            tokio::time::timeout(FINAL_ANNOUNCE_TIMEOUT, announce(&self.board, &self.links)).await;
         self.board.set_phase(Phase::Stopped);
         self.tasks.shutdown().await;
     }
--- a/src/app/gateway_peers.rs
+++ b/src/app/gateway_peer_service.rs
@@ -30,20 +30,20 @@
 use crate::route::AnswerBody;
 
 /// A peer that asks to be held longer is answered after this.
-const HOLD_MAX: Duration = Duration::from_secs(5);
+const LONG_POLL_MAX: Duration = Duration::from_secs(5);
 
 /// Serves the peer listener; clones share.
 #[derive(Debug)]
-pub struct GatewayPeers<D> {
+pub struct GatewayPeerService<D> {
     pub board: Arc<Blackboard>,
     pub links: Links,
     pub dispatcher: Dispatcher,
     pub config: Arc<Mirror<OperatorSink<D>>>,
     pub servers: Arc<Mirror<ServerSink<D>>>,
-    pub quota_gate: QuotaLimiter<Links>,
+    pub quota_limiter: QuotaLimiter<Links>,
 }
 
-impl<D> Clone for GatewayPeers<D> {
+impl<D> Clone for GatewayPeerService<D> {
     fn clone(&self) -> Self {
         Self {
             board: Arc::clone(&self.board),
@@ -51,12 +51,12 @@
             dispatcher: self.dispatcher.clone(),
             config: Arc::clone(&self.config),
             servers: Arc::clone(&self.servers),
-            quota_gate: self.quota_gate.clone(),
+            quota_limiter: self.quota_limiter.clone(),
         }
     }
 }
 
-impl<D: Dialect> PeerService for GatewayPeers<D> {
+impl<D: Dialect> PeerService for GatewayPeerService<D> {
     async fn handle_control(&self, request: PeerRequest) -> PeerReply {
         match request {
             PeerRequest::Member(request) => handle_member_request(&self.board, request),
@@ -71,7 +71,7 @@
                 PeerReply::Suspects(self.board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::Feed { feed, after, hold_ms } => {
-                let hold = Duration::from_millis(hold_ms).min(HOLD_MAX);
+                let hold = Duration::from_millis(hold_ms).min(LONG_POLL_MAX);
                 let told = match feed {
                     Feed::Config => self.config.serve(after, hold).await,
                     Feed::Servers => self.servers.serve(after, hold).await,
@@ -83,7 +83,7 @@
                 PeerReply::Feed(FeedResponse { zone_demand_per_s, ..told })
             }
             PeerRequest::QuotaTokens { workspace, wanted_millitokens: wanted_milli } => {
-                PeerReply::QuotaTokens(self.quota_gate.lend(&workspace, wanted_milli))
+                PeerReply::QuotaTokens(self.quota_limiter.lend(&workspace, wanted_milli))
             }
             _ => PeerReply::Failed(Code::PeerFrame.number()),
         }
--- a/src/app/stop.rs
+++ b/src/app/graceful_stop.rs
@@ -21,25 +21,25 @@
 use crate::route::CallerListener;
 
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
-const TURN: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Added to the time that callers may keep an answer, for answers on their way.
-const KEEP_MARGIN_MS: u64 = 200;
+const ADDRESS_KEEP_MARGIN_MS: u64 = 200;
 
 /// Stops in order: named in no new answer; served on until no caller holds an old answer any
 /// more; connections closed once idle; passed work done; outcomes handed over; gone.
-pub async fn stop(board: &Blackboard, links: &Links, listener: CallerListener) {
+pub async fn stop_gracefully(board: &Blackboard, links: &Links, listener: CallerListener) {
     board.set_phase(Phase::Leaving);
     board.record_event(EventKind::Stopping);
     board.members.lock().set_own_state(MemberState::Leaving, None, now_ms());
     board.publish_members();
     announce(board, links).await;
-    let keep_ms = board.settings.requests.address_keep_ms + KEEP_MARGIN_MS;
+    let keep_ms = board.settings.requests.address_keep_ms + ADDRESS_KEEP_MARGIN_MS;
     tokio::time::sleep(Duration::from_millis(keep_ms)).await;
     listener.stop().await;
     while board.requests_in_flight() > 0 {
-        tokio::time::sleep(TURN).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    let successor = hand_over(board, links).await;
+    let successor = hand_over_outcomes(board, links).await;
     board.members.lock().set_own_state(MemberState::Left, successor, now_ms());
     board.publish_members();
     announce(board, links).await;
@@ -49,17 +49,17 @@
 /// Gives the record of outcomes to one other instance, which answers for our keys from then on.
 ///
 /// Only one is ever tried after a row may have arrived: two successors could each run a key.
-async fn hand_over(board: &Blackboard, links: &Links) -> Option<u64> {
+async fn hand_over_outcomes(board: &Blackboard, links: &Links) -> Option<u64> {
     let view = board.members_view();
     let own_zone = &board.settings.instance.zone;
-    let takers = view
+    let candidates = view
         .rows
         .iter()
         .filter(|row| row.incarnation != board.incarnation && row.state == MemberState::Alive);
     let born_ms = |incarnation| board.members.lock().started_ms(incarnation).unwrap_or(u64::MAX);
     let preference =
         |row: &&Arc<MemberRow>| (row.zone == *own_zone, Reverse(born_ms(row.incarnation)));
-    let successor = takers.max_by_key(preference)?;
+    let successor = candidates.max_by_key(preference)?;
     let mut count = 0;
     for record in board.outcomes.close() {
         count += record.rows.len();
--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -121,7 +121,7 @@
     pub fn upsert_server(&mut self, row: ServerRow, now_us: u64) -> &mut TrackedServer {
         let index = self.index_by_id.get(&row.id).copied().unwrap_or(self.servers.len());
         match self.servers.get_mut(index) {
-            Some(server) if server.row.same_start(&row) => server.relist(row, now_us),
+            Some(server) if server.row.is_same_start(&row) => server.relist(row, now_us),
             Some(_) => self.servers[index] = self.new_tracked_server(row, now_us),
             None => {
                 self.index_by_id.insert(Arc::clone(&row.id), index);
--- a/src/balance/tracked_server.rs
+++ b/src/balance/tracked_server.rs
@@ -336,9 +336,9 @@
         let own = self.in_flight.len() as f64;
         self.unattributed = (total - own - self.peers_in_flight()).max(0.0);
         self.unattributed_at_us = now_us;
-        self.reported_slowdown_percent = u16::try_from(load.pace_percent).unwrap_or(u16::MAX);
+        self.reported_slowdown_percent = u16::try_from(load.slowdown_percent).unwrap_or(u16::MAX);
         self.reported_at_us = now_us;
-        self.slowdown = f64::from(load.pace_percent) / 100.0;
+        self.slowdown = f64::from(load.slowdown_percent) / 100.0;
         self.slowdown_at_us = now_us;
         self.health.record_contact(now_us);
         for sent in &mut self.in_flight {
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -7,10 +7,10 @@
 use super::watcher::SERVICES_PREFIX;
 use super::watcher::decode_entry;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::model::EARLIER_CHANGES_MAX;
 use crate::model::Service;
-use crate::model::Versioned;
+use crate::model::VersionedService;
 use crate::model::check_service;
 use crate::store::Store;
 use crate::store::StoreError;
@@ -38,13 +38,13 @@
 /// Why a change is not known to be committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EditError {
-    pub coded: Coded,
+    pub coded: CodedError,
     /// The row currently in the store, if known.
-    pub current: Option<Box<Versioned>>,
+    pub current: Option<Box<VersionedService>>,
 }
 
-impl From<Coded> for EditError {
-    fn from(coded: Coded) -> Self {
+impl From<CodedError> for EditError {
+    fn from(coded: CodedError) -> Self {
         Self { coded, current: None }
     }
 }
@@ -59,7 +59,7 @@
 struct StoredService {
     /// The index that a compare-and-swap expects.
     index: u64,
-    row: Option<Versioned>,
+    row: Option<VersionedService>,
 }
 
 impl StoredService {
@@ -73,12 +73,12 @@
     }
 }
 
-fn unreachable(err: &StoreError) -> Coded {
-    Coded::new(Code::StoreUnreachable, err.to_string())
+fn unreachable(err: &StoreError) -> CodedError {
+    CodedError::new(Code::StoreUnreachable, err.to_string())
 }
 
 fn not_found(what: &str) -> EditError {
-    Coded::new(Code::NotFound, format!("{what} does not exist")).into()
+    CodedError::new(Code::NotFound, format!("{what} does not exist")).into()
 }
 
 impl Edit {
@@ -136,11 +136,11 @@
         name: &str,
         edit: &Edit,
         change_id: Uuid,
-    ) -> Result<Versioned, EditError> {
+    ) -> Result<VersionedService, EditError> {
         for _ in 0..ATTEMPTS_MAX {
             let current = self.read(name).await.map_err(|err| unreachable(&err))?;
             if let Some(row) = &current.row
-                && row.contains(change_id)
+                && row.contains_change(change_id)
             {
                 return Ok(row.clone());
             }
@@ -149,7 +149,7 @@
                 return Ok(row);
             }
         }
-        Err(Coded::new(Code::Conflict, "others keep changing this service").into())
+        Err(CodedError::new(Code::Conflict, "others keep changing this service").into())
     }
 
     /// One compare-and-swap; `None` if another change came first and the edit must be retried.
@@ -159,7 +159,7 @@
         edit: &Edit,
         change_id: Uuid,
         current: &StoredService,
-    ) -> Result<Option<Versioned>, EditError> {
+    ) -> Result<Option<VersionedService>, EditError> {
         let expected = edit.expected().unwrap_or_else(|| current.revision());
         // A deleted service counts as absent, also for a client that never saw its tombstone.
         let creates = expected == 0 && current.live().is_none();
@@ -170,9 +170,9 @@
         if let Some(service) = &service {
             check_service(service)?;
         }
-        let row = Versioned::next(current.row.as_ref(), change_id, service);
+        let row = VersionedService::next(current.row.as_ref(), change_id, service);
         let value = serde_json::to_vec(&row)
-            .map_err(|err| Coded::new(Code::ServiceInvalid, err.to_string()))?;
+            .map_err(|err| CodedError::new(Code::ServiceInvalid, err.to_string()))?;
         let path = format!("{SERVICES_PREFIX}{name}");
         match self.store.put_if(&path, &value, current.index).await {
             Ok(true) => Ok(Some(row)),
@@ -191,15 +191,15 @@
     async fn resolve_lost_response(
         &self,
         name: &str,
-        row: Versioned,
+        row: VersionedService,
         why: &str,
-    ) -> Result<Option<Versioned>, EditError> {
+    ) -> Result<Option<VersionedService>, EditError> {
         for _ in 0..READ_BACK_ATTEMPTS {
             tokio::time::sleep(READ_BACK_PAUSE).await;
             let Ok(current) = self.read(name).await else {
                 continue;
             };
-            if current.row.as_ref().is_some_and(|stored| stored.contains(row.change_id)) {
+            if current.row.as_ref().is_some_and(|stored| stored.contains_change(row.change_id)) {
                 return Ok(Some(row));
             }
             let changes_since = current.revision().saturating_sub(row.revision);
@@ -207,14 +207,14 @@
                 return Err(conflict(row.revision - 1, &current));
             }
         }
-        Err(Coded::new(Code::CommitUnknown, why).into())
+        Err(CodedError::new(Code::CommitUnknown, why).into())
     }
 }
 
 fn conflict(expected: u64, current: &StoredService) -> EditError {
     let detail = format!("expected revision {expected}, current is {}", current.revision());
     EditError {
-        coded: Coded::new(Code::Conflict, detail),
+        coded: CodedError::new(Code::Conflict, detail),
         current: current.row.clone().map(Box::new),
     }
 }
--- a/src/catalog/merge.rs
+++ b/src/catalog/merge.rs
@@ -4,10 +4,10 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::model::Versioned;
+use crate::model::VersionedService;
 
 /// Service names with their rows, as sent between instances.
-pub type ServiceRows = Vec<(String, Versioned)>;
+pub type ServiceRows = Vec<(String, VersionedService)>;
 
 /// Maximum number of services held, tombstones included.
 const SERVICES_MAX: usize = 20_000;
@@ -17,7 +17,7 @@
 /// older state.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    rows: BTreeMap<String, Versioned>,
+    rows: BTreeMap<String, VersionedService>,
     /// Wrapping sum of the rows' hashes: independent of order and cheap to update.
     digest: u64,
 }
@@ -28,7 +28,7 @@
 
 impl Catalog {
     /// Merges a row; returns whether it is newer than the current one.
-    pub fn merge(&mut self, name: &str, versioned: Versioned) -> bool {
+    pub fn merge(&mut self, name: &str, versioned: VersionedService) -> bool {
         let known = self.rows.get(name).map_or(0, |row| row.revision);
         if versioned.revision <= known || (known == 0 && self.rows.len() >= SERVICES_MAX) {
             return false;
@@ -82,7 +82,7 @@
 
     /// The row of one service, tombstones included.
     #[must_use]
-    pub fn get(&self, name: &str) -> Option<&Versioned> {
+    pub fn get(&self, name: &str) -> Option<&VersionedService> {
         self.rows.get(name)
     }
 
--- a/src/catalog/watcher.rs
+++ b/src/catalog/watcher.rs
@@ -11,7 +11,7 @@
 use super::spread::merge_rows;
 use super::spread::push_rows;
 use crate::board::Blackboard;
-use crate::model::Versioned;
+use crate::model::VersionedService;
 use crate::peer::Links;
 use crate::store::Entry;
 use crate::store::Store;
@@ -26,9 +26,9 @@
 
 /// Decodes a service's row from the store; `None` if it is invalid.
 #[must_use]
-pub fn decode_entry(entry: &Entry) -> Option<(String, Versioned)> {
+pub fn decode_entry(entry: &Entry) -> Option<(String, VersionedService)> {
     let name = entry.key.strip_prefix(SERVICES_PREFIX)?;
-    let versioned: Versioned = serde_json::from_slice(&entry.value).ok()?;
+    let versioned: VersionedService = serde_json::from_slice(&entry.value).ok()?;
     Some((name.to_owned(), versioned))
 }
 
--- a/src/cli/stdout_lines.rs
+++ b/src/cli/json_line_writer.rs
@@ -23,24 +23,24 @@
 const LINE_MAX_BYTES: usize = 4_096;
 /// Lines a second that are written at most; a request makes some three. Ten times what an
 /// instance writes on a busy day, so that only a storm is cut.
-const LINES_PER_S: u64 = 1_000;
+const LINES_PER_S_MAX: u64 = 1_000;
 const SECOND_MS: u64 = 1_000;
 /// Fractions of numbers that are written.
-const FRACTION: f64 = 1_000.0;
+const DECIMAL_SCALE: f64 = 1_000.0;
 /// Longest text of a field in a line that would be too long otherwise.
-const SHORT_TEXT_CHARS: usize = 200;
+const SHORTENED_TEXT_CHARS: usize = 200;
 
 /// Writes each record as one line of JSON, or drops and counts it.
 #[derive(Debug)]
-pub struct StdoutLines {
+pub struct JsonLineWriter {
     instance: String,
-    second: Mutex<Second>,
+    second: Mutex<RateWindow>,
     dropped: AtomicU64,
 }
 
 /// Lines of the current second.
 #[derive(Debug, Default)]
-struct Second {
+struct RateWindow {
     started_ms: u64,
     lines: u64,
 }
@@ -53,7 +53,7 @@
             number.into()
         } else if let Some(number) = value.to_f64() {
             // More digits are noise.
-            ((number * FRACTION).round() / FRACTION).into()
+            ((number * DECIMAL_SCALE).round() / DECIMAL_SCALE).into()
         } else if let Some(flag) = value.to_bool() {
             flag.into()
         } else {
@@ -64,7 +64,7 @@
     }
 }
 
-impl StdoutLines {
+impl JsonLineWriter {
     /// Lines that name `instance` as their writer.
     #[must_use]
     pub fn new(instance: &str) -> Self {
@@ -75,15 +75,15 @@
         let now_ms = crate::clock::now_ms();
         let mut second = self.second.lock();
         if now_ms.saturating_sub(second.started_ms) >= SECOND_MS {
-            *second = Second { started_ms: now_ms, lines: 0 };
+            *second = RateWindow { started_ms: now_ms, lines: 0 };
         }
         second.lines += 1;
-        second.lines <= LINES_PER_S && has_room()
+        second.lines <= LINES_PER_S_MAX && stdout_is_writable()
     }
 }
 
 /// Whether standard output takes a line without blocking.
-fn has_room() -> bool {
+fn stdout_is_writable() -> bool {
     let stdout = rustix::stdio::stdout();
     let mut wanted = [PollFd::new(&stdout, PollFlags::OUT)];
     let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -107,7 +107,7 @@
     let _ = record.key_values().visit(&mut Fields(&mut fields));
     let mut line = serde_json::to_vec(&fields).unwrap_or_default();
     if line.len() >= LINE_MAX_BYTES {
-        shorten(&mut fields);
+        truncate_texts(&mut fields);
         line = serde_json::to_vec(&fields).unwrap_or_default();
     }
     line.push(b'\n');
@@ -115,15 +115,15 @@
 }
 
 /// Cuts long texts. The line stays a line of JSON, which a cut through its end would not.
-fn shorten(fields: &mut Map<String, serde_json::Value>) {
+fn truncate_texts(fields: &mut Map<String, serde_json::Value>) {
     for value in fields.values_mut() {
         if let serde_json::Value::String(text) = value {
-            *text = text.chars().take(SHORT_TEXT_CHARS).collect();
+            *text = text.chars().take(SHORTENED_TEXT_CHARS).collect();
         }
     }
 }
 
-impl LogWriter for StdoutLines {
+impl LogWriter for JsonLineWriter {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> std::io::Result<()> {
         if !self.may_write() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -5,7 +5,7 @@
 use flexi_logger::Logger;
 use flexi_logger::LoggerHandle;
 
-use super::stdout_lines::StdoutLines;
+use super::json_line_writer::JsonLineWriter;
 use crate::conf::LogFormat;
 use crate::conf::Settings;
 
@@ -29,7 +29,7 @@
     let logger = match settings.log.format {
         LogFormat::Human => logger.format(flexi_logger::detailed_format),
         LogFormat::Json => {
-            logger.log_to_writer(Box::new(StdoutLines::new(&settings.instance.name)))
+            logger.log_to_writer(Box::new(JsonLineWriter::new(&settings.instance.name)))
         }
     };
     logger.start()
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,10 +1,10 @@
 //! Command lines of both programs, and what their mains call.
 
 mod daemon_args;
+mod json_line_writer;
 mod logging;
 mod run_daemon;
 mod run_tool;
-mod stdout_lines;
 mod tool_args;
 
 pub use daemon_args::DaemonArgs;
--- a/src/cli/run_daemon.rs
+++ b/src/cli/run_daemon.rs
@@ -21,7 +21,7 @@
 use crate::conf::DEFAULTS;
 use crate::conf::Settings;
 use crate::conf::load_settings;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::gateway::Dialect;
 use crate::store::EventStore;
 
@@ -31,45 +31,45 @@
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A running instance that can be stopped as planned.
-trait Running {
+trait StoppableInstance {
     /// Returns when nothing is in flight any more.
     fn stop(self) -> impl Future<Output = ()>;
 }
 
-impl Running for Daemon {
+impl StoppableInstance for Daemon {
     async fn stop(self) {
         Self::stop(self).await;
     }
 }
 
-impl Running for Gateway {
+impl StoppableInstance for Gateway {
     async fn stop(self) {
         Self::stop(self).await;
     }
 }
 
 /// What the command line asked for.
-struct Start {
+struct Startup {
     settings: Settings,
     path: PathBuf,
     logger: LoggerHandle,
 }
 
-fn tell(faults: &[Coded]) -> ExitCode {
+fn report_settings_faults(faults: &[CodedError]) -> ExitCode {
     for fault in faults {
         eprintln!("{fault}");
     }
     ExitCode::from(EXIT_SETTINGS)
 }
 
-fn fail(what: &str, err: impl std::fmt::Display) -> ExitCode {
+fn report_startup_error(what: &str, err: impl std::fmt::Display) -> ExitCode {
     eprintln!("{what}: {err}");
     ExitCode::FAILURE
 }
 
 /// Reads command line and settings and starts the log; an exit code where that is all to do.
 /// Without `--settings`, the environment variable `variable` names the file.
-fn prepare(variable: Option<&str>) -> Result<Start, ExitCode> {
+fn load_startup(variable: Option<&str>) -> Result<Startup, ExitCode> {
     let args = DaemonArgs::parse();
     if args.print_defaults {
         print!("{DEFAULTS}");
@@ -80,19 +80,19 @@
         eprintln!("--settings FILE is missing");
         return Err(ExitCode::from(EXIT_SETTINGS));
     };
-    let settings = load_settings(&path).map_err(|faults| tell(&faults))?;
+    let settings = load_settings(&path).map_err(|faults| report_settings_faults(&faults))?;
     if args.check {
         println!("{}: settings are valid", path.display());
         return Err(ExitCode::SUCCESS);
     }
-    let logger = start_logging(&settings).map_err(|err| fail("log", err))?;
-    Ok(Start { settings, path, logger })
+    let logger = start_logging(&settings).map_err(|err| report_startup_error("log", err))?;
+    Ok(Startup { settings, path, logger })
 }
 
 /// Runs the daemon until it is stopped by a signal.
 #[must_use]
 pub fn run_daemon() -> ExitCode {
-    let start = match prepare(None) {
+    let start = match load_startup(None) {
         Ok(start) => start,
         Err(code) => return code,
     };
@@ -101,7 +101,7 @@
             let daemon = Daemon::spawn(start.settings).await;
             serve(daemon, &start.path, &start.logger).await
         }),
-        Err(err) => fail("runtime", err),
+        Err(err) => report_startup_error("runtime", err),
     }
 }
 
@@ -115,12 +115,12 @@
     variable: &str,
     open_store: impl FnOnce(std::net::SocketAddr, Duration) -> S,
 ) -> ExitCode {
-    let start = match prepare(Some(variable)) {
+    let start = match load_startup(Some(variable)) {
         Ok(start) => start,
         Err(code) => return code,
     };
     let Some(gateway) = &start.settings.gateway else {
-        return fail("gateway", "the section is missing in the settings");
+        return report_startup_error("gateway", "the section is missing in the settings");
     };
     let store = open_store(gateway.store, Duration::from_millis(gateway.store_call_timeout_ms));
     match Builder::new_current_thread().enable_all().build() {
@@ -128,12 +128,12 @@
             let gateway = Gateway::spawn(start.settings, dialect, store).await;
             serve(gateway, &start.path, &start.logger).await
         }),
-        Err(err) => fail("runtime", err),
+        Err(err) => report_startup_error("runtime", err),
     }
 }
 
 async fn serve(
-    spawned: Result<impl Running, Coded>,
+    spawned: Result<impl StoppableInstance, CodedError>,
     path: &Path,
     logger: &LoggerHandle,
 ) -> ExitCode {
--- a/src/cli/run_tool.rs
+++ b/src/cli/run_tool.rs
@@ -11,7 +11,7 @@
 use crate::command;
 use crate::command::ToolClient;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// Exit codes: another operator was first; the outcome is not known; all other errors.
 const EXIT_CONFLICT: u8 = 3;
@@ -40,18 +40,18 @@
         return ExitCode::SUCCESS;
     }
     if let ToolCommand::Explain { id, logs } = &args.command {
-        return finish(command::explain(id, logs, args.json));
+        return print_result(command::explain(id, logs, args.json));
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let done = match runtime {
         Ok(runtime) => runtime.block_on(execute(args)),
-        Err(err) => Err(Coded::new(Code::OperatorUnreachable, err.to_string())),
+        Err(err) => Err(CodedError::new(Code::OperatorUnreachable, err.to_string())),
     };
-    finish(done)
+    print_result(done)
 }
 
 /// Prints what a command came to.
-fn finish(done: Result<String, Coded>) -> ExitCode {
+fn print_result(done: Result<String, CodedError>) -> ExitCode {
     match done {
         Ok(text) => {
             print!("{text}");
@@ -64,7 +64,7 @@
     }
 }
 
-async fn execute(args: ToolArgs) -> Result<String, Coded> {
+async fn execute(args: ToolArgs) -> Result<String, CodedError> {
     let mut client = ToolClient::open(&args.address, &args.token)?;
     let json = args.json;
     match args.command {
@@ -95,7 +95,7 @@
     client: &mut ToolClient,
     service: ServiceCommand,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     match service {
         ServiceCommand::Create { file } => command::put_file(client, &file, 0, json).await,
         ServiceCommand::Update { file, expected_revision } => {
--- a/src/command/changes.rs
+++ b/src/command/changes.rs
@@ -44,7 +44,7 @@
     }
 }
 
-fn rows_of(service: Option<&Service>) -> BTreeMap<String, String> {
+fn flatten_service(service: Option<&Service>) -> BTreeMap<String, String> {
     let mut rows = BTreeMap::new();
     let value = service.and_then(|service| serde_json::to_value(service).ok());
     if let Some(value) = value {
@@ -54,7 +54,7 @@
 }
 
 fn diff(before: Option<&Service>, after: Option<&Service>) -> Vec<String> {
-    let (before, after) = (rows_of(before), rows_of(after));
+    let (before, after) = (flatten_service(before), flatten_service(after));
     let mut lines = Vec::new();
     for (path, old) in &before {
         match after.get(path) {
--- a/src/command/declaration.rs
+++ b/src/command/declaration.rs
@@ -3,21 +3,21 @@
 use std::path::Path;
 
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::model::Service;
 use crate::model::check_service;
 
 const SIZE_MAX_BYTES: u64 = 4 << 20;
 
-fn invalid(path: &Path, why: impl std::fmt::Display) -> Coded {
-    Coded::new(Code::DeclarationInvalid, format!("{}: {why}", path.display()))
+fn invalid(path: &Path, why: impl std::fmt::Display) -> CodedError {
+    CodedError::new(Code::DeclarationInvalid, format!("{}: {why}", path.display()))
 }
 
 /// Reads and checks one declaration.
 ///
 /// # Errors
 /// `DeclarationInvalid` with file and line, or `ServiceInvalid` with file and field.
-pub fn read_declaration(path: &Path) -> Result<Service, Coded> {
+pub fn read_declaration(path: &Path) -> Result<Service, CodedError> {
     let size = std::fs::metadata(path).map_err(|err| invalid(path, err))?.len();
     if size > SIZE_MAX_BYTES {
         return Err(invalid(path, format!("{size} bytes; at most {SIZE_MAX_BYTES} are allowed")));
@@ -28,7 +28,7 @@
         invalid(path, format!("line {line}: {err}"))
     })?;
     check_service(&service)
-        .map_err(|err| Coded::new(err.code, format!("{}: {}", path.display(), err.detail)))?;
+        .map_err(|err| CodedError::new(err.code, format!("{}: {}", path.display(), err.detail)))?;
     Ok(service)
 }
 
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// The first faulty file, or a service that two files declare.
-pub fn read_directory(directory: &Path) -> Result<Vec<Service>, Coded> {
+pub fn read_directory(directory: &Path) -> Result<Vec<Service>, CodedError> {
     let listed = std::fs::read_dir(directory).map_err(|err| invalid(directory, err))?;
     let mut files = Vec::new();
     for file in listed {
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -9,7 +9,7 @@
 use super::log_lines::LogLine;
 use super::log_lines::read_log_lines;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::errors::TABLE;
 
 /// Lines of other requests with the same content that are told.
@@ -23,19 +23,19 @@
     /// Lines on each server's place in the platform's list.
     servers: BTreeMap<String, Vec<LogLine>>,
     /// Lines on many changes of that list at once.
-    many: Vec<LogLine>,
+    bulk_changes: Vec<LogLine>,
     /// Lines on evacuations and their ends, in the order of the logs.
     zones: Vec<LogLine>,
     /// When each version came in force on each instance.
     versions: BTreeMap<(String, u64), String>,
     /// Lines on each fingerprint under which servers gave no answer.
-    contents: BTreeMap<String, Vec<LogLine>>,
+    content_lines: BTreeMap<String, Vec<LogLine>>,
     /// Lines that an instance dropped, with the time of the next line it wrote.
     dropped: Vec<LogLine>,
 }
 
 impl Context {
-    fn take(&mut self, line: LogLine) {
+    fn add_line(&mut self, line: LogLine) {
         if line.number("lines_dropped_before").is_some() {
             self.dropped.push(line.clone());
         }
@@ -48,21 +48,21 @@
                 self.servers.entry(line.text("server")).or_default().push(line);
             }
             "no-answer" | "suspect-answered" => {
-                self.contents.entry(line.text("content")).or_default().push(line);
+                self.content_lines.entry(line.text("content")).or_default().push(line);
             }
             "request-quarantined" => {
-                self.contents.entry(line.text("fingerprint")).or_default().push(line);
+                self.content_lines.entry(line.text("fingerprint")).or_default().push(line);
             }
-            "servers-changed" => self.many.push(line),
+            "servers-changed" => self.bulk_changes.push(line),
             "zone-evacuated" | "zone-readmitted" => self.zones.push(line),
             _ => {}
         }
     }
 
     /// What one instance believed of a server last before `time`, and first after it.
-    fn around(&self, server: &str, instance: &str, time: &str) -> Vec<&LogLine> {
+    fn server_lines_around(&self, server: &str, instance: &str, time: &str) -> Vec<&LogLine> {
         let lines = self.servers.get(server).map_or(&[][..], Vec::as_slice);
-        let lines = lines.iter().chain(&self.many);
+        let lines = lines.iter().chain(&self.bulk_changes);
         let mut own: Vec<&LogLine> = lines.filter(|line| line.instance == instance).collect();
         own.sort_by(|a, b| a.time.cmp(&b.time));
         let after = own.partition_point(|line| line.time.as_str() <= time);
@@ -73,7 +73,7 @@
 
 impl Context {
     /// The zones that an instance passed over at a time, by name, and since when.
-    fn evacuated(&self, instance: &str, time: &str) -> BTreeMap<String, &str> {
+    fn evacuated_zones(&self, instance: &str, time: &str) -> BTreeMap<String, &str> {
         let before = |line: &&LogLine| line.instance == instance && line.time.as_str() <= time;
         let mut own: Vec<&LogLine> = self.zones.iter().filter(before).collect();
         own.sort_by(|a, b| a.time.cmp(&b.time));
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// `RequestNotLogged` when no line bears the id; `LogUnreadable` names a file.
-pub fn explain(id: &str, files: &[PathBuf], as_json: bool) -> Result<String, Coded> {
+pub fn explain(id: &str, files: &[PathBuf], as_json: bool) -> Result<String, CodedError> {
     let mut context = Context::default();
     let mut own = Vec::new();
     let read = read_log_lines(files, |line| {
@@ -101,12 +101,12 @@
         if line.text("id") == id || line.text("request") == id {
             own.push(line);
         } else {
-            context.take(line);
+            context.add_line(line);
         }
     })?;
     if own.is_empty() {
         let detail = format!("no line of {read} bears the id '{id}'");
-        return Err(Coded::new(Code::RequestNotLogged, detail));
+        return Err(CodedError::new(Code::RequestNotLogged, detail));
     }
     own.sort_by(|a, b| a.time.cmp(&b.time));
     Ok(if as_json { to_json(&own) } else { to_text(&own, &context) })
@@ -116,7 +116,7 @@
     let lines = own.iter().map(|line| {
         json!({
             "time": line.time, "instance": line.instance, "event": line.event,
-            "told": told(line),
+            "told": describe(line),
         })
     });
     let lines: Vec<_> = lines.collect();
@@ -130,14 +130,16 @@
         text.push('\n');
     };
     for entry in own {
-        line(&[&entry.time, "  ", &entry.instance, "  ", &told(entry)]);
+        line(&[&entry.time, "  ", &entry.instance, "  ", &describe(entry)]);
         if entry.event == "send" {
-            for known in context.around(&entry.text("server"), &entry.instance, &entry.time) {
-                line(&["    ", &known.time, "  ", &told_server(known)]);
+            for known in
+                context.server_lines_around(&entry.text("server"), &entry.instance, &entry.time)
+            {
+                line(&["    ", &known.time, "  ", &describe_server(known)]);
             }
         }
         if matches!(entry.event.as_str(), "send" | "no-slot") {
-            for (zone, since) in context.evacuated(&entry.instance, &entry.time) {
+            for (zone, since) in context.evacuated_zones(&entry.instance, &entry.time) {
                 line(&["    zone ", &zone, " evacuated since ", since]);
             }
         }
@@ -145,25 +147,25 @@
             line(&["    version ", &entry.text("version"), " in force here since ", since]);
         }
         // A denial has the code of the answer that follows it.
-        let meaning = meaning(entry).filter(|_| entry.event != "request-denied");
-        if let Some((meaning, remedy)) = meaning {
+        let failure_meaning = meaning(entry).filter(|_| entry.event != "request-denied");
+        if let Some((meaning, remedy)) = failure_meaning {
             line(&["    ", meaning, " ", remedy]);
         }
     }
-    for known in same_content(own, context) {
-        line(&["same content: ", &known.time, "  ", &known.instance, "  ", &told(known)]);
+    for known in same_content_lines(own, context) {
+        line(&["same content: ", &known.time, "  ", &known.instance, "  ", &describe(known)]);
     }
-    for gap in gaps(own, context) {
+    for gap in describe_dropped_lines(own, context) {
         line(&[&gap]);
     }
     text
 }
 
 /// The first lines on the content of the request, from all instances.
-fn same_content<'a>(own: &[LogLine], context: &'a Context) -> Vec<&'a LogLine> {
+fn same_content_lines<'a>(own: &[LogLine], context: &'a Context) -> Vec<&'a LogLine> {
     let names = |line: &LogLine| ["exact", "by_caller", "content"].map(|name| line.text(name));
     let names: BTreeSet<String> = own.iter().flat_map(names).collect();
-    let known = names.iter().filter_map(|content| context.contents.get(content));
+    let known = names.iter().filter_map(|content| context.content_lines.get(content));
     let mut known: Vec<&LogLine> = known.flatten().collect();
     known.sort_by(|a, b| a.time.cmp(&b.time));
     known.truncate(CONTENT_LINES_MAX);
@@ -171,7 +173,7 @@
 }
 
 /// What a line says, in words.
-fn told(line: &LogLine) -> String {
+fn describe(line: &LogLine) -> String {
     let text = |name: &str| line.text(name);
     match line.event.as_str() {
         "send" => format!(
@@ -184,9 +186,9 @@
             text("took_ms"),
             text("running"),
             text("expected_ms"),
-            pace_age(line),
+            describe_estimate_age(line),
             if line.flag("cold") { ", cold" } else { "" },
-            limit(line),
+            describe_limit(line),
         ),
         "no-slot" => format!(
             "no slot of {}: {}, {} waiting here, {} slots in use at most{}; come back after {} ms{}",
@@ -194,7 +196,7 @@
             if line.flag("no_server") { "no other server may be used" } else { "none in time" },
             text("waiting"),
             text("slots"),
-            in_need(line),
+            describe_restricted_servers(line),
             text("retry_after_ms"),
             if line.flag("may_have_run") { "; an earlier send may have run" } else { "" },
         ),
@@ -225,23 +227,23 @@
 }
 
 /// The servers that bear only some requests, if any did.
-fn in_need(line: &LogLine) -> String {
+fn describe_restricted_servers(line: &LogLine) -> String {
     let count = |name: &str| line.number(name).filter(|count| *count > 0);
     let limited = count("in_need").map(|count| format!(", {count} servers name limits"));
     let resting = count("resting").map(|count| format!(", {count} servers rest"));
     limited.into_iter().chain(resting).collect()
 }
 
-fn limit(line: &LogLine) -> String {
+fn describe_limit(line: &LogLine) -> String {
     let limit_per_s = line.text("limit_per_s");
     if limit_per_s.is_empty() { limit_per_s } else { format!(", limited to {limit_per_s}/s") }
 }
 
-fn pace_age(line: &LogLine) -> String {
+fn describe_estimate_age(line: &LogLine) -> String {
     line.number("pace_age_us").map_or_else(|| "no time".into(), |age_us| format!("{age_us} us"))
 }
 
-fn told_server(line: &LogLine) -> String {
+fn describe_server(line: &LogLine) -> String {
     if line.event == "server-unlisted" {
         return format!("server {} unlisted", line.text("server"));
     }
@@ -270,7 +272,7 @@
 }
 
 /// A word for each instance on the request's way that dropped lines at that time.
-fn gaps(own: &[LogLine], context: &Context) -> Vec<String> {
+fn describe_dropped_lines(own: &[LogLine], context: &Context) -> Vec<String> {
     let instances: BTreeSet<&str> = own.iter().map(|line| line.instance.as_str()).collect();
     let dropped = own.iter().chain(&context.dropped).filter_map(|line| {
         let count = line.number("lines_dropped_before")?;
--- a/src/command/fleet.rs
+++ b/src/command/fleet.rs
@@ -4,24 +4,27 @@
 use std::fmt::Write;
 
 use super::ToolClient;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::r#gen as wire;
 
 const STAMP_COUNTER_BITS: u32 = 16;
-const STATES_ASKED: [&str; 3] = ["alive", "suspect", "leaving"];
+const QUERIED_STATES: [&str; 3] = ["alive", "suspect", "leaving"];
 
 /// What one instance told, or why it did not.
-struct Told<T> {
+struct InstanceReply<T> {
     name: String,
     zone: String,
     state: String,
-    reply: Result<T, Coded>,
+    reply: Result<T, CodedError>,
 }
 
 /// The instances that the first one knows, each with a connection to its own listener.
-async fn fleet(client: &mut ToolClient, token: &str) -> Result<Vec<Told<ToolClient>>, Coded> {
+async fn connect_all(
+    client: &mut ToolClient,
+    token: &str,
+) -> Result<Vec<InstanceReply<ToolClient>>, CodedError> {
     let first = client.status().await?;
-    let told = first.instances.into_iter().map(|row| Told {
+    let told = first.instances.into_iter().map(|row| InstanceReply {
         reply: ToolClient::open(&row.operator_address, token),
         name: row.name,
         zone: row.zone,
@@ -30,16 +33,16 @@
     Ok(told.collect())
 }
 
-fn asked<T>(told: &Told<T>) -> bool {
-    STATES_ASKED.contains(&told.state.as_str())
+fn is_queried<T>(told: &InstanceReply<T>) -> bool {
+    QUERIED_STATES.contains(&told.state.as_str())
 }
 
-fn in_force(status: &wire::StatusResponse) -> BTreeMap<&str, u64> {
+fn active_revisions(status: &wire::StatusResponse) -> BTreeMap<&str, u64> {
     let live = status.revisions.iter().filter(|row| !row.deleted);
     live.map(|row| (row.service.as_str(), row.revision)).collect()
 }
 
-fn status_json(all: &[Told<wire::StatusResponse>]) -> String {
+fn status_json(all: &[InstanceReply<wire::StatusResponse>]) -> String {
     let rows: Vec<serde_json::Value> = all
         .iter()
         .map(|told| match &told.reply {
@@ -48,7 +51,7 @@
                 "zone": told.zone,
                 "state": told.state,
                 "store_reachable": status.store_reachable,
-                "revisions": in_force(status),
+                "revisions": active_revisions(status),
                 "counters": status.counters.iter().map(|c| (c.name.as_str(), c.value))
                     .collect::<BTreeMap<_, _>>(),
             }),
@@ -61,7 +64,7 @@
     format!("{}\n", serde_json::Value::from(rows))
 }
 
-fn status_text(all: &[Told<wire::StatusResponse>]) -> String {
+fn status_text(all: &[InstanceReply<wire::StatusResponse>]) -> String {
     let mut text =
         format!("{:<16} {:<14} {:<8} {:<6} IN FORCE\n", "INSTANCE", "ZONE", "STATE", "STORE");
     for told in all {
@@ -69,8 +72,10 @@
         let _ = match &told.reply {
             Ok(status) => {
                 let store = if status.store_reachable { "up" } else { "down" };
-                let revisions: Vec<String> =
-                    in_force(status).iter().map(|(name, rev)| format!("{name}@{rev}")).collect();
+                let revisions: Vec<String> = active_revisions(status)
+                    .iter()
+                    .map(|(name, rev)| format!("{name}@{rev}"))
+                    .collect();
                 writeln!(text, "{head} {store:<6} {}", revisions.join(" "))
             }
             Err(err) => writeln!(text, "{head} {:<6} {err}", "?"),
@@ -83,14 +88,18 @@
 ///
 /// # Errors
 /// What the first instance told; an instance that does not answer is shown as such.
-pub async fn status(client: &mut ToolClient, token: &str, json: bool) -> Result<String, Coded> {
+pub async fn status(
+    client: &mut ToolClient,
+    token: &str,
+    json: bool,
+) -> Result<String, CodedError> {
     let mut all = Vec::new();
-    for told in fleet(client, token).await?.into_iter().filter(asked) {
+    for told in connect_all(client, token).await?.into_iter().filter(is_queried) {
         let reply = match told.reply {
             Ok(mut client) => client.status().await,
             Err(err) => Err(err),
         };
-        all.push(Told { name: told.name, zone: told.zone, state: told.state, reply });
+        all.push(InstanceReply { name: told.name, zone: told.zone, state: told.state, reply });
     }
     Ok(if json { status_json(&all) } else { status_text(&all) })
 }
@@ -107,9 +116,13 @@
 ///
 /// # Errors
 /// What the first instance told; an instance that does not answer is left out and named.
-pub async fn timeline(client: &mut ToolClient, token: &str, json: bool) -> Result<String, Coded> {
+pub async fn timeline(
+    client: &mut ToolClient,
+    token: &str,
+    json: bool,
+) -> Result<String, CodedError> {
     let mut events = Vec::new();
-    for told in fleet(client, token).await?.into_iter().filter(asked) {
+    for told in connect_all(client, token).await?.into_iter().filter(is_queried) {
         let Ok(mut client) = told.reply else {
             continue;
         };
--- a/src/command/log_lines.rs
+++ b/src/command/log_lines.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// The name that stands for standard input among the files.
 const STDIN: &str = "-";
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// `LogUnreadable` names the file.
-pub fn read_log_lines(files: &[PathBuf], mut take: impl FnMut(LogLine)) -> Result<u64, Coded> {
+pub fn read_log_lines(files: &[PathBuf], mut take: impl FnMut(LogLine)) -> Result<u64, CodedError> {
     let mut read = 0;
     for path in files {
         let lines = if path == Path::new(STDIN) {
@@ -80,7 +80,7 @@
             File::open(path).and_then(|file| read_from(BufReader::new(file), &mut take))
         };
         let unreadable =
-            |err| Coded::new(Code::LogUnreadable, format!("{}: {err}", path.display()));
+            |err| CodedError::new(Code::LogUnreadable, format!("{}: {err}", path.display()));
         read += lines.map_err(unreadable)?;
     }
     Ok(read)
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -8,7 +8,7 @@
 use super::changes_between;
 use super::read_directory;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::model::Service;
 use crate::operator::service_from_wire;
 use crate::operator::service_to_wire;
@@ -17,7 +17,7 @@
     client: &mut ToolClient,
     directory: &Path,
     prune: bool,
-) -> Result<Vec<Change>, Coded> {
+) -> Result<Vec<Change>, CodedError> {
     let declared = read_directory(directory)?;
     let mut current: Vec<(u64, Service)> = Vec::new();
     for row in client.list().await? {
@@ -56,12 +56,12 @@
     directory: &Path,
     prune: bool,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     let changes = find_changes(client, directory, prune).await?;
     Ok(render(&changes, json))
 }
 
-async fn commit(client: &mut ToolClient, change: &Change) -> Result<u64, Coded> {
+async fn commit(client: &mut ToolClient, change: &Change) -> Result<u64, CodedError> {
     let committed = match &change.declared {
         Some(service) => client.put(&service_to_wire(service), change.expected_revision).await?,
         None => client.delete(&change.service, change.expected_revision).await?,
@@ -78,12 +78,12 @@
     directory: &Path,
     prune: bool,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     let changes = find_changes(client, directory, prune).await?;
     // The changes are shown before the first is made, also when a later one fails.
     print!("{}", render(&changes, json));
     let mut text = String::new();
-    let mut failures: Vec<Coded> = Vec::new();
+    let mut failures: Vec<CodedError> = Vec::new();
     for change in &changes {
         match commit(client, change).await {
             Ok(revision) => {
@@ -91,7 +91,7 @@
             }
             Err(err) => {
                 let detail = format!("{}: {}", change.service, err.detail);
-                failures.push(Coded::new(err.code, detail));
+                failures.push(CodedError::new(err.code, detail));
             }
         }
     }
@@ -100,6 +100,6 @@
     };
     eprint!("{text}");
     let all: Vec<String> = failures.iter().map(ToString::to_string).collect();
-    let worst = failures.iter().find(|err| err.code != Code::Conflict).unwrap_or(first);
-    Err(Coded::new(worst.code, all.join("; ")))
+    let returned = failures.iter().find(|err| err.code != Code::Conflict).unwrap_or(first);
+    Err(CodedError::new(returned.code, all.join("; ")))
 }
--- a/src/command/service.rs
+++ b/src/command/service.rs
@@ -5,7 +5,7 @@
 
 use super::ToolClient;
 use super::read_declaration;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::r#gen as wire;
 use crate::operator::service_from_wire;
 use crate::operator::service_to_wire;
@@ -26,7 +26,7 @@
     file: &Path,
     expected_revision: u64,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     let service = read_declaration(file)?;
     let row = client.put(&service_to_wire(&service), expected_revision).await?;
     Ok(committed(&row, &service.name, json))
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 /// what the instance told.
-pub async fn get(client: &mut ToolClient, name: &str, json: bool) -> Result<String, Coded> {
+pub async fn get(client: &mut ToolClient, name: &str, json: bool) -> Result<String, CodedError> {
     let row = client.get(name).await?;
     let service = service_from_wire(row.service.unwrap_or_default())?;
     let text = serde_json::to_string_pretty(&service).unwrap_or_default();
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// what the instance told.
-pub async fn list(client: &mut ToolClient, json: bool) -> Result<String, Coded> {
+pub async fn list(client: &mut ToolClient, json: bool) -> Result<String, CodedError> {
     let rows = client.list().await?;
     let named = rows.iter().filter_map(|row| Some((row.revision, row.service.as_ref()?)));
     if json {
@@ -85,7 +85,7 @@
     name: &str,
     expected_revision: u64,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     let row = client.delete(name, expected_revision).await?;
     Ok(committed(&row, name, json))
 }
@@ -100,7 +100,7 @@
     backend_server: &str,
     drained: bool,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     let row = client.set_drain(service, backend_server, drained).await?;
     Ok(committed(&row, service, json))
 }
@@ -114,7 +114,7 @@
     service: &str,
     per_s: u32,
     json: bool,
-) -> Result<String, Coded> {
+) -> Result<String, CodedError> {
     let row = client.set_budget(service, per_s).await?;
     Ok(committed(&row, service, json))
 }
--- a/src/command/tool_client.rs
+++ b/src/command/tool_client.rs
@@ -10,16 +10,16 @@
 use uuid::Uuid;
 
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::r#gen as wire;
 use crate::r#gen::operator_client::OperatorClient;
-use crate::operator::TOKEN_FIELD;
-use crate::operator::code_of_status;
+use crate::operator::TOKEN_METADATA_KEY;
+use crate::operator::code_from_status;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// Times that a change whose commit is unknown is sent again, with the same change id.
-const REPEATS: u32 = 3;
+const COMMIT_ATTEMPTS_MAX: u32 = 3;
 
 /// A connection to one instance's operators' listener.
 #[derive(Clone, Debug)]
@@ -29,10 +29,10 @@
 }
 
 /// The coded error in a status of an instance.
-fn coded(status: &Status) -> Coded {
-    let code = code_of_status(status);
+fn error_from_status(status: &Status) -> CodedError {
+    let code = code_from_status(status);
     let detail = status.message().trim_start_matches(&format!("{code}: ")).to_owned();
-    Coded::new(code, detail)
+    CodedError::new(code, detail)
 }
 
 impl ToolClient {
@@ -40,9 +40,10 @@
     ///
     /// # Errors
     /// `OperatorUnreachable` for an address that is none.
-    pub fn open(client: &str, token: &str) -> Result<Self, Coded> {
-        let endpoint = Endpoint::from_shared(format!("http://{client}"))
-            .map_err(|err| Coded::new(Code::OperatorUnreachable, format!("{client}: {err}")))?;
+    pub fn open(client: &str, token: &str) -> Result<Self, CodedError> {
+        let endpoint = Endpoint::from_shared(format!("http://{client}")).map_err(|err| {
+            CodedError::new(Code::OperatorUnreachable, format!("{client}: {err}"))
+        })?;
         let channel =
             endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CALL_TIMEOUT).connect_lazy();
         Ok(Self { client: OperatorClient::new(channel), token: token.to_owned() })
@@ -52,7 +53,7 @@
         let mut request = Request::new(message);
         let value = MetadataValue::try_from(format!("Bearer {}", self.token));
         if let (false, Ok(value)) = (self.token.is_empty(), value) {
-            request.metadata_mut().insert(TOKEN_FIELD, value);
+            request.metadata_mut().insert(TOKEN_METADATA_KEY, value);
         }
         request
     }
@@ -65,18 +66,18 @@
         &mut self,
         service: &wire::Service,
         expected_revision: u64,
-    ) -> Result<wire::Versioned, Coded> {
+    ) -> Result<wire::Versioned, CodedError> {
         let message = wire::PutServiceRequest {
             service: Some(service.clone()),
             expected_revision,
             change_id: Uuid::new_v4().to_string(),
         };
-        let mut last = Coded::new(Code::CommitUnknown, "not sent");
-        for _ in 0..REPEATS {
+        let mut last = CodedError::new(Code::CommitUnknown, "not sent");
+        for _ in 0..COMMIT_ATTEMPTS_MAX {
             let request = self.request(message.clone());
             match self.client.put_service(request).await {
                 Ok(reply) => return Ok(reply.into_inner().current.unwrap_or_default()),
-                Err(status) => last = coded(&status),
+                Err(status) => last = error_from_status(&status),
             }
             if last.code != Code::CommitUnknown {
                 break;
@@ -93,13 +94,14 @@
         &mut self,
         name: &str,
         expected_revision: u64,
-    ) -> Result<wire::Versioned, Coded> {
+    ) -> Result<wire::Versioned, CodedError> {
         let request = self.request(wire::DeleteServiceRequest {
             name: name.into(),
             expected_revision,
             change_id: Uuid::new_v4().to_string(),
         });
-        let reply = self.client.delete_service(request).await.map_err(|err| coded(&err))?;
+        let reply =
+            self.client.delete_service(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
@@ -112,14 +114,14 @@
         service: &str,
         backend_server: &str,
         drained: bool,
-    ) -> Result<wire::Versioned, Coded> {
+    ) -> Result<wire::Versioned, CodedError> {
         let request = self.request(wire::SetDrainRequest {
             service: service.into(),
             backend_server: backend_server.into(),
             drained,
             change_id: Uuid::new_v4().to_string(),
         });
-        let reply = self.client.set_drain(request).await.map_err(|err| coded(&err))?;
+        let reply = self.client.set_drain(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
@@ -131,13 +133,13 @@
         &mut self,
         service: &str,
         per_s: u32,
-    ) -> Result<wire::Versioned, Coded> {
+    ) -> Result<wire::Versioned, CodedError> {
         let request = self.request(wire::SetBudgetRequest {
             service: service.into(),
             measuring_budget_per_s: per_s,
             change_id: Uuid::new_v4().to_string(),
         });
-        let reply = self.client.set_budget(request).await.map_err(|err| coded(&err))?;
+        let reply = self.client.set_budget(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
@@ -145,9 +147,10 @@
     ///
     /// # Errors
     /// As the instance told it.
-    pub async fn get(&mut self, name: &str) -> Result<wire::Versioned, Coded> {
+    pub async fn get(&mut self, name: &str) -> Result<wire::Versioned, CodedError> {
         let request = self.request(wire::GetServiceRequest { name: name.into() });
-        let reply = self.client.get_service(request).await.map_err(|err| coded(&err))?;
+        let reply =
+            self.client.get_service(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
@@ -155,9 +158,10 @@
     ///
     /// # Errors
     /// As the instance told it.
-    pub async fn list(&mut self) -> Result<Vec<wire::Versioned>, Coded> {
+    pub async fn list(&mut self) -> Result<Vec<wire::Versioned>, CodedError> {
         let request = self.request(wire::ListServicesRequest {});
-        let reply = self.client.list_services(request).await.map_err(|err| coded(&err))?;
+        let reply =
+            self.client.list_services(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner().services)
     }
 
@@ -165,9 +169,9 @@
     ///
     /// # Errors
     /// As the instance told it.
-    pub async fn status(&mut self) -> Result<wire::StatusResponse, Coded> {
+    pub async fn status(&mut self) -> Result<wire::StatusResponse, CodedError> {
         let request = self.request(wire::StatusRequest {});
-        let reply = self.client.status(request).await.map_err(|err| coded(&err))?;
+        let reply = self.client.status(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner())
     }
 
@@ -175,9 +179,9 @@
     ///
     /// # Errors
     /// As the instance told it.
-    pub async fn timeline(&mut self) -> Result<Vec<wire::Event>, Coded> {
+    pub async fn timeline(&mut self) -> Result<Vec<wire::Event>, CodedError> {
         let request = self.request(wire::TimelineRequest { after_stamp: 0 });
-        let reply = self.client.timeline(request).await.map_err(|err| coded(&err))?;
+        let reply = self.client.timeline(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner().events)
     }
 }
--- a/src/conf/check.rs
+++ b/src/conf/check.rs
@@ -7,14 +7,14 @@
 use super::RequestSettings;
 use super::Settings;
 
-const NAME_MAX: usize = 100;
+const NAME_LEN_MAX: usize = 100;
 /// Cores or Mbit/s of the largest machines that a setting may name.
-const MACHINE_MAX: f64 = 1e6;
+const HARDWARE_VALUE_MAX: f64 = 1e6;
 /// Fewest characters of a shared secret or token.
-const SECRET_MIN: usize = 16;
+const SECRET_LEN_MIN: usize = 16;
 const SHARDS_MAX: u32 = 10_000;
-const MS_MAX: u64 = 3_600_000;
-const SECONDS_MAX: f64 = 3_600.0;
+const DURATION_MAX_MS: u64 = 3_600_000;
+const DURATION_MAX_S: f64 = 3_600.0;
 /// Below this there is no room for connections beside the program itself.
 const MEMORY_MIN_MB: f64 = 16.0;
 const MEMORY_MAX_MB: f64 = 1e6;
@@ -32,54 +32,64 @@
 struct Faults(Vec<Fault>);
 
 impl Faults {
-    fn need(&mut self, holds: bool, field: &'static str, allowed: impl Into<String>) {
+    fn require(&mut self, holds: bool, field: &'static str, allowed: impl Into<String>) {
         if !holds {
             self.0.push(Fault { field, allowed: allowed.into() });
         }
     }
 
-    fn range(&mut self, value: u64, low: u64, high: u64, field: &'static str) {
+    fn require_range(&mut self, value: u64, low: u64, high: u64, field: &'static str) {
         let holds = (low..=high).contains(&value);
-        self.need(holds, field, format!("{value} is not within {low} to {high}"));
+        self.require(holds, field, format!("{value} is not within {low} to {high}"));
     }
 
-    fn seconds(&mut self, value: f64, low: f64, field: &'static str) {
-        let holds = (low..=SECONDS_MAX).contains(&value);
-        self.need(holds, field, format!("{value} is not within {low} to {SECONDS_MAX}"));
+    fn require_seconds(&mut self, value: f64, low: f64, field: &'static str) {
+        let holds = (low..=DURATION_MAX_S).contains(&value);
+        self.require(holds, field, format!("{value} is not within {low} to {DURATION_MAX_S}"));
     }
 }
 
 fn check_peers(faults: &mut Faults, peers: &PeerSettings, alone: bool) {
-    let secret_holds = alone || peers.secret.len() >= SECRET_MIN;
-    faults.need(secret_holds, "peers.secret", format!("at least {SECRET_MIN} characters"));
-    faults.range(peers.ping_interval_ms, 10, MS_MAX, "peers.ping_interval_ms");
-    faults.range(peers.ping_timeout_ms, 5, peers.ping_interval_ms, "peers.ping_timeout_ms");
-    faults.range(peers.suspect_timeout_ms, 50, MS_MAX, "peers.suspect_timeout_ms");
-    faults.range(peers.list_interval_ms, 100, MS_MAX, "peers.list_interval_ms");
+    let secret_holds = alone || peers.secret.len() >= SECRET_LEN_MIN;
+    faults.require(secret_holds, "peers.secret", format!("at least {SECRET_LEN_MIN} characters"));
+    faults.require_range(peers.ping_interval_ms, 10, DURATION_MAX_MS, "peers.ping_interval_ms");
+    faults.require_range(peers.ping_timeout_ms, 5, peers.ping_interval_ms, "peers.ping_timeout_ms");
+    faults.require_range(peers.suspect_timeout_ms, 50, DURATION_MAX_MS, "peers.suspect_timeout_ms");
+    faults.require_range(peers.list_interval_ms, 100, DURATION_MAX_MS, "peers.list_interval_ms");
 }
 
 fn check_platform(faults: &mut Faults, platform: &PlatformSettings) {
-    faults.range(platform.call_timeout_ms, 10, 60_000, "platform.call_timeout_ms");
-    faults.range(platform.watch_wait_ms, 100, 600_000, "platform.watch_wait_ms");
-    faults.range(platform.lease_ttl_ms, 1_000, MS_MAX, "platform.lease_ttl_ms");
-    faults.range(platform.watchers_per_zone as u64, 1, 100, "platform.watchers_per_zone");
+    faults.require_range(platform.call_timeout_ms, 10, 60_000, "platform.call_timeout_ms");
+    faults.require_range(platform.watch_wait_ms, 100, 600_000, "platform.watch_wait_ms");
+    faults.require_range(platform.lease_ttl_ms, 1_000, DURATION_MAX_MS, "platform.lease_ttl_ms");
+    faults.require_range(platform.watchers_per_zone as u64, 1, 100, "platform.watchers_per_zone");
 }
 
 fn check_requests(faults: &mut Faults, requests: &RequestSettings) {
-    faults.range(requests.body_limit_bytes as u64, 0, 64 << 20, "requests.body_limit_bytes");
-    faults.range(requests.answer_buffer_bytes as u64, 0, 16 << 20, "requests.answer_buffer_bytes");
-    faults.range(requests.timeout_max_ms, 1, MS_MAX, "requests.timeout_max_ms");
-    faults.range(requests.queue_max as u64, 0, 1_000_000, "requests.queue_max");
-    faults.range(requests.address_keep_ms, 10, MS_MAX, "requests.address_keep_ms");
-    faults.range(requests.connections_max as u64, 1, 1_000_000, "requests.connections_max");
+    faults.require_range(
+        requests.body_limit_bytes as u64,
+        0,
+        64 << 20,
+        "requests.body_limit_bytes",
+    );
+    faults.require_range(
+        requests.answer_buffer_bytes as u64,
+        0,
+        16 << 20,
+        "requests.answer_buffer_bytes",
+    );
+    faults.require_range(requests.timeout_max_ms, 1, DURATION_MAX_MS, "requests.timeout_max_ms");
+    faults.require_range(requests.queue_max as u64, 0, 1_000_000, "requests.queue_max");
+    faults.require_range(requests.address_keep_ms, 10, DURATION_MAX_MS, "requests.address_keep_ms");
+    faults.require_range(requests.connections_max as u64, 1, 1_000_000, "requests.connections_max");
 }
 
 fn check_outcomes(faults: &mut Faults, outcomes: &OutcomeSettings, keep_ms: u64) {
-    faults.range(outcomes.rows_max as u64, 1, 100_000_000, "outcomes.rows_max");
-    faults.range(outcomes.epoch_ms, 100, MS_MAX, "outcomes.epoch_ms");
-    faults.range(outcomes.window_epochs, 2, 10_000, "outcomes.window_epochs");
+    faults.require_range(outcomes.rows_max as u64, 1, 100_000_000, "outcomes.rows_max");
+    faults.require_range(outcomes.epoch_ms, 100, DURATION_MAX_MS, "outcomes.epoch_ms");
+    faults.require_range(outcomes.window_epochs, 2, 10_000, "outcomes.window_epochs");
     let window_ms = outcomes.epoch_ms.saturating_mul(outcomes.window_epochs);
-    faults.need(
+    faults.require(
         window_ms >= keep_ms,
         "outcomes.window_epochs",
         "window_epochs times epoch_ms must cover requests.address_keep_ms",
@@ -87,51 +97,56 @@
 }
 
 fn check_gateway(faults: &mut Faults, gateway: &GatewaySettings) {
-    faults.range(gateway.store_call_timeout_ms, 10, 60_000, "gateway.store_call_timeout_ms");
-    faults.seconds(gateway.grace_s, 0.5, "gateway.grace_s");
-    faults.range(gateway.drain_ms, 100, MS_MAX, "gateway.drain_ms");
-    faults.range(gateway.config_apply_ms, 100, MS_MAX, "gateway.config_apply_ms");
-    faults.range(gateway.evacuate_ms, 100, MS_MAX, "gateway.evacuate_ms");
+    faults.require_range(
+        gateway.store_call_timeout_ms,
+        10,
+        60_000,
+        "gateway.store_call_timeout_ms",
+    );
+    faults.require_seconds(gateway.grace_s, 0.5, "gateway.grace_s");
+    faults.require_range(gateway.drain_ms, 100, DURATION_MAX_MS, "gateway.drain_ms");
+    faults.require_range(gateway.config_apply_ms, 100, DURATION_MAX_MS, "gateway.config_apply_ms");
+    faults.require_range(gateway.evacuate_ms, 100, DURATION_MAX_MS, "gateway.evacuate_ms");
     if let Some(key_revocation_ms) = gateway.key_revocation_ms {
-        faults.range(key_revocation_ms, 500, MS_MAX, "gateway.key_revocation_ms");
+        faults.require_range(key_revocation_ms, 500, DURATION_MAX_MS, "gateway.key_revocation_ms");
     }
-    faults.seconds(gateway.quota_window_s, 0.1, "gateway.quota_window_s");
+    faults.require_seconds(gateway.quota_window_s, 0.1, "gateway.quota_window_s");
     let quota_overage_holds = (0.0..=1e6).contains(&gateway.quota_overage);
-    faults.need(quota_overage_holds, "gateway.quota_overage", "0 to 1000000");
+    faults.require(quota_overage_holds, "gateway.quota_overage", "0 to 1000000");
     let quota_slack_holds = (0.0..=1e6).contains(&gateway.quota_slack);
-    faults.need(quota_slack_holds, "gateway.quota_slack", "0 to 1000000");
+    faults.require(quota_slack_holds, "gateway.quota_slack", "0 to 1000000");
     let overage_holds = (0.0..=1e6).contains(&gateway.cold_overage);
-    faults.need(overage_holds, "gateway.cold_overage", "0 to 1000000");
+    faults.require(overage_holds, "gateway.cold_overage", "0 to 1000000");
     let cold_slack_holds = (0.0..=1e6).contains(&gateway.cold_slack);
-    faults.need(cold_slack_holds, "gateway.cold_slack", "0 to 1000000");
-    faults.seconds(gateway.address_keep_max_s, 0.01, "gateway.address_keep_max_s");
+    faults.require(cold_slack_holds, "gateway.cold_slack", "0 to 1000000");
+    faults.require_seconds(gateway.address_keep_max_s, 0.01, "gateway.address_keep_max_s");
     let ratio_holds = (0.0..=10.0).contains(&gateway.repeat_ratio);
-    faults.need(ratio_holds, "gateway.repeat_ratio", "0 to 10");
-    faults.seconds(gateway.repeat_window_s, 0.1, "gateway.repeat_window_s");
+    faults.require(ratio_holds, "gateway.repeat_ratio", "0 to 10");
+    faults.require_seconds(gateway.repeat_window_s, 0.1, "gateway.repeat_window_s");
     let slack_holds = (0.0..=1e6).contains(&gateway.repeat_slack);
-    faults.need(slack_holds, "gateway.repeat_slack", "0 to 1000000");
-    faults.range(gateway.probes_per_s_max.into(), 0, 10_000, "gateway.probes_per_s_max");
+    faults.require(slack_holds, "gateway.repeat_slack", "0 to 1000000");
+    faults.require_range(gateway.probes_per_s_max.into(), 0, 10_000, "gateway.probes_per_s_max");
     let memory_holds = (MEMORY_MIN_MB..=MEMORY_MAX_MB).contains(&gateway.memory_max_mb);
     let memory_allowed = format!("{MEMORY_MIN_MB} to {MEMORY_MAX_MB}");
-    faults.need(memory_holds, "gateway.memory_max_mb", memory_allowed);
-    faults.range(gateway.zones.len() as u64, 1, 1_000, "gateway.zones");
-    faults.range(gateway.homes_per_zone as u64, 1, 1_000, "gateway.homes_per_zone");
+    faults.require(memory_holds, "gateway.memory_max_mb", memory_allowed);
+    faults.require_range(gateway.zones.len() as u64, 1, 1_000, "gateway.zones");
+    faults.require_range(gateway.homes_per_zone as u64, 1, 1_000, "gateway.homes_per_zone");
 }
 
 fn check_instance(faults: &mut Faults, settings: &Settings) {
-    let name_holds = |name: &str| !name.is_empty() && name.len() <= NAME_MAX;
-    let allowed = format!("1 to {NAME_MAX} characters");
-    faults.need(name_holds(&settings.instance.name), "instance.name", &allowed);
-    faults.need(name_holds(&settings.instance.zone), "instance.zone", &allowed);
-    let positive = |value: f64| value > 0.0 && value <= MACHINE_MAX;
-    let allowed_machine = format!("above 0, to {MACHINE_MAX}");
-    faults.need(positive(settings.instance.cpu_share), "instance.cpu_share", &allowed_machine);
-    faults.need(positive(settings.instance.cores), "instance.cores", &allowed_machine);
-    faults.need(positive(settings.instance.link_mbps), "instance.link_mbps", &allowed_machine);
-    let door_holds =
-        settings.listen.operator.ip().is_loopback() || settings.operators.token.len() >= SECRET_MIN;
-    let door_allowed = format!("at least {SECRET_MIN} characters when not on loopback");
-    faults.need(door_holds, "operators.token", door_allowed);
+    let name_holds = |name: &str| !name.is_empty() && name.len() <= NAME_LEN_MAX;
+    let allowed = format!("1 to {NAME_LEN_MAX} characters");
+    faults.require(name_holds(&settings.instance.name), "instance.name", &allowed);
+    faults.require(name_holds(&settings.instance.zone), "instance.zone", &allowed);
+    let positive = |value: f64| value > 0.0 && value <= HARDWARE_VALUE_MAX;
+    let allowed_machine = format!("above 0, to {HARDWARE_VALUE_MAX}");
+    faults.require(positive(settings.instance.cpu_share), "instance.cpu_share", &allowed_machine);
+    faults.require(positive(settings.instance.cores), "instance.cores", &allowed_machine);
+    faults.require(positive(settings.instance.link_mbps), "instance.link_mbps", &allowed_machine);
+    let token_is_sufficient = settings.listen.operator.ip().is_loopback()
+        || settings.operators.token.len() >= SECRET_LEN_MIN;
+    let token_allowed = format!("at least {SECRET_LEN_MIN} characters when not on loopback");
+    faults.require(token_is_sufficient, "operators.token", token_allowed);
 }
 
 /// Every setting outside its range.
@@ -139,8 +154,8 @@
 pub fn check_settings(settings: &Settings) -> Vec<Fault> {
     let mut faults = Faults(Vec::new());
     check_instance(&mut faults, settings);
-    let alone = settings.platform.is_none() && settings.peers.seeds.is_empty();
-    check_peers(&mut faults, &settings.peers, alone);
+    let is_single_instance = settings.platform.is_none() && settings.peers.seeds.is_empty();
+    check_peers(&mut faults, &settings.peers, is_single_instance);
     if let Some(platform) = &settings.platform {
         check_platform(&mut faults, platform);
     }
@@ -149,9 +164,14 @@
     }
     check_requests(&mut faults, &settings.requests);
     check_outcomes(&mut faults, &settings.outcomes, settings.requests.address_keep_ms);
-    faults.range(settings.measuring.shards.into(), 1, SHARDS_MAX.into(), "measuring.shards");
-    faults.range(settings.measuring.grant_ms, 500, MS_MAX, "measuring.grant_ms");
+    faults.require_range(
+        settings.measuring.shards.into(),
+        1,
+        SHARDS_MAX.into(),
+        "measuring.shards",
+    );
+    faults.require_range(settings.measuring.grant_ms, 500, DURATION_MAX_MS, "measuring.grant_ms");
     let level_holds = LEVELS.contains(&settings.log.level.as_str());
-    faults.need(level_holds, "log.level", format!("one of {}", LEVELS.join(", ")));
+    faults.require(level_holds, "log.level", format!("one of {}", LEVELS.join(", ")));
     faults.0
 }
--- a/src/conf/gateway_settings.rs
+++ b/src/conf/gateway_settings.rs
@@ -141,7 +141,7 @@
 
     /// What is tolerated beyond the quotas of workspaces.
     #[must_use]
-    pub const fn quota_bound(&self) -> QuotaTolerance {
+    pub const fn quota_tolerance(&self) -> QuotaTolerance {
         QuotaTolerance {
             window_s: self.quota_window_s,
             overage: self.quota_overage,
--- a/src/conf/load.rs
+++ b/src/conf/load.rs
@@ -5,7 +5,7 @@
 use super::Settings;
 use super::check_settings;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// The commented defaults, as `--print-defaults` prints them.
 pub const DEFAULTS: &str = include_str!("defaults.json5");
@@ -14,10 +14,10 @@
 ///
 /// # Errors
 /// One entry for each fault, naming file, line and field.
-pub fn load_settings(path: &Path) -> Result<Settings, Vec<Coded>> {
+pub fn load_settings(path: &Path) -> Result<Settings, Vec<CodedError>> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|err| vec![Coded::new(Code::SettingsUnreadable, format!("{name}: {err}"))])?;
+        .map_err(|err| vec![CodedError::new(Code::SettingsUnreadable, format!("{name}: {err}"))])?;
     parse_settings(&name, &text)
 }
 
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// One entry for each fault, naming file, line and field.
-pub fn parse_settings(name: &str, text: &str) -> Result<Settings, Vec<Coded>> {
+pub fn parse_settings(name: &str, text: &str) -> Result<Settings, Vec<CodedError>> {
     let settings: Settings = json5::from_str(text).map_err(|err| vec![syntax(name, &err)])?;
     let faults = check_settings(&settings);
     if faults.is_empty() {
@@ -34,14 +34,14 @@
     let coded = faults.into_iter().map(|fault| {
         let line = line_of(text, fault.field);
         let detail = format!("{name}:{line}: {}: {}", fault.field, fault.allowed);
-        Coded::new(Code::SettingsValue, detail)
+        CodedError::new(Code::SettingsValue, detail)
     });
     Err(coded.collect())
 }
 
-fn syntax(name: &str, err: &json5::Error) -> Coded {
+fn syntax(name: &str, err: &json5::Error) -> CodedError {
     let line = err.position().map_or(1, |position| position.line + 1);
-    Coded::new(Code::SettingsSyntax, format!("{name}:{line}: {err}"))
+    CodedError::new(Code::SettingsSyntax, format!("{name}:{line}: {err}"))
 }
 
 /// The line of a dotted field: each part is looked for below the line of the part before it.
--- a/src/conf/settings.rs
+++ b/src/conf/settings.rs
@@ -55,7 +55,7 @@
 /// whole days, answers of 5 KB and the logs included.
 const REQUESTS_PER_CORE: f64 = 1_000.0;
 /// Bytes of a request on one direction of the link, of which half is left for what is not even.
-const REQUEST_BYTES: f64 = 20_000.0;
+const LINK_BYTES_PER_REQUEST: f64 = 20_000.0;
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
 const fn cpu_share_default() -> f64 {
@@ -80,7 +80,7 @@
     )]
     pub fn capacity_per_s(&self) -> u32 {
         let by_processor = self.cpu_share * self.cores * REQUESTS_PER_CORE;
-        let by_link = self.link_mbps * BYTES_PER_MBIT / REQUEST_BYTES;
+        let by_link = self.link_mbps * BYTES_PER_MBIT / LINK_BYTES_PER_REQUEST;
         by_processor.min(by_link).max(1.0) as u32
     }
 }
--- a/src/errors/mod.rs
+++ b/src/errors/mod.rs
@@ -1,8 +1,8 @@
 //! Numbered result codes and the error type that carries them.
 
 mod code;
-mod coded;
+mod coded_error;
 
 pub use code::Code;
 pub use code::TABLE;
-pub use coded::Coded;
+pub use coded_error::CodedError;
--- a/src/gateway/caller_handler.rs
+++ b/src/gateway/caller_handler.rs
@@ -206,7 +206,7 @@
 }
 
 fn fingerprints(parts: &http::request::Parts, body: &[u8]) -> Fingerprints {
-    let caller = CallerAddress::of(parts);
+    let caller = CallerAddress::from_parts(parts);
     Fingerprints::of(
         caller,
         request_host(parts),
@@ -270,7 +270,7 @@
         let limits = self.current_limits();
         ConnLimits {
             header_bytes_max: limits.header_bytes_max,
-            head_timeout: Duration::from_millis(limits.idle_timeout_ms),
+            header_timeout: Duration::from_millis(limits.idle_timeout_ms),
         }
     }
 }
--- a/src/gateway/dispatcher_notices.rs
+++ b/src/gateway/dispatcher_notices.rs
@@ -12,12 +12,12 @@
 use crate::clock::now_us;
 use crate::errors::Code;
 use crate::limit::RateLimit;
-use crate::model::Heard;
+use crate::model::ReportSource;
 use crate::model::ServerState;
 
 impl Dispatcher {
     /// Records what a server reported about itself.
-    pub fn record_notice(&self, server: &Server, source: Heard, notice: ServerNotice) {
+    pub fn record_notice(&self, server: &Server, source: ReportSource, notice: ServerNotice) {
         let mut state = self.state.lock();
         let Some(tracked) = state.tracked_server(server) else {
             return;
@@ -50,7 +50,7 @@
     }
 }
 
-fn record_rate_limit(tracked: &mut TrackedServer, source: Heard, limit: Option<RateLimit>) {
+fn record_rate_limit(tracked: &mut TrackedServer, source: ReportSource, limit: Option<RateLimit>) {
     let before = tracked.start_limits.rate_limit.current();
     if !tracked.start_limits.rate_limit.record(source, limit, now_us()) {
         return;
@@ -63,7 +63,7 @@
     );
 }
 
-fn record_draining(tracked: &mut TrackedServer, source: Heard) {
+fn record_draining(tracked: &mut TrackedServer, source: ReportSource) {
     if !tracked.mark_draining() {
         return;
     }
@@ -75,7 +75,7 @@
     );
 }
 
-fn record_cooldown(tracked: &mut TrackedServer, source: Heard, duration: Duration) {
+fn record_cooldown(tracked: &mut TrackedServer, source: ReportSource, duration: Duration) {
     tracked.start_limits.start_cooldown(duration, now_us());
     info!(
         event = "server-rests", server = &*tracked.row.id, service = &*tracked.row.service,
@@ -84,7 +84,7 @@
     );
 }
 
-fn warn_invalid_retry_after(tracked: &TrackedServer, source: Heard) {
+fn warn_invalid_retry_after(tracked: &TrackedServer, source: ReportSource) {
     warn!(
         event = "server-rest-unreadable", code = Code::ServerRestUnreadable.number(),
         server = &*tracked.row.id, service = &*tracked.row.service, heard = source.name();
@@ -93,7 +93,7 @@
 }
 
 /// Logs a rate limit that cannot be read. The server's previous limit remains in effect.
-fn record_invalid_rate_limit(tracked: &mut TrackedServer, source: Heard) {
+fn record_invalid_rate_limit(tracked: &mut TrackedServer, source: ReportSource) {
     if !tracked.start_limits.rate_limit.record_invalid() {
         return;
     }
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -130,7 +130,7 @@
         undelivered: &mut Vec<Grant>,
     ) {
         let before = state.servers.get(&row.id).cloned();
-        if before.as_ref().is_none_or(|before| !before.row.same_start(row)) {
+        if before.as_ref().is_none_or(|before| !before.row.is_same_start(row)) {
             if let Some(before) = before {
                 state.release_address(&before.row);
                 state.discard_previous_start(&before, row);
--- a/src/gateway/grant.rs
+++ b/src/gateway/grant.rs
@@ -8,7 +8,7 @@
 use crate::balance::RequestSpec;
 use crate::balance::SendOutcome;
 use crate::balance::ServerChoice;
-use crate::model::Heard;
+use crate::model::ReportSource;
 
 /// A slot of a backend server, released on drop.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 
     /// Records what the server reported about itself in its response.
     pub fn record_notice(&self, notice: ServerNotice) {
-        self.dispatcher.record_notice(&self.server, Heard::Answer, notice);
+        self.dispatcher.record_notice(&self.server, ReportSource::Response, notice);
     }
 }
 
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -8,7 +8,7 @@
 use super::server_conn::ServerConn;
 use super::server_notice::ServerNotice;
 use super::server_notice::header_text;
-use crate::model::Heard;
+use crate::model::ReportSource;
 
 /// Sends a health check and records the load and slowdown that the server reports. Returns whether
 /// the connection can be used for the next request.
@@ -36,7 +36,7 @@
     }
     dispatcher.record_notice(
         server,
-        Heard::Check,
+        ReportSource::HealthCheck,
         ServerNotice::read(dialect, response.status, &response.headers),
     );
     let warmup_left_ms = header(&names.warmup_left_ms).and_then(|text| text.trim().parse().ok());
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -31,7 +31,7 @@
 const ADDRESS_TTL_ALONE: Duration = Duration::from_millis(200);
 /// Limits of the connections to these handlers.
 const CONN_LIMITS: ConnLimits =
-    ConnLimits { header_bytes_max: 16 << 10, head_timeout: Duration::from_secs(30) };
+    ConnLimits { header_bytes_max: 16 << 10, header_timeout: Duration::from_secs(30) };
 
 fn respond(status: StatusCode, body: Vec<u8>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
--- a/src/gateway/server_starts.rs
+++ b/src/gateway/server_starts.rs
@@ -49,7 +49,7 @@
     /// Whether a row is older than this report. A row that announces draining is accepted in any
     /// order, since a start never resumes after it.
     fn supersedes(&self, row: &ServerRow) -> bool {
-        let earlier_report = row.sequence < self.sequence && !row.draining();
+        let earlier_report = row.sequence < self.sequence && !row.is_draining();
         row.started_ms < self.started_ms || row.started_ms == self.started_ms && earlier_report
     }
 }
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -199,7 +199,7 @@
     /// Decodes and validates the entry of a server.
     fn decode(&self, id: &str, value: &[u8]) -> Result<ServerRow, String> {
         let row = self.dialect.decode_server(id, value)?;
-        row.check()?;
+        row.validate()?;
         Ok(row)
     }
 
@@ -244,7 +244,7 @@
             info!(
                 event = "server-listed", server = id, service = &*row.service,
                 address = row.address.to_string().as_str(), zone = &*row.zone,
-                draining = row.draining(), warmup_ms = row.warmup_ms, started_ms = row.started_ms,
+                draining = row.is_draining(), warmup_ms = row.warmup_ms, started_ms = row.started_ms,
                 revision = item.revision;
                 ""
             );
--- a/src/limit/advertised_limit.rs
+++ b/src/limit/advertised_limit.rs
@@ -1,7 +1,7 @@
 //! The rate limit that one server advertises.
 
 use super::RateLimit;
-use crate::model::Heard;
+use crate::model::ReportSource;
 
 /// The last report of one server on its rate limit. A limit holds for as long as the server reports
 /// it.
@@ -19,9 +19,9 @@
 
 impl AdvertisedLimit {
     /// Records a report, `None` if it has no limit; returns whether that changes the limit.
-    pub fn record(&mut self, source: Heard, limit: Option<RateLimit>, now_us: u64) -> bool {
+    pub fn record(&mut self, source: ReportSource, limit: Option<RateLimit>, now_us: u64) -> bool {
         self.is_invalid = false;
-        if source == Heard::Check {
+        if source == ReportSource::HealthCheck {
             self.checks_report_limit |= limit.is_some();
             if !self.checks_report_limit {
                 return false;
--- a/src/listener/http_listener.rs
+++ b/src/listener/http_listener.rs
@@ -23,7 +23,7 @@
 use crate::task::TaskGuard;
 
 /// Pause after a failed accept: the process is out of descriptors, and some come free soon.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Answers requests; one value serves all connections.
 pub trait Handler: Clone + Send + Sync + 'static {
@@ -47,7 +47,7 @@
 impl CallerAddress {
     /// Of a request that a listener handed on; unspecified for any other.
     #[must_use]
-    pub fn of(parts: &Parts) -> IpAddr {
+    pub fn from_parts(parts: &Parts) -> IpAddr {
         let known = parts.extensions.get::<Self>();
         known.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |caller| caller.0)
     }
@@ -58,7 +58,7 @@
 pub struct ConnLimits {
     pub header_bytes_max: usize,
     /// Time for the next head, idle time before it included.
-    pub head_timeout: Duration,
+    pub header_timeout: Duration,
 }
 
 /// A running listener.
@@ -101,7 +101,7 @@
             return;
         };
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let handler = handler.clone();
@@ -131,8 +131,8 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
-    builder.header_read_timeout(limits.head_timeout);
-    builder.max_buf_size(limits.header_bytes_max.max(MIN_BUFFER_BYTES));
+    builder.header_read_timeout(limits.header_timeout);
+    builder.max_buf_size(limits.header_bytes_max.max(BUFFER_BYTES_MIN));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
@@ -145,4 +145,4 @@
 }
 
 /// The least that `hyper` takes as a connection's buffer.
-const MIN_BUFFER_BYTES: usize = 8 << 10;
+const BUFFER_BYTES_MIN: usize = 8 << 10;
--- a/src/model/check.rs
+++ b/src/model/check.rs
@@ -5,30 +5,30 @@
 use super::RequestKind;
 use super::Service;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// Most backend servers that one service may have.
 pub const BACKEND_SERVERS_MAX: usize = 2_000;
 const KINDS_MAX: usize = 64;
-const NAME_MAX: usize = 100;
+const NAME_LEN_MAX: usize = 100;
 const SLOTS_MAX: u32 = 10_000;
-const BUDGET_MAX: u32 = 10_000;
+const MEASURING_BUDGET_PER_S_MAX: u32 = 10_000;
 const TIMEOUT_MAX_MS: u32 = 600_000;
 
-fn invalid(field: &str, allowed: &str) -> Coded {
-    Coded::new(Code::ServiceInvalid, format!("{field}: {allowed}"))
+fn invalid(field: &str, allowed: &str) -> CodedError {
+    CodedError::new(Code::ServiceInvalid, format!("{field}: {allowed}"))
 }
 
-fn check_name(field: &str, name: &str) -> Result<(), Coded> {
+fn check_name(field: &str, name: &str) -> Result<(), CodedError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_' || c == '.';
-    if name.is_empty() || name.len() > NAME_MAX || !name.chars().all(allowed) {
-        let text = format!("'{name}' must be 1 to {NAME_MAX} of a-z, A-Z, 0-9, '-', '_', '.'");
+    if name.is_empty() || name.len() > NAME_LEN_MAX || !name.chars().all(allowed) {
+        let text = format!("'{name}' must be 1 to {NAME_LEN_MAX} of a-z, A-Z, 0-9, '-', '_', '.'");
         return Err(invalid(field, &text));
     }
     Ok(())
 }
 
-fn check_kind(kind: &RequestKind) -> Result<(), Coded> {
+fn check_kind(kind: &RequestKind) -> Result<(), CodedError> {
     check_name("kinds.name", &kind.name)?;
     if !kind.path_prefix.starts_with('/') {
         return Err(invalid("kinds.path_prefix", "must start with '/'"));
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-fn check_servers(service: &Service) -> Result<(), Coded> {
+fn check_servers(service: &Service) -> Result<(), CodedError> {
     if service.backend_servers.len() > BACKEND_SERVERS_MAX {
         let text = format!("at most {BACKEND_SERVERS_MAX} are allowed");
         return Err(invalid("backend_servers", &text));
@@ -73,15 +73,18 @@
 ///
 /// # Errors
 /// `ServiceInvalid` with the field and what is allowed.
-pub fn check_service(service: &Service) -> Result<(), Coded> {
+pub fn check_service(service: &Service) -> Result<(), CodedError> {
     check_name("name", &service.name)?;
     if service.kinds.len() > KINDS_MAX {
         return Err(invalid("kinds", &format!("at most {KINDS_MAX} are allowed")));
     }
     service.kinds.iter().try_for_each(check_kind)?;
     check_servers(service)?;
-    if service.measuring_budget_per_s > BUDGET_MAX {
-        return Err(invalid("measuring_budget_per_s", &format!("at most {BUDGET_MAX}")));
+    if service.measuring_budget_per_s > MEASURING_BUDGET_PER_S_MAX {
+        return Err(invalid(
+            "measuring_budget_per_s",
+            &format!("at most {MEASURING_BUDGET_PER_S_MAX}"),
+        ));
     }
     if !(1..=TIMEOUT_MAX_MS).contains(&service.timeout_ms) {
         return Err(invalid("timeout_ms", &format!("1 to {TIMEOUT_MAX_MS}")));
--- a/src/model/load_report.rs
+++ b/src/model/load_report.rs
@@ -6,5 +6,5 @@
     pub running: u32,
     pub waiting: u32,
     /// How long work takes there now; 100 is the usual.
-    pub pace_percent: u32,
+    pub slowdown_percent: u32,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -3,22 +3,22 @@
 
 mod backend_server;
 mod check;
-mod heard;
 mod load_report;
+mod report_source;
 mod request_kind;
 mod server_row;
 mod service;
-mod versioned;
+mod versioned_service;
 
 pub use backend_server::BackendServer;
 pub use check::BACKEND_SERVERS_MAX;
 pub use check::check_service;
-pub use heard::Heard;
 pub use load_report::LoadReport;
+pub use report_source::ReportSource;
 pub use request_kind::RequestKind;
 pub use server_row::ServerRow;
 pub use server_row::ServerState;
 pub use service::Preference;
 pub use service::Service;
-pub use versioned::EARLIER_CHANGES_MAX;
-pub use versioned::Versioned;
+pub use versioned_service::EARLIER_CHANGES_MAX;
+pub use versioned_service::VersionedService;
--- a/src/model/heard.rs
+++ b/src/model/report_source.rs
@@ -2,20 +2,20 @@
 
 /// In what a server's word came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportSource {
     /// The answer to a request.
-    Answer,
+    Response,
     /// The answer to a health check.
-    Check,
+    HealthCheck,
 }
 
-impl Heard {
+impl ReportSource {
     /// The name written in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Answer => "answer",
-            Self::Check => "health-check",
+            Self::Response => "answer",
+            Self::HealthCheck => "health-check",
         }
     }
 }
--- a/src/model/server_row.rs
+++ b/src/model/server_row.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// Says which field cannot be.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         if self.slots == 0 || self.slots > SLOTS_MAX {
             return Err(format!("slots: {} is not within 1 to {SLOTS_MAX}", self.slots));
         }
@@ -62,7 +62,7 @@
 
     /// Whether both rows are of the same start of the same server.
     #[must_use]
-    pub fn same_start(&self, other: &Self) -> bool {
+    pub fn is_same_start(&self, other: &Self) -> bool {
         self.started_ms == other.started_ms
             && self.address == other.address
             && self.service == other.service
@@ -70,7 +70,7 @@
 
     /// Whether the server leaves and takes no new work.
     #[must_use]
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.state == ServerState::Draining
     }
 }
--- a/src/model/service.rs
+++ b/src/model/service.rs
@@ -57,7 +57,7 @@
 impl Service {
     /// The kind with the longest matching prefix; `None` is treated as must-not-repeat.
     #[must_use]
-    pub fn kind_of(&self, method: &str, path: &str) -> Option<&RequestKind> {
+    pub fn find_kind(&self, method: &str, path: &str) -> Option<&RequestKind> {
         self.kinds
             .iter()
             .filter(|kind| kind.matches(method, path))
--- a/src/model/versioned.rs
+++ b/src/model/versioned_service.rs
@@ -8,7 +8,7 @@
 
 /// One committed state of one service; `service` is `None` for a tombstone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Versioned {
+pub struct VersionedService {
     /// Grows by one with each commit of the service and never goes back.
     pub revision: u64,
     /// Names the change that made this revision, so that a lost answer can be resolved.
@@ -23,10 +23,10 @@
 /// Earlier changes that a row remembers.
 pub const EARLIER_CHANGES_MAX: usize = 8;
 
-impl Versioned {
+impl VersionedService {
     /// Whether this row contains the change, as its last or as one before.
     #[must_use]
-    pub fn contains(&self, change_id: Uuid) -> bool {
+    pub fn contains_change(&self, change_id: Uuid) -> bool {
         self.change_id == change_id || self.earlier_changes.contains(&change_id)
     }
 
--- a/src/operator/convert.rs
+++ b/src/operator/convert.rs
@@ -4,23 +4,23 @@
 
 use crate::catalog::EditError;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::errors::TABLE;
 use crate::r#gen as wire;
 use crate::model::BackendServer;
 use crate::model::Preference;
 use crate::model::RequestKind;
 use crate::model::Service;
-use crate::model::Versioned;
+use crate::model::VersionedService;
 
 /// Metadata of an error: the number of its result code.
-const CODE_FIELD: &str = "sorrelwick-code";
+const CODE_METADATA_KEY: &str = "sorrelwick-code";
 
-fn invalid(field: &str, why: impl std::fmt::Display) -> Coded {
-    Coded::new(Code::ServiceInvalid, format!("{field}: {why}"))
+fn invalid(field: &str, why: impl std::fmt::Display) -> CodedError {
+    CodedError::new(Code::ServiceInvalid, format!("{field}: {why}"))
 }
 
-fn server_from_wire(server: wire::BackendServer) -> Result<BackendServer, Coded> {
+fn server_from_wire(server: wire::BackendServer) -> Result<BackendServer, CodedError> {
     let address = server.address.parse();
     let address = address.map_err(|_| {
         invalid("backend_servers.address", format!("'{}' is not IP:port", server.address))
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 /// `ServiceInvalid` for what the domain types cannot hold.
-pub fn service_from_wire(service: wire::Service) -> Result<Service, Coded> {
+pub fn service_from_wire(service: wire::Service) -> Result<Service, CodedError> {
     let preference = match service.preference() {
         wire::Preference::Tail => Preference::Tail,
         wire::Preference::Cost | wire::Preference::Unspecified => Preference::Cost,
@@ -106,7 +106,7 @@
 
 /// A row as the schema declares it.
 #[must_use]
-pub fn versioned_to_wire(row: &Versioned) -> wire::Versioned {
+pub fn versioned_to_wire(row: &VersionedService) -> wire::Versioned {
     wire::Versioned {
         revision: row.revision,
         change_id: row.change_id.to_string(),
@@ -117,7 +117,7 @@
 
 /// An error as gRPC tells it, with the number of its code in the metadata.
 #[must_use]
-pub fn status_of(err: &Coded) -> Status {
+pub fn status_from_error(err: &CodedError) -> Status {
     let text = err.to_string();
     let mut status = match err.code {
         Code::Conflict => Status::aborted(text),
@@ -127,20 +127,20 @@
         Code::Unauthenticated => Status::unauthenticated(text),
         _ => Status::invalid_argument(text),
     };
-    status.metadata_mut().insert(CODE_FIELD, err.code.number().into());
+    status.metadata_mut().insert(CODE_METADATA_KEY, err.code.number().into());
     status
 }
 
 /// An edit's error; a conflict tells the current revision in its text.
 #[must_use]
-pub fn status_of_edit(err: &EditError) -> Status {
-    status_of(&err.coded)
+pub fn status_from_edit_error(err: &EditError) -> Status {
+    status_from_error(&err.coded)
 }
 
 /// The result code that an error of an instance carries.
 #[must_use]
-pub fn code_of_status(status: &Status) -> Code {
-    let number = status.metadata().get(CODE_FIELD).and_then(|value| value.to_str().ok());
+pub fn code_from_status(status: &Status) -> Code {
+    let number = status.metadata().get(CODE_METADATA_KEY).and_then(|value| value.to_str().ok());
     let number: Option<u16> = number.and_then(|text| text.parse().ok());
     let row = TABLE.iter().find(|row| Some(row.0.number()) == number);
     row.map_or(Code::OperatorUnreachable, |row| row.0)
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,11 +1,11 @@
 //! The operators' listener: remote procedure calls as declared in `proto/`.
 
-mod answers;
 mod convert;
 mod operator_listener;
+mod operator_service;
 
-pub use convert::code_of_status;
+pub use convert::code_from_status;
 pub use convert::service_from_wire;
 pub use convert::service_to_wire;
 pub use operator_listener::OperatorListener;
-pub use operator_listener::TOKEN_FIELD;
+pub use operator_listener::TOKEN_METADATA_KEY;
--- a/src/operator/operator_listener.rs
+++ b/src/operator/operator_listener.rs
@@ -6,18 +6,18 @@
 use tonic::transport::Server;
 use tonic::transport::server::TcpIncoming;
 
-use super::answers::Answers;
-use super::convert::status_of;
+use super::convert::status_from_error;
+use super::operator_service::OperatorService;
 use crate::board::Counter;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::r#gen::operator_server::OperatorServer;
 use crate::route::Router;
 use crate::task::TaskGuard;
 
 /// Metadata field of the operator's token.
-pub const TOKEN_FIELD: &str = "authorization";
-const REQUESTS_MAX: u32 = 64;
+pub const TOKEN_METADATA_KEY: &str = "authorization";
+const STREAMS_PER_CONNECTION_MAX: u32 = 64;
 
 /// The operators' listener, open until it is dropped.
 #[derive(Debug)]
@@ -26,22 +26,25 @@
 }
 
 /// Compares in a time that does not depend on where the texts differ.
-fn same(expected: &str, given: &str) -> bool {
+fn equal_in_constant_time(expected: &str, given: &str) -> bool {
     use subtle::ConstantTimeEq;
     expected.as_bytes().ct_eq(given.as_bytes()).into()
 }
 
-fn admit(router: &Router, request: Request<()>) -> Result<Request<()>, Status> {
+fn check_token(router: &Router, request: Request<()>) -> Result<Request<()>, Status> {
     let token = &router.board.settings.operators.token;
     if token.is_empty() {
         return Ok(request);
     }
-    let given = request.metadata().get(TOKEN_FIELD).and_then(|value| value.to_str().ok());
-    if given.is_some_and(|given| same(&format!("Bearer {token}"), given)) {
+    let given = request.metadata().get(TOKEN_METADATA_KEY).and_then(|value| value.to_str().ok());
+    if given.is_some_and(|given| equal_in_constant_time(&format!("Bearer {token}"), given)) {
         return Ok(request);
     }
     router.board.counters.add(Counter::OperatorsRefused);
-    Err(status_of(&Coded::new(Code::Unauthenticated, "the operator's token is missing or wrong")))
+    Err(status_from_error(&CodedError::new(
+        Code::Unauthenticated,
+        "the operator's token is missing or wrong",
+    )))
 }
 
 impl OperatorListener {
@@ -49,13 +52,14 @@
     #[must_use]
     pub fn spawn(listener: TcpListener, router: Router) -> Self {
         let guard = router.clone();
-        let service = OperatorServer::with_interceptor(Answers::new(router), move |request| {
-            admit(&guard, request)
-        });
+        let service =
+            OperatorServer::with_interceptor(OperatorService::new(router), move |request| {
+                check_token(&guard, request)
+            });
         // Without it each answer waits some 40 ms for a delayed acknowledgement.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let serving = Server::builder()
-            .max_concurrent_streams(REQUESTS_MAX)
+            .max_concurrent_streams(STREAMS_PER_CONNECTION_MAX)
             .add_service(service)
             .serve_with_incoming(incoming);
         let task = TaskGuard::spawn(async move {
--- a/src/operator/answers.rs
+++ b/src/operator/operator_service.rs
@@ -6,38 +6,39 @@
 use uuid::Uuid;
 
 use super::convert::service_from_wire;
-use super::convert::status_of;
-use super::convert::status_of_edit;
+use super::convert::status_from_edit_error;
+use super::convert::status_from_error;
 use super::convert::versioned_to_wire;
 use crate::board::Counter;
 use crate::catalog::Committer;
 use crate::catalog::Edit;
 use crate::catalog::merge_rows;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::r#gen as wire;
 use crate::r#gen::operator_server::Operator;
 use crate::member::MemberRow;
-use crate::model::Versioned;
+use crate::model::VersionedService;
 use crate::route::Router;
 use crate::store::AnyStore;
 
 /// Answers operators; a change is told to be accepted once it stands in the store.
 #[derive(Clone, Debug)]
-pub struct Answers {
+pub struct OperatorService {
     router: Router,
     committer: Committer<AnyStore>,
 }
 
-fn change_id(text: &str) -> Result<Uuid, Status> {
+fn parse_change_id(text: &str) -> Result<Uuid, Status> {
     if text.is_empty() {
         return Ok(Uuid::new_v4());
     }
-    Uuid::parse_str(text)
-        .map_err(|err| status_of(&Coded::new(Code::ServiceInvalid, format!("change_id: {err}"))))
+    Uuid::parse_str(text).map_err(|err| {
+        status_from_error(&CodedError::new(Code::ServiceInvalid, format!("change_id: {err}")))
+    })
 }
 
-fn instance(row: &MemberRow) -> wire::InstanceStatus {
+fn instance_to_wire(row: &MemberRow) -> wire::InstanceStatus {
     wire::InstanceStatus {
         name: row.name.clone(),
         zone: row.zone.clone(),
@@ -48,7 +49,7 @@
     }
 }
 
-impl Answers {
+impl OperatorService {
     pub(super) fn new(router: Router) -> Self {
         let committer = Committer::new(router.store.clone());
         Self { router, committer }
@@ -60,32 +61,34 @@
         edit: &Edit,
         change: &str,
     ) -> Result<Response<wire::PutServiceResponse>, Status> {
-        let change_id = change_id(change)?;
+        let change_id = parse_change_id(change)?;
         let committed = self.committer.commit(name, edit, change_id).await;
-        let row: Versioned = committed.map_err(|err| status_of_edit(&err))?;
-        let current = Some(versioned_to_wire(&row));
+        let catalog_row: VersionedService =
+            committed.map_err(|err| status_from_edit_error(&err))?;
+        let current = Some(versioned_to_wire(&catalog_row));
         // In force here at once; the others hear it by their watches and pushes.
-        let news = merge_rows(&self.router.board, vec![(name.to_owned(), row)]);
-        crate::catalog::push_rows(&self.router.board, &self.router.links, &news);
+        let changed_rows = merge_rows(&self.router.board, vec![(name.to_owned(), catalog_row)]);
+        crate::catalog::push_rows(&self.router.board, &self.router.links, &changed_rows);
         Ok(Response::new(wire::PutServiceResponse { current }))
     }
 
-    fn row(&self, name: &str) -> Option<Versioned> {
+    fn row(&self, name: &str) -> Option<VersionedService> {
         self.router.board.catalog.lock().get(name).cloned()
     }
 }
 
 #[tonic::async_trait]
-impl Operator for Answers {
+impl Operator for OperatorService {
     async fn put_service(
         &self,
         request: Request<wire::PutServiceRequest>,
     ) -> Result<Response<wire::PutServiceResponse>, Status> {
         let request = request.into_inner();
-        let missing = || status_of(&Coded::new(Code::ServiceInvalid, "service: missing"));
+        let missing =
+            || status_from_error(&CodedError::new(Code::ServiceInvalid, "service: missing"));
         let declared = request.service.ok_or_else(missing)?;
-        let service = service_from_wire(declared).map_err(|err| status_of(&err))?;
-        crate::model::check_service(&service).map_err(|err| status_of(&err))?;
+        let service = service_from_wire(declared).map_err(|err| status_from_error(&err))?;
+        crate::model::check_service(&service).map_err(|err| status_from_error(&err))?;
         let name = service.name.clone();
         let edit = Edit::Put { service, expected: request.expected_revision };
         self.commit(&name, &edit, &request.change_id).await
@@ -97,7 +100,7 @@
     ) -> Result<Response<wire::GetServiceResponse>, Status> {
         let name = request.into_inner().name;
         let live = self.row(&name).filter(|row| row.service.is_some());
-        let row = live.ok_or_else(|| status_of(&Coded::new(Code::NotFound, name)))?;
+        let row = live.ok_or_else(|| status_from_error(&CodedError::new(Code::NotFound, name)))?;
         Ok(Response::new(wire::GetServiceResponse { current: Some(versioned_to_wire(&row)) }))
     }
 
@@ -155,8 +158,8 @@
             value: board.counters.get(*counter),
         });
         Ok(Response::new(wire::StatusResponse {
-            own: own.map(|row| instance(row)),
-            instances: view.rows.iter().map(|row| instance(row)).collect(),
+            own: own.map(|row| instance_to_wire(row)),
+            instances: view.rows.iter().map(|row| instance_to_wire(row)).collect(),
             revisions: revisions.collect(),
             store_reachable: board.store_up(),
             counters: counters.collect(),
--- a/src/outcome/idempotency_key.rs
+++ b/src/outcome/idempotency_key.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys, and the prefix that binds a key to one instance.
 
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// Longest key that callers may send, in bytes.
 pub const KEY_MAX_BYTES: usize = 200;
@@ -57,11 +57,11 @@
     ///
     /// # Errors
     /// `KeyMalformed` for an empty, overlong or unprintable key.
-    pub fn parse(text: &str) -> Result<Self, Coded> {
+    pub fn parse(text: &str) -> Result<Self, CodedError> {
         let printable = text.bytes().all(|byte| byte.is_ascii_graphic());
         if text.is_empty() || text.len() > KEY_MAX_BYTES || !printable {
             let detail = format!("a key is 1 to {KEY_MAX_BYTES} printable ASCII characters");
-            return Err(Coded::new(Code::KeyMalformed, detail));
+            return Err(CodedError::new(Code::KeyMalformed, detail));
         }
         let prefix = KeyPrefix::parse(text).map(|(prefix, _)| prefix);
         Ok(Self { prefix, text: text.into() })
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// First bytes of the connecting end: protocol name and version of the messages.
 const MAGIC: [u8; 4] = *b"sw\0\x01";
@@ -40,12 +40,12 @@
     mac.finalize().into_bytes().into()
 }
 
-fn auth_error(why: impl std::fmt::Display) -> Coded {
-    Coded::new(Code::PeerUnauthenticated, why.to_string())
+fn auth_error(why: impl std::fmt::Display) -> CodedError {
+    CodedError::new(Code::PeerUnauthenticated, why.to_string())
 }
 
 /// Compares proofs in constant time.
-fn verify(expected: &Proof, given: &Proof) -> Result<(), Coded> {
+fn verify(expected: &Proof, given: &Proof) -> Result<(), CodedError> {
     if bool::from(expected.ct_eq(given)) { Ok(()) } else { Err(auth_error("wrong secret")) }
 }
 
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// `PeerUnauthenticated`; the caller then closes the connection without sending another byte.
-pub async fn accept(stream: &mut TcpStream, secret: &str) -> Result<(), Coded> {
+pub async fn accept(stream: &mut TcpStream, secret: &str) -> Result<(), CodedError> {
     let own = fresh_nonce();
     stream.write_all(&own).await.map_err(auth_error)?;
     let mut magic = [0; MAGIC.len()];
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 /// `PeerUnauthenticated` when either end does not know the secret.
-pub async fn connect(stream: &mut TcpStream, secret: &str) -> Result<(), Coded> {
+pub async fn connect(stream: &mut TcpStream, secret: &str) -> Result<(), CodedError> {
     let mut theirs = [0; NONCE_BYTES];
     stream.read_exact(&mut theirs).await.map_err(auth_error)?;
     let own = fresh_nonce();
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 
 /// Maximum size of an encoded message.
 pub const FRAME_MAX_BYTES: usize = 4 << 20;
@@ -63,11 +63,11 @@
 
 /// Decompresses a message, up to one byte more than the maximum size, so that a decompression bomb
 /// cannot exhaust memory.
-fn decompress(compressed: &[u8]) -> Result<Vec<u8>, Coded> {
+fn decompress(compressed: &[u8]) -> Result<Vec<u8>, CodedError> {
     let mut plain = Vec::new();
     let mut bounded = DeflateDecoder::new(compressed).take(FRAME_MAX_BYTES as u64 + 1);
     let read = bounded.read_to_end(&mut plain);
-    read.map_err(|err| Coded::new(Code::PeerFrame, err.to_string()))?;
+    read.map_err(|err| CodedError::new(Code::PeerFrame, err.to_string()))?;
     Ok(plain)
 }
 
@@ -77,23 +77,26 @@
 ///
 /// # Errors
 /// `PeerFrame` for malformed bytes, `PeerFrameTooLarge` above the maximum size.
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Coded> {
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodedError> {
     match bytes.split_first() {
         Some((&PLAIN, plain)) => decode_plain(plain),
         Some((&COMPRESSED, compressed)) => decode_plain(&decompress(compressed)?),
-        _ => Err(Coded::new(Code::PeerFrame, "neither plain nor compressed")),
+        _ => Err(CodedError::new(Code::PeerFrame, "neither plain nor compressed")),
     }
 }
 
-fn decode_plain<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Coded> {
+fn decode_plain<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodedError> {
     if bytes.len() > FRAME_MAX_BYTES {
-        return Err(Coded::new(Code::PeerFrameTooLarge, format!("{} bytes", bytes.len())));
+        return Err(CodedError::new(Code::PeerFrameTooLarge, format!("{} bytes", bytes.len())));
     }
     let bounded = config::standard().with_limit::<FRAME_MAX_BYTES>();
     let decoded = bincode::serde::decode_from_slice(bytes, bounded);
-    let (message, read) = decoded.map_err(|e| Coded::new(Code::PeerFrame, e.to_string()))?;
+    let (message, read) = decoded.map_err(|e| CodedError::new(Code::PeerFrame, e.to_string()))?;
     if read != bytes.len() {
-        return Err(Coded::new(Code::PeerFrame, format!("{} bytes left over", bytes.len() - read)));
+        return Err(CodedError::new(
+            Code::PeerFrame,
+            format!("{} bytes left over", bytes.len() - read),
+        ));
     }
     Ok(message)
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -9,7 +9,7 @@
 use super::Packed;
 use crate::member::MemberRequest;
 use crate::member::MemberRow;
-use crate::model::Versioned;
+use crate::model::VersionedService;
 use crate::outcome::OwnerSnapshot;
 use crate::quarantine::SuspectRecord;
 use crate::store::Item;
@@ -111,7 +111,7 @@
     Digest { digest: u64 },
     /// Configuration changes; merging them is idempotent.
     /// Configuration changes; merging them is idempotent.
-    Changes(Vec<(String, Versioned)>),
+    Changes(Vec<(String, VersionedService)>),
     /// Asks for the configuration of these services.
     Fetch(Vec<String>),
     /// Load of the sender as a home of a service; the reply carries the receiver's free slots.
@@ -171,7 +171,7 @@
     Suspects(Vec<SuspectRecord>),
     /// Revision of each service, sent if the digests differ.
     Summary(Vec<(String, u64)>),
-    Changes(Vec<(String, Versioned)>),
+    Changes(Vec<(String, VersionedService)>),
     /// Probes per second granted for each requested service, valid for `grant_ms` from the request.
     Granted(Vec<u32>),
     /// Free slots at the responder.
--- a/src/route/caller_listener.rs
+++ b/src/route/caller_listener.rs
@@ -23,7 +23,7 @@
 use crate::clock::now_ms;
 use crate::clock::now_us;
 use crate::errors::Code;
-use crate::errors::Coded;
+use crate::errors::CodedError;
 use crate::listener::CallerAddress;
 use crate::listener::ConnLimits;
 use crate::listener::Handler;
@@ -57,7 +57,7 @@
     }
 
     fn limits(&self) -> ConnLimits {
-        ConnLimits { header_bytes_max: HEADER_BYTES_MAX, head_timeout: HEADER_TIMEOUT }
+        ConnLimits { header_bytes_max: HEADER_BYTES_MAX, header_timeout: HEADER_TIMEOUT }
     }
 }
 
@@ -132,7 +132,7 @@
 /// has been forwarded then.
 async fn read_request(router: &Router, request: Request<Incoming>) -> Result<ProxyRequest, Answer> {
     let settings = &router.board.settings.requests;
-    let reject = |err: &Coded| Answer::not_run(err.code, 0);
+    let reject = |err: &CodedError| Answer::not_run(err.code, 0);
     let (parts, incoming) = request.into_parts();
     let headers = &parts.headers;
     let service = service_name(&parts).ok_or_else(|| Answer::not_run(Code::BadRequest, 0))?;
@@ -161,7 +161,7 @@
         Err(_) => return Err(Answer::rejected(Code::BodyIncomplete, keyed)),
     };
     let target = parts.uri.path_and_query().map_or("/", http::uri::PathAndQuery::as_str);
-    let caller = CallerAddress::of(&parts);
+    let caller = CallerAddress::from_parts(&parts);
     let method = parts.method.as_str();
     Ok(ProxyRequest {
         fingerprints: Fingerprints::of(caller, &service, method, target, &body),
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -26,7 +26,7 @@
         let Some(state) = self.board.services().get(&proxy_request.service).cloned() else {
             return Answer::rejected(Code::UnknownService, proxy_request.key.is_some());
         };
-        let kind = state.spec.kind_of(&proxy_request.method, proxy_request.path());
+        let kind = state.spec.find_kind(&proxy_request.method, proxy_request.path());
         // Instances may briefly have different revisions in force: a request is retried only if
         // every instance that handles it considers it idempotent.
         let forwarded_as_idempotent = proxy_request.idempotent;
--- a/src/status/metrics.rs
+++ b/src/status/metrics.rs
@@ -26,7 +26,7 @@
     /// # Panics
     /// Never: a registry that is new has no names that could clash.
     #[must_use]
-    pub fn open(board: &Arc<Blackboard>) -> Self {
+    pub fn register(board: &Arc<Blackboard>) -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build();
         let exporter = exporter.expect("a new registry takes an exporter");
@@ -69,7 +69,7 @@
 
     /// The text that scrapers read.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut bytes = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut bytes);
         encoded.map_or_else(|_| String::new(), |()| String::from_utf8(bytes).unwrap_or_default())
--- a/src/status/mod.rs
+++ b/src/status/mod.rs
@@ -1,7 +1,7 @@
 //! Health, readiness and metrics for whoever watches the instance.
 
 mod metrics;
-mod page;
+mod status_listener;
 
 pub use metrics::Metrics;
-pub use page::StatusPage;
+pub use status_listener::StatusListener;
--- a/src/status/page.rs
+++ b/src/status/status_listener.rs
@@ -20,27 +20,27 @@
 
 /// The status listener, open until it is dropped.
 #[derive(Debug)]
-pub struct StatusPage {
+pub struct StatusListener {
     _task: TaskGuard,
 }
 
 /// Answers 200 while the process runs at all.
-struct Health;
+struct HealthHandler;
 
 /// Answers 200 while new callers should come here.
-struct Readiness(Arc<Blackboard>);
+struct ReadyHandler(Arc<Blackboard>);
 
-struct MetricsText(Metrics);
+struct MetricsHandler(Metrics);
 
 #[salvo::async_trait]
-impl Handler for Health {
+impl Handler for HealthHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         res.render("ok\n");
     }
 }
 
 #[salvo::async_trait]
-impl Handler for Readiness {
+impl Handler for ReadyHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         if self.0.phase() == Phase::Running {
             res.render("ready\n");
@@ -52,21 +52,21 @@
 }
 
 #[salvo::async_trait]
-impl Handler for MetricsText {
+impl Handler for MetricsHandler {
     async fn handle(&self, _: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        res.render(self.0.text());
+        res.render(self.0.encode());
     }
 }
 
-impl StatusPage {
+impl StatusListener {
     /// Serves `/health`, `/ready` and `/metrics`.
     #[must_use]
     pub fn spawn(listener: TcpListener, board: Arc<Blackboard>) -> Self {
-        let metrics = Metrics::open(&board);
+        let metrics = Metrics::register(&board);
         let router = Router::new()
-            .push(Router::with_path("health").get(Health))
-            .push(Router::with_path("ready").get(Readiness(board)))
-            .push(Router::with_path("metrics").get(MetricsText(metrics)));
+            .push(Router::with_path("health").get(HealthHandler))
+            .push(Router::with_path("ready").get(ReadyHandler(board)))
+            .push(Router::with_path("metrics").get(MetricsHandler(metrics)));
         let task = TaskGuard::spawn(async move {
             let Ok(acceptor) = TcpAcceptor::try_from(listener) else {
                 return;
--- a/standins/src/bed/bed.rs
+++ b/standins/src/bed/bed.rs
@@ -6,7 +6,7 @@
 use sorrelwick::board::Blackboard;
 use sorrelwick::command::ToolClient;
 use sorrelwick::conf::Settings;
-use sorrelwick::errors::Coded;
+use sorrelwick::errors::CodedError;
 use sorrelwick::model::BackendServer;
 use sorrelwick::model::Preference;
 use sorrelwick::model::RequestKind;
@@ -208,7 +208,12 @@
     ///
     /// # Errors
     /// What the operator told.
-    pub async fn put(&self, at: usize, service: &Service, expected: u64) -> Result<u64, Coded> {
+    pub async fn put(
+        &self,
+        at: usize,
+        service: &Service,
+        expected: u64,
+    ) -> Result<u64, CodedError> {
         let row = self.operator(at).put(&service_to_wire(service), expected).await?;
         Ok(row.revision)
     }
--- a/standins/src/routed/plain_dialect.rs
+++ b/standins/src/routed/plain_dialect.rs
@@ -73,7 +73,7 @@
         Some(LoadReport {
             running: figures.next()??,
             waiting: figures.next()??,
-            pace_percent: figures.nth(1)??,
+            slowdown_percent: figures.nth(1)??,
         })
     }
 
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -177,7 +177,8 @@
 #[test]
 fn a_request_waits_instead_of_starting_on_a_slow_server() {
     let mut pool = pool(1, 4);
-    let report = |pace_percent| LoadReport { running: 0, waiting: 0, pace_percent };
+    let report =
+        |pace_percent| LoadReport { running: 0, waiting: 0, slowdown_percent: pace_percent };
     pool.server_mut("s0").expect("listed").record_load(report(500), MS);
     let spec = spec("look", 2, 600.0, MS);
     assert!(pool.acquire_slot(1, &spec, ZONE, MS, &mut fixed_random()).is_none());
@@ -353,7 +354,7 @@
         // A server closes a connection that was idle for four seconds.
         let known = answered_us.insert(Arc::clone(&choice.server), now_us);
         opened += u32::from(known.is_none_or(|at_us| now_us - at_us > 4_000 * MS));
-        let load = LoadReport { running: 1, waiting: 0, pace_percent: 100 };
+        let load = LoadReport { running: 1, waiting: 0, slowdown_percent: 100 };
         pool.server_mut(&choice.server).expect("listed").record_load(load, now_us);
         pool.finish_request(
             &choice.server,
@@ -384,7 +385,7 @@
     }
     let slow = |pool: &mut ServicePool, percent, now_us| {
         for id in ["s0", "s1"] {
-            let load = LoadReport { running: 0, waiting: 0, pace_percent: percent };
+            let load = LoadReport { running: 0, waiting: 0, slowdown_percent: percent };
             pool.server_mut(id).expect("listed").record_load(load, now_us);
         }
     };
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -212,7 +212,7 @@
     for server in 0..12 {
         pool.upsert_server(row(&format!("s{server}"), WARMUP_MS), 0);
     }
-    let slow = LoadReport { running: 0, waiting: 0, pace_percent: 200 };
+    let slow = LoadReport { running: 0, waiting: 0, slowdown_percent: 200 };
     for ticket in 0..400 {
         let now_us = (ticket + 1) * 5 * MS;
         let spec = spec_now(now_us);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -7,7 +7,7 @@
 
 use sorrelwick::catalog::Catalog;
 use sorrelwick::errors::Code;
-use sorrelwick::model::Versioned;
+use sorrelwick::model::VersionedService;
 use standins::bed::Bed;
 use standins::bed::BedPlan;
 use standins::bed::until;
@@ -31,7 +31,7 @@
         for _ in 0..u.int_in_range(1..=60)? {
             let name = format!("s{}", u.int_in_range(0..=5)?);
             let revision = u.int_in_range(1..=9)?;
-            let row = Versioned {
+            let row = VersionedService {
                 revision,
                 change_id: Uuid::nil(),
                 service: None,
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -14,8 +14,8 @@
 use sorrelwick::gateway::ServerNotice;
 use sorrelwick::member::MemberRow;
 use sorrelwick::member::MemberState;
-use sorrelwick::model::Heard;
 use sorrelwick::model::LoadReport;
+use sorrelwick::model::ReportSource;
 use sorrelwick::model::ServerRow;
 use sorrelwick::model::ServerState;
 use sorrelwick::peer::PeerClient;
@@ -133,14 +133,14 @@
             dispatcher.record_use(server);
             let slow = (check + number as u64).is_multiple_of(3);
             let pace_percent = if slow { 500 } else { 100 };
-            let load = LoadReport { running: 0, waiting: 0, pace_percent };
+            let load = LoadReport { running: 0, waiting: 0, slowdown_percent };
             let notice = ServerNotice {
                 load: Some(load),
                 rate_limit: Ok(None),
                 draining: false,
                 retry_after: Ok(None),
             };
-            dispatcher.record_notice(server, Heard::Check, notice);
+            dispatcher.record_notice(server, ReportSource::HealthCheck, notice);
         }
         tokio::time::sleep(Duration::from_secs(1) / u32::try_from(CHECKS_PER_S).expect("few"))
             .await;
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -225,7 +225,7 @@
             bed.write(id, &value);
         }
         for server in bed.dispatcher.servers() {
-            assert!(server.row.check().is_ok());
+            assert!(server.row.validate().is_ok());
             assert!(["a", "b", "c"].contains(&&*server.row.id));
         }
         Ok(())
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -10,7 +10,7 @@
 use sorrelwick::limit::InvalidRateLimit;
 use sorrelwick::limit::LIMIT_WINDOW_US;
 use sorrelwick::limit::RateLimit;
-use sorrelwick::model::Heard;
+use sorrelwick::model::ReportSource;
 use sorrelwick::starts::HomeSet;
 use sorrelwick::task::TaskGuard;
 use standins::routed::CONFIG_KEY;
@@ -106,7 +106,7 @@
 
 fn advertise_limit(pool: &mut ServicePool, id: &str, text: &str, now_us: u64) {
     let server = pool.server_mut(id).expect("listed");
-    server.start_limits.rate_limit.record(Heard::Answer, Some(limit(text)), now_us);
+    server.start_limits.rate_limit.record(ReportSource::Response, Some(limit(text)), now_us);
 }
 
 /// Guards against texts that are not rates but are accepted as limits.
@@ -124,14 +124,14 @@
 #[test]
 fn health_checks_end_a_limit_only_if_they_ever_reported_one() {
     let mut limit_state = AdvertisedLimit::default();
-    assert!(limit_state.record(Heard::Answer, Some(limit("1.2")), 1));
-    assert!(!limit_state.record(Heard::Check, None, 2));
+    assert!(limit_state.record(ReportSource::Response, Some(limit("1.2")), 1));
+    assert!(!limit_state.record(ReportSource::HealthCheck, None, 2));
     assert_eq!(limit_state.current(), Some(limit("1.2")));
-    assert!(limit_state.record(Heard::Answer, None, 3));
+    assert!(limit_state.record(ReportSource::Response, None, 3));
     assert_eq!(limit_state.current(), None);
-    assert!(limit_state.record(Heard::Check, Some(limit("2")), 4));
+    assert!(limit_state.record(ReportSource::HealthCheck, Some(limit("2")), 4));
     assert_eq!(limit_state.age_us(7), Some(3));
-    assert!(limit_state.record(Heard::Check, None, 8));
+    assert!(limit_state.record(ReportSource::HealthCheck, None, 8));
     assert_eq!((limit_state.current(), limit_state.age_us(9)), (None, None));
 }
 
