--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -1,4 +1,4 @@
-//! One instance, running.
+//! The daemon: an instance that serves the services declared by operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,9 +35,10 @@
 use crate::status::StatusListener;
 use crate::store::AnyStore;
 
+/// Time between two runs of the periodic cleanup.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A running instance; dropped, it ends at once, as a kill would end it.
+/// A running instance. Dropping it stops it at once, as if the process were killed.
 #[derive(Debug)]
 pub struct Daemon {
     pub router: Router,
@@ -48,6 +49,7 @@
     _status: StatusListener,
 }
 
+/// Binds the listener of the setting `listen.{what}`.
 pub(super) async fn bind_listener(
     address: SocketAddr,
     what: &str,
@@ -57,12 +59,14 @@
     })
 }
 
+/// Writes the bound address back to its setting, which may have had port 0.
 pub(super) fn record_bound_address(listener: &TcpListener, set: &mut SocketAddr) {
     if let Ok(address) = listener.local_addr() {
         *set = address;
     }
 }
 
+/// Periodically expires outcomes and maintains the connections to backend servers.
 async fn run_cleanup(board: Arc<Blackboard>) {
     loop {
         tokio::time::sleep(CLEANUP_INTERVAL).await;
@@ -77,11 +81,11 @@
 }
 
 impl Daemon {
-    /// Binds all listeners and starts the controllers. A port 0 in the settings is replaced by
-    /// the one that the system gave.
+    /// Binds all listeners and starts the background tasks. A port 0 in the settings is replaced
+    /// by the port that the system assigned.
     ///
     /// # Errors
-    /// `ListenFailed` names the listener that cannot be bound.
+    /// `ListenFailed`, with the listener that cannot be bound.
     pub async fn spawn(mut settings: Settings) -> Result<Self, CodedError> {
         let callers = bind_listener(settings.listen.caller, "caller").await?;
         let operators = bind_listener(settings.listen.operator, "operator").await?;
@@ -134,7 +138,7 @@
         &self.router.board
     }
 
-    /// Stops as planned; returns when nothing is in flight any more.
+    /// Shuts down gracefully; returns once no request is in flight.
     pub async fn stop(mut self) {
         stop_gracefully(&self.router.board, &self.router.links, self.listener).await;
         self.tasks.shutdown().await;
--- a/src/app/daemon_peer_service.rs
+++ b/src/app/daemon_peer_service.rs
@@ -1,4 +1,4 @@
-//! What this instance answers its peers.
+//! Handles the requests that peers send to a daemon.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
 use crate::route::Router;
 use crate::route::handle_load_note;
 
-/// Serves the peer listener; clones share.
+/// The request handler of the peer listener; clones share their state.
 #[derive(Clone, Debug)]
 pub struct DaemonPeerService {
     pub router: Router,
@@ -71,7 +71,8 @@
         let board = &self.router.board;
         let from = part.incarnation;
         let reported_started_ms = now_ms().saturating_sub(part.uptime_ms);
-        // The earlier of both is nearer to the truth: this message may have waited.
+        // This message may have been delayed, which makes the start computed from its uptime too
+        // late; the earlier of both is closer.
         let gossiped_started_ms =
             board.members.lock().started_ms(from).unwrap_or(reported_started_ms);
         let rows = part.rows.len();
@@ -96,7 +97,7 @@
                 merge_rows(board, rows);
                 PeerReply::Done
             }
-            // What does not fit this answer is asked for again by the next repair.
+            // Rows that do not fit into this reply are fetched by the next anti-entropy round.
             PeerRequest::Fetch(names) => {
                 let rows = board.catalog.lock().get_many(&names);
                 PeerReply::Changes(split_rows(&rows).into_iter().next().unwrap_or_default())
@@ -116,7 +117,7 @@
                 PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
             }
             PeerRequest::HandOver { part, last } => self.adopt(part, last),
-            // Only instances that serve by routes tell these.
+            // Only gateways exchange these.
             PeerRequest::ServerLoads(_)
             | PeerRequest::Feed { .. }
             | PeerRequest::QuotaTokens { .. } => PeerReply::Failed(Code::PeerFrame.number()),
--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -1,4 +1,4 @@
-//! One instance that serves requests by routes on a platform, running.
+//! The gateway: an instance that serves requests by the routes of a platform's configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -55,34 +55,37 @@
 use crate::status::StatusListener;
 use crate::store::EventStore;
 
-/// Connections for the platform's own questions: one a second from a few places, and one for
-/// each caller that asks for addresses.
+/// Connection limit of the readiness and the address listener: the platform polls about once a
+/// second from a few places, and each caller that asks for addresses takes one connection.
 const PLATFORM_CONNECTIONS_MAX: u32 = 1_000;
-/// Part of the memory that the bodies of requests may take, and as much again those of answers that
-/// are held whole.
+/// Request bodies may take the process's memory limit divided by this; buffered response bodies
+/// may take as much again.
 const BODY_MEMORY_DIVISOR: usize = 4;
-/// Part of the repeat ratio that is used: a repeat may be counted in another window than its
-/// request.
+/// Fraction of the configured retry ratio that is used: a retry may be counted in another window
+/// than its request.
 const RETRY_RATIO_FACTOR: f64 = 0.9;
-/// Part of the slack of the repeat budget that the homes divide. The rest is for homes that
-/// changed within a window, each of which may have used its part.
+/// Fraction of the retry budget's slack that is divided among the homes. The rest covers homes
+/// that changed within a window, each of which may have used its share.
 const RETRY_SLACK_FACTOR: f64 = 0.7;
-/// Callers that keep an old address answer are served for this long after the signal to stop, in
-/// percent of the grace.
+/// How long callers that cache an old address response are served after the stop signal, in
+/// percent of the grace period.
 const SERVE_AFTER_STOP_PERCENT: u32 = 55;
-/// Kept back from the grace for the end of the process itself.
+/// Part of the grace period reserved for the exit of the process itself.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// Time to tell the others that this instance has stopped, within that margin.
+/// Time limit for announcing to the other instances that this one has stopped; part of
+/// [`GRACE_MARGIN`].
 const FINAL_ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval at which a stopping instance checks for requests in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running instance; dropped, it ends at once, as a kill would end it.
+/// A running instance. Dropping it stops it at once, as if the process were killed.
 #[derive(Debug)]
 pub struct Gateway {
     board: Arc<Blackboard>,
     links: Links,
     callers: HttpListener,
     tasks: JoinSet<()>,
+    /// Time between the stop signal and the forced end of the process.
     grace: Duration,
     _readiness: HttpListener,
     _addresses: HttpListener,
@@ -120,8 +123,8 @@
     }
 }
 
-/// What all homes together may repeat. Instances that are none get next to no requests, and the
-/// unused part of the slack covers those.
+/// The retry allowance that all homes share. Instances that are not homes get next to no requests,
+/// and the unused part of the slack covers their retries.
 fn retry_allowance(gateway: &GatewaySettings) -> RetryAllowance {
     RetryAllowance {
         ratio: gateway.repeat_ratio * RETRY_RATIO_FACTOR,
@@ -130,19 +133,19 @@
     }
 }
 
-/// Homes while the members are not known yet.
+/// Number of homes assumed until the members are known.
 fn initial_home_count(gateway: &GatewaySettings) -> usize {
     gateway.homes_per_zone * gateway.zones.len()
 }
 
-/// What this instance knows of the store, for itself and for others that ask.
+/// Local mirrors of the store's contents, for this instance and for peers that request them.
 struct StoreMirrors<D> {
     config_age: Arc<MirrorAge>,
     config: Arc<Mirror<OperatorSink<D>>>,
     servers: Arc<Mirror<ServerSink<D>>>,
 }
 
-/// Starts what keeps the copies up to date.
+/// Creates the mirrors and starts the tasks that keep them up to date.
 fn spawn_followers<D: Dialect, S: EventStore>(
     tasks: &mut JoinSet<()>,
     dialect: &D,
@@ -181,11 +184,11 @@
 }
 
 impl Gateway {
-    /// Binds all listeners and starts the controllers. A port 0 in the settings is replaced by the
-    /// one that the system gave.
+    /// Binds all listeners and starts the background tasks. A port 0 in the settings is replaced by
+    /// the port that the system assigned.
     ///
     /// # Errors
-    /// `SettingsValue` without a `gateway` section; `ListenFailed` names the listener that cannot
+    /// `SettingsValue` without a `gateway` section; `ListenFailed`, with the listener that cannot
     /// be bound.
     pub async fn spawn<D: Dialect, S: EventStore>(
         mut settings: Settings,
@@ -217,7 +220,7 @@
             board: Arc::clone(&board),
         };
         if !gateway.first_start {
-            // At the first start of all there is nothing to read.
+            // At the first start of the fleet the store holds no quarantine records yet.
             tasks.spawn(quarantine_store.clone().load_when_first_home());
         }
         tasks.spawn(quarantine_store.run_writer());
@@ -301,8 +304,9 @@
         &self.board
     }
 
-    /// Stops as planned, within the grace: not ready and named in no new answer at once; serves
-    /// on for callers that keep an old answer; then closes connections as they become idle.
+    /// Shuts down gracefully within the grace period. At once it reports not ready and is left out
+    /// of new address responses; it serves on for callers that cache an older response, then
+    /// closes connections as they become idle.
     pub async fn stop(mut self) {
         self.board.set_phase(Phase::Leaving);
         self.board.record_event(EventKind::Stopping);
@@ -314,14 +318,15 @@
         let _ = tokio::time::timeout(serve_time, announce(&self.board, &self.links)).await;
         tokio::time::sleep_until(started + serve_time).await;
         let remaining = end.saturating_duration_since(tokio::time::Instant::now());
-        // Connections that are not closed by then end with the process.
+        // Connections that are still open after that are closed when the process exits.
         let _ = tokio::time::timeout(remaining, self.callers.stop()).await;
         while self.board.requests_in_flight() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         self.board.members.lock().set_own_state(MemberState::Left, None, now_ms());
         self.board.publish_members();
-        // Who misses this finds out by itself; the process must end within the grace.
+        // Peers that miss this announcement detect the stop by failed pings; the process must end
+        // within the grace period.
         let _ =
             tokio::time::timeout(FINAL_ANNOUNCE_TIMEOUT, announce(&self.board, &self.links)).await;
         self.board.set_phase(Phase::Stopped);
--- a/src/app/gateway_peer_service.rs
+++ b/src/app/gateway_peer_service.rs
@@ -1,4 +1,4 @@
-//! What an instance that serves by routes answers its peers.
+//! Handles the requests that peers send to a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,10 +29,10 @@
 use crate::route::Answer;
 use crate::route::AnswerBody;
 
-/// A peer that asks to be held longer is answered after this.
+/// Longest time that a long poll of a peer is held open, whatever the peer asks for.
 const LONG_POLL_MAX: Duration = Duration::from_secs(5);
 
-/// Serves the peer listener; clones share.
+/// The request handler of the peer listener; clones share their state.
 #[derive(Debug)]
 pub struct GatewayPeerService<D> {
     pub board: Arc<Blackboard>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Requests by routes are never passed between instances.
+    /// Gateways never forward callers' requests to each other, so this is refused.
     async fn handle_forward(&self, _: ForwardHead, _: Bytes) -> (ForwardReplyHead, AnswerBody) {
         let answer = Answer::not_run(Code::PeerFrame, 0);
         (answer.reply_head(0), answer.body)
--- a/src/app/graceful_stop.rs
+++ b/src/app/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop of an instance, which cuts off no request.
+//! Graceful shutdown of a daemon, without cutting off a request.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -20,13 +20,16 @@
 use crate::peer::split_rows;
 use crate::route::CallerListener;
 
+/// Time limit of one call that hands over a part of the outcomes.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Added to the time that callers may keep an answer, for answers on their way.
+/// Added to the time that callers may cache an address response, for responses in transit.
 const ADDRESS_KEEP_MARGIN_MS: u64 = 200;
 
-/// Stops in order: named in no new answer; served on until no caller holds an old answer any
-/// more; connections closed once idle; passed work done; outcomes handed over; gone.
+/// Shuts down in this order: announce that the instance leaves, so that no new address response
+/// names it; serve until every older response has expired; close connections as they become idle;
+/// finish the requests in flight, those forwarded by peers included; hand over the outcomes;
+/// announce that it has left.
 pub async fn stop_gracefully(board: &Blackboard, links: &Links, listener: CallerListener) {
     board.set_phase(Phase::Leaving);
     board.record_event(EventKind::Stopping);
@@ -46,9 +49,11 @@
     board.set_phase(Phase::Stopped);
 }
 
-/// Gives the record of outcomes to one other instance, which answers for our keys from then on.
+/// Hands the outcome table over to one other instance, which becomes the owner of this instance's
+/// idempotency keys.
 ///
-/// Only one is ever tried after a row may have arrived: two successors could each run a key.
+/// A failed handover is not tried with another instance: rows may have arrived at the first, and
+/// two successors could each run the request of a key.
 async fn hand_over_outcomes(board: &Blackboard, links: &Links) -> Option<u64> {
     let view = board.members_view();
     let own_zone = &board.settings.instance.zone;
@@ -71,10 +76,11 @@
     Some(successor.incarnation)
 }
 
-/// Sends a record in parts; the last, empty part tells that all rows were sent.
+/// Sends a snapshot in parts; a final, empty part marks the end.
 async fn send_snapshot(links: &Links, to: SocketAddr, record: &OwnerSnapshot) -> bool {
     let closed_ms = now_ms();
-    // A row whose answer fits no message goes without it: what counts is that the key ran.
+    // A row whose response is too large for a message is sent without it: that the key ran must
+    // not be lost.
     let rows: Vec<HandoverRow> =
         record.rows.iter().map(HandoverRow::without_oversized_answer).collect();
     let parts = split_rows(&rows).into_iter().map(|rows| (rows, false));
--- a/src/app/mod.rs
+++ b/src/app/mod.rs
@@ -1,4 +1,5 @@
-//! The daemon: its tasks, its answers to peers, and its planned stop.
+//! The two kinds of instance, [`Daemon`] and [`Gateway`]: their tasks, peer request handlers and
+//! graceful shutdown.
 
 mod daemon;
 mod daemon_peer_service;
--- a/src/bin/sorrelwick.rs
+++ b/src/bin/sorrelwick.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line tool.
+//! The command-line tool for operators.
 
 use std::process::ExitCode;
 
--- a/src/cli/json_line_writer.rs
+++ b/src/cli/json_line_writer.rs
@@ -1,4 +1,4 @@
-//! Structured log lines on standard output that never block the process.
+//! Writes structured log lines to standard output without ever blocking the process.
 
 use std::io::Write;
 use std::sync::atomic::AtomicU64;
@@ -18,33 +18,37 @@
 use rustix::event::poll;
 use serde_json::Map;
 
-/// A pipe takes a write of up to this whole or not at all, so a line that is written when the
-/// pipe has room does not block.
+/// A write of up to this size (`PIPE_BUF`) to a pipe is atomic, so a line written while the pipe is
+/// writable does not block.
 const LINE_MAX_BYTES: usize = 4_096;
-/// Lines a second that are written at most; a request makes some three. Ten times what an
-/// instance writes on a busy day, so that only a storm is cut.
+/// Lines written per second at most. A request logs about three; this is ten times what an instance
+/// writes on a busy day, so that lines are dropped only in a log storm.
 const LINES_PER_S_MAX: u64 = 1_000;
+/// Length of the window of the rate limit.
 const SECOND_MS: u64 = 1_000;
-/// Fractions of numbers that are written.
+/// Numbers are rounded to multiples of 1 / this, to three decimals.
 const DECIMAL_SCALE: f64 = 1_000.0;
-/// Longest text of a field in a line that would be too long otherwise.
+/// Characters that are kept of each text field if the line would be too long.
 const SHORTENED_TEXT_CHARS: usize = 200;
 
-/// Writes each record as one line of JSON, or drops and counts it.
+/// Writes each record as one line of JSON, or drops and counts it if the line would block or exceed
+/// the rate limit.
 #[derive(Debug)]
 pub struct JsonLineWriter {
     instance: String,
     second: Mutex<RateWindow>,
+    /// Lines dropped since the last one that was written.
     dropped: AtomicU64,
 }
 
-/// Lines of the current second.
+/// Number of lines in the current one-second window.
 #[derive(Debug, Default)]
 struct RateWindow {
     started_ms: u64,
     lines: u64,
 }
 
+/// Collects the key-value pairs of a record as JSON fields.
 struct Fields<'a>(&'a mut Map<String, serde_json::Value>);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -52,7 +56,7 @@
         let json = if let Some(number) = value.to_u64() {
             number.into()
         } else if let Some(number) = value.to_f64() {
-            // More digits are noise.
+            // More decimals are noise.
             ((number * DECIMAL_SCALE).round() / DECIMAL_SCALE).into()
         } else if let Some(flag) = value.to_bool() {
             flag.into()
@@ -65,7 +69,7 @@
 }
 
 impl JsonLineWriter {
-    /// Lines that name `instance` as their writer.
+    /// Creates a writer whose lines carry `instance` as their source.
     #[must_use]
     pub fn new(instance: &str) -> Self {
         Self { instance: instance.into(), second: Mutex::default(), dropped: AtomicU64::new(0) }
@@ -82,7 +86,7 @@
     }
 }
 
-/// Whether standard output takes a line without blocking.
+/// Whether a line can be written to standard output without blocking.
 fn stdout_is_writable() -> bool {
     let stdout = rustix::stdio::stdout();
     let mut wanted = [PollFd::new(&stdout, PollFlags::OUT)];
@@ -103,7 +107,7 @@
     if dropped > 0 {
         fields.insert("lines_dropped_before".into(), dropped.into());
     }
-    // A value that cannot be written leaves its field out; the line still tells the rest.
+    // A value that cannot be converted stops the visit; the line keeps the fields before it.
     let _ = record.key_values().visit(&mut Fields(&mut fields));
     let mut line = serde_json::to_vec(&fields).unwrap_or_default();
     if line.len() >= LINE_MAX_BYTES {
@@ -114,7 +118,7 @@
     line
 }
 
-/// Cuts long texts. The line stays a line of JSON, which a cut through its end would not.
+/// Truncates long text fields. Truncating the line itself would leave invalid JSON.
 fn truncate_texts(fields: &mut Map<String, serde_json::Value>) {
     for value in fields.values_mut() {
         if let serde_json::Value::String(text) = value {
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -1,4 +1,4 @@
-//! Starts the log.
+//! Sets up logging.
 
 use flexi_logger::FlexiLoggerError;
 use flexi_logger::LogSpecification;
@@ -9,21 +9,22 @@
 use crate::conf::LogFormat;
 use crate::conf::Settings;
 
-/// What is logged at a level. The libraries' own state changes are of no use to operators.
+/// The log specification for a level. Libraries log only warnings and errors: their state changes
+/// are of no use to operators.
 ///
 /// # Errors
-/// When the level cannot be read.
+/// If the level is invalid.
 pub fn log_spec(level: &str) -> Result<LogSpecification, FlexiLoggerError> {
     LogSpecification::parse(format!(
         "{level}, h2=warn, hyper=warn, tonic=warn, salvo=warn, opentelemetry=warn"
     ))
 }
 
-/// Starts logging: structured lines on standard output, or lines for people on standard error.
-/// The level may be changed by the returned handle.
+/// Starts logging: JSON lines on standard output, or human-readable lines on standard error.
+/// The returned handle can change the level.
 ///
 /// # Errors
-/// When the level cannot be read or another logger is in place.
+/// If the level is invalid or another logger is already set.
 pub fn start_logging(settings: &Settings) -> Result<LoggerHandle, FlexiLoggerError> {
     let logger = Logger::with(log_spec(&settings.log.level)?);
     let logger = match settings.log.format {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command lines of both programs, and what their mains call.
+//! The command lines and entry points of both programs.
 
 mod daemon_args;
 mod json_line_writer;
--- a/src/cli/run_daemon.rs
+++ b/src/cli/run_daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon's life from command line to exit code.
+//! The entry points of the daemon and the gateway, from command line to exit code.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -25,14 +25,14 @@
 use crate::gateway::Dialect;
 use crate::store::EventStore;
 
-/// Exit code for settings that are refused.
+/// Exit code for missing or invalid settings.
 const EXIT_SETTINGS: u8 = 2;
-/// How often the settings file is looked at, as it may change without a signal.
+/// Interval of checks whether the settings file has changed, for changes without a SIGHUP.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A running instance that can be stopped as planned.
+/// A running instance that can be shut down gracefully.
 trait StoppableInstance {
-    /// Returns when nothing is in flight any more.
+    /// Shuts down; returns once no request is in flight.
     fn stop(self) -> impl Future<Output = ()>;
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What the command line asked for.
+/// The settings and the logger of the instance to start.
 struct Startup {
     settings: Settings,
     path: PathBuf,
@@ -67,8 +67,9 @@
     ExitCode::FAILURE
 }
 
-/// Reads command line and settings and starts the log; an exit code where that is all to do.
-/// Without `--settings`, the environment variable `variable` names the file.
+/// Reads command line and settings and starts logging. Without `--settings`, the environment
+/// variable `variable` names the settings file. Returns an exit code as the error if the process
+/// should end here, after a failure or for `--check` and `--print-defaults`.
 fn load_startup(variable: Option<&str>) -> Result<Startup, ExitCode> {
     let args = DaemonArgs::parse();
     if args.print_defaults {
@@ -89,7 +90,7 @@
     Ok(Startup { settings, path, logger })
 }
 
-/// Runs the daemon until it is stopped by a signal.
+/// Runs a daemon until a signal stops it.
 #[must_use]
 pub fn run_daemon() -> ExitCode {
     let start = match load_startup(None) {
@@ -105,10 +106,10 @@
     }
 }
 
-/// Runs an instance on a platform until it is stopped by a signal. The environment variable
-/// `variable` names the settings file; `open_store` opens the platform's store.
+/// Runs a gateway until a signal stops it. The environment variable `variable` names the settings
+/// file; `open_store` opens the platform's store.
 ///
-/// One thread serves all: an instance has a fraction of a core.
+/// It runs on a single thread, since an instance has only a fraction of a core.
 #[must_use]
 pub fn run_gateway<D: Dialect, S: EventStore>(
     dialect: D,
@@ -150,7 +151,7 @@
         signal(SignalKind::hangup()),
     );
     let (Ok(mut terminate), Ok(mut interrupt), Ok(mut hangup)) = signals else {
-        error!("signal handlers cannot be set");
+        error!("signal handlers could not be installed");
         return ExitCode::FAILURE;
     };
     let mut modified = modified_at(path);
@@ -168,7 +169,7 @@
             }
         }
     }
-    // Further signals are received and ignored: a second one must not cut off requests.
+    // The handlers stay installed, so that a second signal is ignored and cuts off no requests.
     instance.stop().await;
     info!(event = "stopped"; "stopped");
     ExitCode::SUCCESS
@@ -178,8 +179,8 @@
     std::fs::metadata(path).and_then(|meta| meta.modified()).ok()
 }
 
-/// Takes over what can change while running: the log level. Everything else needs a restart,
-/// since peers and callers hold what was told at the start.
+/// Applies the only setting that can change while running, the log level. The others need a
+/// restart: peers and callers rely on what the instance advertised at its start.
 fn reload(path: &Path, logger: &LoggerHandle) {
     match load_settings(path) {
         Ok(settings) => match log_spec(&settings.log.level) {
@@ -190,8 +191,8 @@
                     "other settings than the log level need a restart"
                 );
             }
-            Err(err) => error!("log level: {err}"),
+            Err(err) => error!("log level not changed: {err}"),
         },
-        Err(faults) => faults.iter().for_each(|fault| error!("settings not taken over: {fault}")),
+        Err(faults) => faults.iter().for_each(|fault| error!("settings not reloaded: {fault}")),
     }
 }
--- a/src/cli/run_tool.rs
+++ b/src/cli/run_tool.rs
@@ -1,4 +1,4 @@
-//! The tool's life from command line to exit code.
+//! The entry point of the operators' tool, from command line to exit code.
 
 use std::process::ExitCode;
 
@@ -13,9 +13,11 @@
 use crate::errors::Code;
 use crate::errors::CodedError;
 
-/// Exit codes: another operator was first; the outcome is not known; all other errors.
+/// Exit code for a change that conflicts with another operator's.
 const EXIT_CONFLICT: u8 = 3;
+/// Exit code for a change that may or may not have been committed.
 const EXIT_UNKNOWN: u8 = 4;
+/// Exit code for all other errors.
 const EXIT_ERROR: u8 = 1;
 
 const fn exit_code(code: Code) -> u8 {
@@ -26,7 +28,7 @@
     }
 }
 
-/// Runs the tool once.
+/// Runs the command on the command line.
 #[must_use]
 pub fn run_tool() -> ExitCode {
     let args = ToolArgs::parse();
@@ -50,7 +52,7 @@
     print_result(done)
 }
 
-/// Prints what a command came to.
+/// Prints the result of a command.
 fn print_result(done: Result<String, CodedError>) -> ExitCode {
     match done {
         Ok(text) => {
@@ -86,7 +88,7 @@
         }
         ToolCommand::Status => command::status(&mut client, &args.token, json).await,
         ToolCommand::Timeline => command::timeline(&mut client, &args.token, json).await,
-        // Those that need no instance have been carried out before.
+        // Commands that need no instance are handled in `run_tool`.
         ToolCommand::Explain { .. } | ToolCommand::Completions { .. } => Ok(String::new()),
     }
 }
--- a/src/cli/tool_args.rs
+++ b/src/cli/tool_args.rs
@@ -1,4 +1,4 @@
-//! The operators' tool's command line.
+//! The command line of the operators' tool.
 
 use std::path::PathBuf;
 
@@ -29,17 +29,17 @@
     pub command: ToolCommand,
 }
 
-/// What the tool does.
+/// The commands of the tool.
 #[derive(Clone, Debug, Subcommand)]
 pub enum ToolCommand {
     /// Create, read and delete services.
     #[command(subcommand)]
     Service(ServiceCommand),
-    /// Let a backend server finish its work and give it no more.
+    /// Send a backend server no new requests and let it finish those in flight.
     Drain { service: String, backend_server: String },
-    /// Give a drained backend server work again.
+    /// Send requests to a drained backend server again.
     Undrain { service: String, backend_server: String },
-    /// Set how many calls a second may be made only to measure.
+    /// Set how many probes per second all instances together may send.
     Budget { service: String, per_s: u32 },
     /// Show what `apply` would change.
     Plan {
@@ -57,11 +57,11 @@
         #[arg(long)]
         prune: bool,
     },
-    /// Instances, and the revisions in force on each.
+    /// Show all instances and the service revisions in force on each.
     Status,
-    /// Events of all instances in one order.
+    /// Show the events of all instances in order of time.
     Timeline,
-    /// Tell the way of one request, from the logs of the instances.
+    /// Show the path of one request, from the logs of the instances.
     Explain {
         /// The request's id.
         id: String,
@@ -73,7 +73,7 @@
     Completions { shell: Shell },
 }
 
-/// Calls on one service.
+/// The commands on services.
 #[derive(Clone, Debug, Subcommand)]
 pub enum ServiceCommand {
     /// Create a service from a declaration file.
--- a/src/clock/mod.rs
+++ b/src/clock/mod.rs
@@ -1,4 +1,4 @@
-//! Monotonic time for decisions and a hybrid logical clock for the time line.
+//! Monotonic time for decisions and a hybrid logical clock for the event timeline.
 
 mod boot;
 mod hybrid;
--- a/src/clock/mono.rs
+++ b/src/clock/mono.rs
@@ -4,12 +4,14 @@
 
 use tokio::time::Instant;
 
-/// Keeps differences such as `now - window` from going below zero soon after the start.
+/// Value of the clock at its start, in microseconds. It keeps `now - window` above zero soon after
+/// the start.
 const OFFSET_US: u64 = 1_000_000_000;
 
 static START: OnceLock<Instant> = OnceLock::new();
 
-/// Microseconds on a clock that never goes back; it goes on while the process is stopped.
+/// Microseconds on a clock that never goes back; it runs on while the process is stopped by a
+/// signal.
 #[must_use]
 pub fn now_us() -> u64 {
     let start = *START.get_or_init(Instant::now);
--- a/src/command/changes.rs
+++ b/src/command/changes.rs
@@ -1,4 +1,4 @@
-//! What differs between declarations and what is in force; no I/O.
+//! Computes the differences between declared and current services, without I/O.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +13,16 @@
     pub service: String,
     /// `create`, `update` or `delete`.
     pub action: &'static str,
-    /// The revision that the change is made on; 0 for a new service.
+    /// The current revision that the change applies to; 0 for a new service.
     pub expected_revision: u64,
     /// Lines such as `~ timeout_ms: 100 -> 200`.
     pub lines: Vec<String>,
-    /// What to commit; `None` for a deletion.
+    /// The service to commit; `None` for a deletion.
     #[serde(skip)]
     pub declared: Option<Service>,
 }
 
+/// Adds the leaf values of `value` to `rows`, keyed by their paths.
 fn flatten(prefix: &str, value: &Value, rows: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(fields) => {
@@ -71,7 +72,8 @@
     lines
 }
 
-/// The changes that lead from `current` (with revisions) to `declared`.
+/// The changes that turn `current`, services with their revisions, into `declared`. With `prune`,
+/// services that are not declared are deleted.
 #[must_use]
 pub fn changes_between(
     current: &[(u64, Service)],
--- a/src/command/declaration.rs
+++ b/src/command/declaration.rs
@@ -1,4 +1,4 @@
-//! Declarations of services in files.
+//! Reads service declarations from files.
 
 use std::path::Path;
 
@@ -7,13 +7,14 @@
 use crate::model::Service;
 use crate::model::check_service;
 
+/// Size limit of a declaration file.
 const SIZE_MAX_BYTES: u64 = 4 << 20;
 
 fn invalid(path: &Path, why: impl std::fmt::Display) -> CodedError {
     CodedError::new(Code::DeclarationInvalid, format!("{}: {why}", path.display()))
 }
 
-/// Reads and checks one declaration.
+/// Reads and validates one declaration.
 ///
 /// # Errors
 /// `DeclarationInvalid` with file and line, or `ServiceInvalid` with file and field.
@@ -32,10 +33,10 @@
     Ok(service)
 }
 
-/// Reads all declarations of a directory, in the order of their names.
+/// Reads all declarations of a directory, ordered by file name.
 ///
 /// # Errors
-/// The first faulty file, or a service that two files declare.
+/// The error of the first invalid file, or a service that two files declare.
 pub fn read_directory(directory: &Path) -> Result<Vec<Service>, CodedError> {
     let listed = std::fs::read_dir(directory).map_err(|err| invalid(directory, err))?;
     let mut files = Vec::new();
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! The way of one request, from the logs of all instances.
+//! Reconstructs the path of one request from the logs of all instances.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,29 +12,30 @@
 use crate::errors::CodedError;
 use crate::errors::TABLE;
 
-/// Lines of other requests with the same content that are told.
+/// Number of lines about the same content from other requests that are shown.
 const CONTENT_LINES_MAX: usize = 8;
-/// Lines of one server that are told before and after the request.
+/// Number of lines about a server around the time of a send that are shown.
 const SERVER_LINES_MAX: usize = 3;
 
-/// What the logs tell beside the lines of the request itself.
+/// Log lines that are not about the request itself but may explain it.
 #[derive(Debug, Default)]
 struct Context {
-    /// Lines on each server's place in the platform's list.
+    /// Lines on the listing and unlisting of each server.
     servers: BTreeMap<String, Vec<LogLine>>,
-    /// Lines on many changes of that list at once.
+    /// Lines that sum up many such changes at once.
     bulk_changes: Vec<LogLine>,
-    /// Lines on evacuations and their ends, in the order of the logs.
+    /// Lines on evacuations and readmissions of zones, in log order.
     zones: Vec<LogLine>,
-    /// When each version came in force on each instance.
+    /// When each configuration version took effect on each instance.
     versions: BTreeMap<(String, u64), String>,
-    /// Lines on each fingerprint under which servers gave no answer.
+    /// Lines on each content fingerprint of requests to which servers gave no response.
     content_lines: BTreeMap<String, Vec<LogLine>>,
-    /// Lines that an instance dropped, with the time of the next line it wrote.
+    /// Lines that report how many lines the instance dropped before them.
     dropped: Vec<LogLine>,
 }
 
 impl Context {
+    /// Adds a line if it is of a kind that may explain the request.
     fn add_line(&mut self, line: LogLine) {
         if line.number("lines_dropped_before").is_some() {
             self.dropped.push(line.clone());
@@ -59,7 +60,7 @@
         }
     }
 
-    /// What one instance believed of a server last before `time`, and first after it.
+    /// What one instance last logged about a server up to `time`, and the next lines after it.
     fn server_lines_around(&self, server: &str, instance: &str, time: &str) -> Vec<&LogLine> {
         let lines = self.servers.get(server).map_or(&[][..], Vec::as_slice);
         let lines = lines.iter().chain(&self.bulk_changes);
@@ -72,7 +73,7 @@
 }
 
 impl Context {
-    /// The zones that an instance passed over at a time, by name, and since when.
+    /// The zones that were evacuated on an instance at `time`, with the time since when.
     fn evacuated_zones(&self, instance: &str, time: &str) -> BTreeMap<String, &str> {
         let before = |line: &&LogLine| line.instance == instance && line.time.as_str() <= time;
         let mut own: Vec<&LogLine> = self.zones.iter().filter(before).collect();
@@ -89,15 +90,16 @@
     }
 }
 
-/// Tells the way of the request `id`, in the order of time over all instances.
+/// Describes the path of the request `id` through all instances, in order of time.
 ///
 /// # Errors
-/// `RequestNotLogged` when no line bears the id; `LogUnreadable` names a file.
+/// `RequestNotLogged` if no line has the id; `LogUnreadable`, with the file.
 pub fn explain(id: &str, files: &[PathBuf], as_json: bool) -> Result<String, CodedError> {
     let mut context = Context::default();
     let mut own = Vec::new();
     let read = read_log_lines(files, |line| {
-        // A look for its server ends after the request, and is no line of its own.
+        // The check of its server after a failed send ends after the request; its lines name the
+        // request in another field than `id`.
         if line.text("id") == id || line.text("request") == id {
             own.push(line);
         } else {
@@ -146,7 +148,7 @@
         if let Some(since) = in_force_since(entry, context) {
             line(&["    version ", &entry.text("version"), " in force here since ", since]);
         }
-        // A denial has the code of the answer that follows it.
+        // A denial has the same code as the response line that follows it.
         let failure_meaning = meaning(entry).filter(|_| entry.event != "request-denied");
         if let Some((meaning, remedy)) = failure_meaning {
             line(&["    ", meaning, " ", remedy]);
@@ -161,7 +163,7 @@
     text
 }
 
-/// The first lines on the content of the request, from all instances.
+/// The first lines about the request's content, from all instances.
 fn same_content_lines<'a>(own: &[LogLine], context: &'a Context) -> Vec<&'a LogLine> {
     let names = |line: &LogLine| ["exact", "by_caller", "content"].map(|name| line.text(name));
     let names: BTreeSet<String> = own.iter().flat_map(names).collect();
@@ -172,7 +174,7 @@
     known
 }
 
-/// What a line says, in words.
+/// Describes a log line in words.
 fn describe(line: &LogLine) -> String {
     let text = |name: &str| line.text(name);
     match line.event.as_str() {
@@ -226,7 +228,7 @@
     }
 }
 
-/// The servers that bear only some requests, if any did.
+/// Describes how many servers are rate-limited or in cooldown, if any.
 fn describe_restricted_servers(line: &LogLine) -> String {
     let count = |name: &str| line.number(name).filter(|count| *count > 0);
     let limited = count("in_need").map(|count| format!(", {count} servers name limits"));
@@ -234,15 +236,18 @@
     limited.into_iter().chain(resting).collect()
 }
 
+/// Describes the rate limit that a send was subject to, if any.
 fn describe_limit(line: &LogLine) -> String {
     let limit_per_s = line.text("limit_per_s");
     if limit_per_s.is_empty() { limit_per_s } else { format!(", limited to {limit_per_s}/s") }
 }
 
+/// Describes for how long the instance had known the server's speed at a send.
 fn describe_estimate_age(line: &LogLine) -> String {
     line.number("pace_age_us").map_or_else(|| "no time".into(), |age_us| format!("{age_us} us"))
 }
 
+/// Describes a line about the list of servers in words.
 fn describe_server(line: &LogLine) -> String {
     if line.event == "server-unlisted" {
         return format!("server {} unlisted", line.text("server"));
@@ -259,19 +264,20 @@
     format!("server {} listed at {}{draining}{warmup}", line.text("server"), line.text("address"))
 }
 
+/// When the configuration version that a line names took effect on its instance.
 fn in_force_since<'a>(line: &LogLine, context: &'a Context) -> Option<&'a str> {
     let key = (line.instance.clone(), line.number("version")?);
     context.versions.get(&key).map(String::as_str)
 }
 
-/// Meaning and remedy of the code of a final answer that is a failure.
+/// Meaning and remedy of a line's result code, if that is a failure.
 fn meaning(line: &LogLine) -> Option<(&'static str, &'static str)> {
     let number = line.number("code").filter(|number| *number != 0)?;
     let known = TABLE.iter().find(|(code, ..)| u64::from(code.number()) == number);
     known.map(|(_, meaning, remedy)| (*meaning, *remedy))
 }
 
-/// A word for each instance on the request's way that dropped lines at that time.
+/// A note for each gap in the logs of the instances that handled the request.
 fn describe_dropped_lines(own: &[LogLine], context: &Context) -> Vec<String> {
     let instances: BTreeSet<&str> = own.iter().map(|line| line.instance.as_str()).collect();
     let dropped = own.iter().chain(&context.dropped).filter_map(|line| {
--- a/src/command/fleet.rs
+++ b/src/command/fleet.rs
@@ -7,10 +7,12 @@
 use crate::errors::CodedError;
 use crate::r#gen as wire;
 
+/// Low bits of an event's stamp that hold a counter; the upper bits are Unix milliseconds.
 const STAMP_COUNTER_BITS: u32 = 16;
+/// Member states in which an instance is queried.
 const QUERIED_STATES: [&str; 3] = ["alive", "suspect", "leaving"];
 
-/// What one instance told, or why it did not.
+/// The reply of one instance, or the error of the call.
 struct InstanceReply<T> {
     name: String,
     zone: String,
@@ -18,7 +20,7 @@
     reply: Result<T, CodedError>,
 }
 
-/// The instances that the first one knows, each with a connection to its own listener.
+/// The instances that the first one knows, each with a client for its own listener.
 async fn connect_all(
     client: &mut ToolClient,
     token: &str,
@@ -37,6 +39,7 @@
     QUERIED_STATES.contains(&told.state.as_str())
 }
 
+/// The revision in force of each service that is not deleted, by service name.
 fn active_revisions(status: &wire::StatusResponse) -> BTreeMap<&str, u64> {
     let live = status.revisions.iter().filter(|row| !row.deleted);
     live.map(|row| (row.service.as_str(), row.revision)).collect()
@@ -84,10 +87,10 @@
     text
 }
 
-/// Instances, zones, and the revisions in force on each, asked of each instance itself.
+/// Shows all instances with their zones and active revisions, as reported by each instance itself.
 ///
 /// # Errors
-/// What the first instance told; an instance that does not answer is shown as such.
+/// The error of the first instance; the errors of others are shown in their rows.
 pub async fn status(
     client: &mut ToolClient,
     token: &str,
@@ -112,10 +115,11 @@
     format!("{hour:02}:{minute:02}:{second:02}.{ms:03} {instance:<16} {kind:<16} {detail}\n")
 }
 
-/// The events of all instances, in the order of their hybrid clocks (times are UTC).
+/// Shows the events of all instances, ordered by hybrid logical clock (times are UTC).
 ///
 /// # Errors
-/// What the first instance told; an instance that does not answer is left out and named.
+/// The error of the first instance; an instance whose call fails is left out and named on standard
+/// error.
 pub async fn timeline(
     client: &mut ToolClient,
     token: &str,
--- a/src/command/log_lines.rs
+++ b/src/command/log_lines.rs
@@ -1,4 +1,4 @@
-//! Structured log lines of instances, as they are read back.
+//! Reads the structured log lines of instances.
 
 use std::fs::File;
 use std::io::BufRead;
@@ -12,13 +12,13 @@
 use crate::errors::Code;
 use crate::errors::CodedError;
 
-/// The name that stands for standard input among the files.
+/// The file name that stands for standard input.
 const STDIN: &str = "-";
 
 /// One line of an instance's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// As written, RFC 3339 in UTC: sorts by time as text.
+    /// RFC 3339 in UTC, as logged; its text order is the order of time.
     pub time: String,
     pub instance: String,
     pub event: String,
@@ -26,8 +26,8 @@
 }
 
 impl LogLine {
-    /// Reads a line; what stands before the JSON object, as collectors of logs put it there, names
-    /// the instance where the line itself does not.
+    /// Parses a line. A log collector may put a prefix before the JSON object; its last word is the
+    /// instance if the line itself names none.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
@@ -43,7 +43,7 @@
         })
     }
 
-    /// A field as people read it; empty where it is missing.
+    /// A field as text; empty if missing.
     #[must_use]
     pub fn text(&self, name: &str) -> String {
         match self.fields.get(name) {
@@ -53,24 +53,24 @@
         }
     }
 
-    /// A whole number.
+    /// A field as an unsigned integer, if it is one.
     #[must_use]
     pub fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 
-    /// Whether a flag is set.
+    /// Whether a boolean field is true.
     #[must_use]
     pub fn flag(&self, name: &str) -> bool {
         self.fields.get(name).and_then(Value::as_bool).unwrap_or(false)
     }
 }
 
-/// Reads all log lines of the files, `-` for standard input, and hands them to `take`. Lines that
-/// are none, as others write them, are passed over; tells how many were read.
+/// Reads all log lines of the files, `-` for standard input, and passes them to `take`. Lines of
+/// other programs are skipped. Returns the number of log lines read.
 ///
 /// # Errors
-/// `LogUnreadable` names the file.
+/// `LogUnreadable`, with the file.
 pub fn read_log_lines(files: &[PathBuf], mut take: impl FnMut(LogLine)) -> Result<u64, CodedError> {
     let mut read = 0;
     for path in files {
--- a/src/command/plan.rs
+++ b/src/command/plan.rs
@@ -1,4 +1,4 @@
-//! Declarations kept in version control: `plan` and `apply`.
+//! The commands `plan` and `apply` for declarations kept in version control.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -50,7 +50,7 @@
 /// Shows what `apply` would change.
 ///
 /// # Errors
-/// A faulty declaration, or what the instance told.
+/// An invalid declaration, or the error of the instance.
 pub async fn plan(
     client: &mut ToolClient,
     directory: &Path,
@@ -69,10 +69,11 @@
     Ok(committed.revision)
 }
 
-/// Commits every change; one that fails does not keep the others from being made.
+/// Commits every change; after one that fails, the others are still tried.
 ///
 /// # Errors
-/// The first failure, a conflict told apart from the rest, after all were tried.
+/// All failures in one error, after all changes were tried. Its code is that of the first failure
+/// that is not a conflict, or `Conflict` if all are.
 pub async fn apply(
     client: &mut ToolClient,
     directory: &Path,
@@ -80,7 +81,7 @@
     json: bool,
 ) -> Result<String, CodedError> {
     let changes = find_changes(client, directory, prune).await?;
-    // The changes are shown before the first is made, also when a later one fails.
+    // Printed before the first commit, so that the changes are shown even if one fails.
     print!("{}", render(&changes, json));
     let mut text = String::new();
     let mut failures: Vec<CodedError> = Vec::new();
--- a/src/command/service.rs
+++ b/src/command/service.rs
@@ -10,6 +10,7 @@
 use crate::operator::service_from_wire;
 use crate::operator::service_to_wire;
 
+/// The output after a committed change of the service `what`.
 fn committed(row: &wire::Versioned, what: &str, json: bool) -> String {
     if json {
         return format!("{}\n", serde_json::json!({ "service": what, "revision": row.revision }));
@@ -20,7 +21,7 @@
 /// Commits the declaration in `file`.
 ///
 /// # Errors
-/// A faulty declaration, or what the instance told.
+/// An invalid declaration, or the error of the instance.
 pub async fn put_file(
     client: &mut ToolClient,
     file: &Path,
@@ -35,7 +36,7 @@
 /// Prints one service as a declaration.
 ///
 /// # Errors
-/// what the instance told.
+/// The error of the instance.
 pub async fn get(client: &mut ToolClient, name: &str, json: bool) -> Result<String, CodedError> {
     let row = client.get(name).await?;
     let service = service_from_wire(row.service.unwrap_or_default())?;
@@ -46,10 +47,10 @@
     Ok(format!("// revision {}\n{text}\n", row.revision))
 }
 
-/// Lists the services.
+/// Lists all services with revision, number of backend servers and probe budget.
 ///
 /// # Errors
-/// what the instance told.
+/// The error of the instance.
 pub async fn list(client: &mut ToolClient, json: bool) -> Result<String, CodedError> {
     let rows = client.list().await?;
     let named = rows.iter().filter_map(|row| Some((row.revision, row.service.as_ref()?)));
@@ -79,7 +80,7 @@
 /// Deletes a service.
 ///
 /// # Errors
-/// what the instance told.
+/// The error of the instance.
 pub async fn delete(
     client: &mut ToolClient,
     name: &str,
@@ -90,10 +91,10 @@
     Ok(committed(&row, name, json))
 }
 
-/// Sets or lifts the drain mark of a backend server.
+/// Starts or ends the draining of a backend server.
 ///
 /// # Errors
-/// what the instance told.
+/// The error of the instance.
 pub async fn set_drain(
     client: &mut ToolClient,
     service: &str,
@@ -105,10 +106,10 @@
     Ok(committed(&row, service, json))
 }
 
-/// Sets the measuring budget of a service.
+/// Sets the probe budget of a service, in probes per second.
 ///
 /// # Errors
-/// what the instance told.
+/// The error of the instance.
 pub async fn set_budget(
     client: &mut ToolClient,
     service: &str,
--- a/src/command/tool_client.rs
+++ b/src/command/tool_client.rs
@@ -1,4 +1,4 @@
-//! The tool's end of the operators' listener.
+//! The client of the operators' gRPC service.
 
 use std::time::Duration;
 
@@ -16,19 +16,21 @@
 use crate::operator::TOKEN_METADATA_KEY;
 use crate::operator::code_from_status;
 
+/// Time limit for connecting to an instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// Times that a change whose commit is unknown is sent again, with the same change id.
+/// How often a change with an unknown outcome is sent in all, with the same change id.
 const COMMIT_ATTEMPTS_MAX: u32 = 3;
 
-/// A connection to one instance's operators' listener.
+/// A client of one instance's operators' listener.
 #[derive(Clone, Debug)]
 pub struct ToolClient {
     client: OperatorClient<Channel>,
     token: String,
 }
 
-/// The coded error in a status of an instance.
+/// Converts the gRPC status of a failed call to an error.
 fn error_from_status(status: &Status) -> CodedError {
     let code = code_from_status(status);
     let detail = status.message().trim_start_matches(&format!("{code}: ")).to_owned();
@@ -36,10 +38,10 @@
 }
 
 impl ToolClient {
-    /// Prepares a connection, which opens with the first call.
+    /// Creates a client, which connects at the first call.
     ///
     /// # Errors
-    /// `OperatorUnreachable` for an address that is none.
+    /// `OperatorUnreachable` if the address is invalid.
     pub fn open(client: &str, token: &str) -> Result<Self, CodedError> {
         let endpoint = Endpoint::from_shared(format!("http://{client}")).map_err(|err| {
             CodedError::new(Code::OperatorUnreachable, format!("{client}: {err}"))
@@ -58,10 +60,10 @@
         request
     }
 
-    /// Commits a service; while the outcome is unknown the same change is sent again.
+    /// Commits a service; while the outcome is unknown, the same change is sent again.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn put(
         &mut self,
         service: &wire::Service,
@@ -89,7 +91,7 @@
     /// Deletes a service.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn delete(
         &mut self,
         name: &str,
@@ -105,10 +107,10 @@
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
-    /// Sets or lifts a drain mark.
+    /// Starts or ends the draining of a backend server.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn set_drain(
         &mut self,
         service: &str,
@@ -125,10 +127,10 @@
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
-    /// Sets a measuring budget.
+    /// Sets a service's probe budget.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn set_budget(
         &mut self,
         service: &str,
@@ -143,10 +145,10 @@
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
-    /// One service.
+    /// Reads one service.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn get(&mut self, name: &str) -> Result<wire::Versioned, CodedError> {
         let request = self.request(wire::GetServiceRequest { name: name.into() });
         let reply =
@@ -154,10 +156,10 @@
         Ok(reply.into_inner().current.unwrap_or_default())
     }
 
-    /// All services.
+    /// Reads all services.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn list(&mut self) -> Result<Vec<wire::Versioned>, CodedError> {
         let request = self.request(wire::ListServicesRequest {});
         let reply =
@@ -165,20 +167,20 @@
         Ok(reply.into_inner().services)
     }
 
-    /// The instance's view of the fleet.
+    /// Reads the instance's view of the fleet.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn status(&mut self) -> Result<wire::StatusResponse, CodedError> {
         let request = self.request(wire::StatusRequest {});
         let reply = self.client.status(request).await.map_err(|err| error_from_status(&err))?;
         Ok(reply.into_inner())
     }
 
-    /// The events that the instance still holds.
+    /// Reads the events that the instance still keeps.
     ///
     /// # Errors
-    /// As the instance told it.
+    /// The error of the instance.
     pub async fn timeline(&mut self) -> Result<Vec<wire::Event>, CodedError> {
         let request = self.request(wire::TimelineRequest { after_stamp: 0 });
         let reply = self.client.timeline(request).await.map_err(|err| error_from_status(&err))?;
--- a/src/conf/check.rs
+++ b/src/conf/check.rs
@@ -1,4 +1,4 @@
-//! The ranges of settings.
+//! Validation of settings.
 
 use super::GatewaySettings;
 use super::OutcomeSettings;
@@ -7,31 +7,38 @@
 use super::RequestSettings;
 use super::Settings;
 
+/// Longest name of an instance or zone, in bytes.
 const NAME_LEN_MAX: usize = 100;
-/// Cores or Mbit/s of the largest machines that a setting may name.
+/// Upper limit of a machine's cores, CPU share and link speed in Mbit/s.
 const HARDWARE_VALUE_MAX: f64 = 1e6;
-/// Fewest characters of a shared secret or token.
+/// Minimum length of a shared secret or token, in bytes.
 const SECRET_LEN_MIN: usize = 16;
+/// Largest number of shards of a probe budget.
 const SHARDS_MAX: u32 = 10_000;
+/// Longest duration of most settings in milliseconds: one hour.
 const DURATION_MAX_MS: u64 = 3_600_000;
+/// Longest duration of a setting in seconds: one hour.
 const DURATION_MAX_S: f64 = 3_600.0;
-/// Below this there is no room for connections beside the program itself.
+/// Least memory limit: with less, there is no room for connections beside the program itself.
 const MEMORY_MIN_MB: f64 = 16.0;
 const MEMORY_MAX_MB: f64 = 1e6;
+/// The log levels.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// One setting outside its range.
+/// A setting with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Dotted path of the field.
     pub field: &'static str,
-    /// What is allowed.
+    /// The allowed values.
     pub allowed: String,
 }
 
+/// Collects the faults of all settings.
 struct Faults(Vec<Fault>);
 
 impl Faults {
+    /// Records a fault of `field` unless `holds`.
     fn require(&mut self, holds: bool, field: &'static str, allowed: impl Into<String>) {
         if !holds {
             self.0.push(Fault { field, allowed: allowed.into() });
@@ -149,7 +156,7 @@
     faults.require(token_is_sufficient, "operators.token", token_allowed);
 }
 
-/// Every setting outside its range.
+/// Returns a fault for every invalid setting.
 #[must_use]
 pub fn check_settings(settings: &Settings) -> Vec<Fault> {
     let mut faults = Faults(Vec::new());
--- a/src/conf/gateway_settings.rs
+++ b/src/conf/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance that serves requests by routes.
+//! The settings of a gateway, an instance that serves requests by routes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,69 +8,73 @@
 
 use crate::quota::QuotaTolerance;
 
-/// Requests by routes: where a platform calls, and the bounds it sets.
+/// Settings for serving requests by routes: the platform's endpoints and the limits that it sets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Where the platform asks whether this instance is ready.
+    /// Listening address for the platform's readiness checks.
     pub readiness: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// Listening address at which callers look up the addresses of instances.
     pub addresses: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
+    /// Time limit of a call to the store.
     #[serde(default = "store_call_timeout_default")]
     pub store_call_timeout_ms: u64,
-    /// Time between the signal to stop and the forced end.
+    /// Time between the stop signal and the forced end of the process.
     #[serde(default = "grace_default")]
     pub grace_s: f64,
-    /// A server that leaves takes work for so long after it was acknowledged.
+    /// How long a draining backend server still accepts requests after its notice was acknowledged.
     #[serde(default = "apply_default")]
     pub drain_ms: u64,
-    /// A configuration is in force everywhere within this.
+    /// Time within which a configuration must be applied by every instance.
     #[serde(default = "apply_default")]
     pub config_apply_ms: u64,
-    /// An availability zone's backend servers get nothing more within this of its evacuation.
+    /// Time within which no instance sends requests to an evacuated availability zone any more.
     #[serde(default = "evacuate_default")]
     pub evacuate_ms: u64,
-    /// For so long a key may be served after it was taken away, by whatever instance; not bounded
-    /// without.
+    /// Time for which any instance may still accept an API key after its revocation; unlimited if
+    /// absent.
     #[serde(default)]
     pub key_revocation_ms: Option<u64>,
-    /// Any span of this length counts for a workspace's quota.
+    /// Length of the sliding window in which a workspace's quota is checked.
     #[serde(default = "quota_window_default")]
     pub quota_window_s: f64,
-    /// By how much a workspace may send more than its quota, over all instances, as a factor and in
-    /// requests.
+    /// Part of a workspace's quota that it may exceed over all instances together; 0.1 is 10%.
     #[serde(default)]
     pub quota_overage: f64,
+    /// Requests that a workspace may send beyond that in a window.
     #[serde(default)]
     pub quota_slack: f64,
-    /// By how much a cold server may get more than its service's rate, as a factor and in requests.
+    /// Factor on the rate that its service allows for a server in warm-up.
     #[serde(default = "cold_overage_default")]
     pub cold_overage: f64,
+    /// Requests that a server in warm-up may get beyond that.
     #[serde(default)]
     pub cold_slack: f64,
-    /// Most time that callers keep an address answer.
+    /// Longest time that callers cache an address response.
     #[serde(default = "address_keep_default")]
     pub address_keep_max_s: f64,
-    /// Repeats allowed per request over all instances, in any window, and beyond that.
+    /// Retry budget: retries per request, over all instances together, in any window.
     #[serde(default = "repeat_ratio_default")]
     pub repeat_ratio: f64,
+    /// Length of the retry budget's window.
     #[serde(default = "repeat_window_default")]
     pub repeat_window_s: f64,
+    /// Retries allowed in a window beyond the ratio.
     #[serde(default)]
     pub repeat_slack: f64,
-    /// Health checks a second that a server may get from all instances together.
+    /// Health checks per second that a server may get from all instances together.
     #[serde(default = "probes_default")]
     pub probes_per_s_max: u32,
-    /// Memory that the process may use; a quarter of it is for the bodies of requests.
+    /// Memory that the process may use, in MB of 10^6 bytes; a quarter of it is for request bodies.
     pub memory_max_mb: f64,
     /// Availability zones that the instances run in.
     pub zones: Vec<String>,
-    /// Whether the whole fleet starts for the first time, before there are any callers.
+    /// Whether the whole fleet starts for the first time, before any callers exist.
     #[serde(default)]
     pub first_start: bool,
-    /// Instances of a zone that its callers are told of.
+    /// Number of homes per zone: the instances whose addresses the zone's callers get.
     #[serde(default = "homes_default")]
     pub homes_per_zone: usize,
 }
@@ -81,7 +85,7 @@
     500
 }
 
-/// Most operators leave a process so long to end.
+/// The time that most operators give a process to exit.
 const fn grace_default() -> f64 {
     5.0
 }
@@ -90,7 +94,7 @@
     2_000
 }
 
-/// Without a word of the operators, a cold server gets no more than its rate.
+/// By default, a server in warm-up gets no more than its rate.
 const fn cold_overage_default() -> f64 {
     1.0
 }
@@ -103,7 +107,7 @@
     1.0
 }
 
-/// Without a word of the operators, an outage may add a fifth to the load.
+/// By default, retries during an outage add at most a fifth to the load.
 const fn repeat_ratio_default() -> f64 {
     0.2
 }
@@ -121,25 +125,25 @@
 }
 
 impl GatewaySettings {
-    /// Time between the signal to stop and the forced end.
+    /// Time between the stop signal and the forced end of the process.
     #[must_use]
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// Most time that callers keep an address answer.
+    /// Longest time that callers cache an address response.
     #[must_use]
     pub fn address_keep_max(&self) -> Duration {
         Duration::from_secs_f64(self.address_keep_max_s)
     }
 
-    /// The window of the repeat budget.
+    /// Length of the retry budget's window.
     #[must_use]
     pub fn repeat_window(&self) -> Duration {
         Duration::from_secs_f64(self.repeat_window_s)
     }
 
-    /// What is tolerated beyond the quotas of workspaces.
+    /// How much workspaces may exceed their quotas.
     #[must_use]
     pub const fn quota_tolerance(&self) -> QuotaTolerance {
         QuotaTolerance {
@@ -149,19 +153,20 @@
         }
     }
 
-    /// Memory that the process may use.
+    /// Memory that the process may use, in bytes.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "checked settings, some gigabytes"
+        reason = "validated settings, at most 10^12 bytes"
     )]
     pub fn memory_max_bytes(&self) -> usize {
         (self.memory_max_mb * BYTES_PER_MB) as usize
     }
 }
 
-/// With one, a zone's slots are known exactly in one place; two served fewer in bursts.
+/// With one home, a single instance knows exactly which slots of a zone are free; two homes served
+/// fewer requests in bursts.
 const fn homes_default() -> usize {
     1
 }
--- a/src/conf/load.rs
+++ b/src/conf/load.rs
@@ -1,4 +1,4 @@
-//! Reading settings from a file.
+//! Loads settings from a file.
 
 use std::path::Path;
 
@@ -7,13 +7,13 @@
 use crate::errors::Code;
 use crate::errors::CodedError;
 
-/// The commented defaults, as `--print-defaults` prints them.
+/// The default settings with comments, printed by `--print-defaults`.
 pub const DEFAULTS: &str = include_str!("defaults.json5");
 
-/// Reads and checks the settings in `path`.
+/// Reads and validates the settings file at `path`.
 ///
 /// # Errors
-/// One entry for each fault, naming file, line and field.
+/// One entry for each fault, with file, line and field.
 pub fn load_settings(path: &Path) -> Result<Settings, Vec<CodedError>> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -21,10 +21,10 @@
     parse_settings(&name, &text)
 }
 
-/// Parses and checks settings; `name` stands for the file in errors.
+/// Parses and validates settings; `name` is the file name in errors.
 ///
 /// # Errors
-/// One entry for each fault, naming file, line and field.
+/// One entry for each fault, with file, line and field.
 pub fn parse_settings(name: &str, text: &str) -> Result<Settings, Vec<CodedError>> {
     let settings: Settings = json5::from_str(text).map_err(|err| vec![syntax(name, &err)])?;
     let faults = check_settings(&settings);
@@ -44,7 +44,8 @@
     CodedError::new(Code::SettingsSyntax, format!("{name}:{line}: {err}"))
 }
 
-/// The line of a dotted field: each part is looked for below the line of the part before it.
+/// Finds the line of a field by its dotted path: each part is searched below the line of the part
+/// before it.
 fn line_of(text: &str, field: &str) -> usize {
     let mut found = 0;
     for part in field.split('.') {
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Typed settings, their commented defaults and their checks.
+//! Typed settings, their defaults and their validation.
 
 mod check;
 mod gateway_settings;
--- a/src/conf/settings.rs
+++ b/src/conf/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one daemon.
+//! The settings of an instance.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use super::GatewaySettings;
 
-/// All settings; each section has defaults but `instance`.
+/// All settings; each section except `instance` has defaults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -16,7 +16,7 @@
     pub listen: ListenSettings,
     #[serde(default)]
     pub peers: PeerSettings,
-    /// Without it the daemon runs alone on an in-memory store.
+    /// If absent, the daemon uses an in-memory store and runs without other instances.
     #[serde(default)]
     pub platform: Option<PlatformSettings>,
     #[serde(default)]
@@ -29,33 +29,37 @@
     pub measuring: MeasuringSettings,
     #[serde(default)]
     pub log: LogSettings,
-    /// Only for an instance that serves requests by routes of a platform.
+    /// Required for a gateway, an instance that serves requests by a platform's routes.
     #[serde(default)]
     pub gateway: Option<GatewaySettings>,
 }
 
-/// Who this instance is, and what it runs on.
+/// The instance's name, zone and share of its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
     /// Shown to operators; need not be unique.
     pub name: String,
+    /// The availability zone that the instance runs in.
     pub zone: String,
-    /// Part of the processor's cores that the process may use.
+    /// Fraction of the machine's CPU that the process may use.
     #[serde(default = "cpu_share_default")]
     pub cpu_share: f64,
-    /// Speed of the processor, in usual cores.
+    /// CPU capacity of the machine, in cores of typical speed.
     #[serde(default = "cores_default")]
     pub cores: f64,
+    /// Speed of the network link in Mbit/s.
     #[serde(default = "link_default")]
     pub link_mbps: f64,
 }
 
-/// Requests a second that a usual core carries, at half of its time: some 0.5 ms each, measured on
-/// whole days, answers of 5 KB and the logs included.
+/// Requests per second that a typical core handles at 50% utilization: about 0.5 ms of CPU time per
+/// request, including responses of 5 KB and logging.
 const REQUESTS_PER_CORE: f64 = 1_000.0;
-/// Bytes of a request on one direction of the link, of which half is left for what is not even.
+/// Link capacity reserved per request in one direction, in bytes; half of it is headroom for uneven
+/// load.
 const LINK_BYTES_PER_REQUEST: f64 = 20_000.0;
+/// Bytes in a megabit.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
 const fn cpu_share_default() -> f64 {
@@ -71,12 +75,12 @@
 }
 
 impl InstanceSettings {
-    /// Requests a second that the processor and the link carry.
+    /// Requests per second that the CPU share and the link can handle.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "checked settings, some thousand requests"
+        reason = "validated settings; a float out of range saturates"
     )]
     pub fn capacity_per_s(&self) -> u32 {
         let by_processor = self.cpu_share * self.cores * REQUESTS_PER_CORE;
@@ -85,13 +89,17 @@
     }
 }
 
-/// The addresses it listens on; these are also the ones it tells others.
+/// The addresses that the instance listens on and advertises to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListenSettings {
+    /// For callers' requests.
     pub caller: SocketAddr,
+    /// For the operators' gRPC calls.
     pub operator: SocketAddr,
+    /// For the other instances.
     pub peer: SocketAddr,
+    /// For health, readiness and metrics.
     pub status: SocketAddr,
 }
 
@@ -102,19 +110,21 @@
     }
 }
 
-/// Membership and the links between instances.
+/// Membership and connections between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PeerSettings {
-    /// Known to all instances, at least 16 characters where there is a platform or a seed.
+    /// Secret shared by all instances; at least 16 bytes if a platform or seeds are set.
     pub secret: String,
-    /// Peer addresses to join by, beside the platform's instance list.
+    /// Peer addresses to join through, in addition to the platform's list of instances.
     pub seeds: Vec<SocketAddr>,
+    /// Time between two pings of the failure detector.
     pub ping_interval_ms: u64,
+    /// How long a ping waits for its reply.
     pub ping_timeout_ms: u64,
-    /// How long a suspect may answer before it counts as dead.
+    /// How long a suspected member may refute the suspicion before it is declared dead.
     pub suspect_timeout_ms: u64,
-    /// How often the platform's list is read for instances that are not known, once some are.
+    /// How often the platform's list is read for unknown instances once some peers are known.
     pub list_interval_ms: u64,
 }
 
@@ -136,15 +146,16 @@
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
     pub address: SocketAddr,
+    /// Time limit of a call to the store.
     #[serde(default = "call_timeout_default")]
     pub call_timeout_ms: u64,
-    /// How long one watch waits for a change.
+    /// How long one watch of the store waits for a change.
     #[serde(default = "watch_wait_default")]
     pub watch_wait_ms: u64,
-    /// Time to live of this instance's lease on its measuring shard.
+    /// Time to live of the lease on this instance's shard of the probe budgets.
     #[serde(default = "lease_ttl_default")]
     pub lease_ttl_ms: u64,
-    /// Instances in a zone that watch the store; the others learn from them.
+    /// Instances per zone that watch the store; the others get changes from them.
     #[serde(default = "watchers_default")]
     pub watchers_per_zone: usize,
 }
@@ -169,23 +180,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Asked of every operator's call; empty only on loopback.
+    /// Required in every operator's call; may be empty only on loopback.
     pub token: String,
 }
 
-/// Bounds on requests.
+/// Limits on callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestSettings {
+    /// Size limit of a request body.
     pub body_limit_bytes: usize,
-    /// Answers up to this size are held whole before they are passed on.
+    /// Responses up to this size are buffered completely before they are forwarded.
     pub answer_buffer_bytes: usize,
+    /// Longest deadline that a caller may set.
     pub timeout_max_ms: u64,
     /// Requests of one service that may wait for a slot on this instance.
     pub queue_max: usize,
-    /// How long a caller may keep the answer to "which address".
+    /// How long a caller may cache an address response.
     pub address_keep_ms: u64,
-    /// Connections from callers that are served at the same time.
+    /// Concurrent connections from callers.
     pub connections_max: usize,
 }
 
@@ -202,15 +215,17 @@
     }
 }
 
-/// The record of what keyed requests came to.
+/// The table of outcomes of requests with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OutcomeSettings {
+    /// Size limit of the table.
     pub rows_max: usize,
-    /// Bytes of answers kept for repeats, over all rows.
+    /// Total size of the responses stored for repeated requests, over all rows.
     pub answers_max_bytes: usize,
+    /// Length of an epoch, the unit in which the age of a key is counted.
     pub epoch_ms: u64,
-    /// Epochs after which a key is refused and its row may go.
+    /// Epochs after which a key is rejected and its row may be deleted.
     pub window_epochs: u64,
 }
 
@@ -220,13 +235,13 @@
     }
 }
 
-/// The division of measuring budgets.
+/// How the probe budgets are divided among instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MeasuringSettings {
-    /// Shards among which each budget is divided; at least the number of instances.
+    /// Number of shards that each budget is divided into; at least the number of instances.
     pub shards: u32,
-    /// How long a shard's share is granted to a home.
+    /// Duration of a grant of a shard's tokens to a home.
     pub grant_ms: u64,
 }
 
@@ -236,7 +251,7 @@
     }
 }
 
-/// How log lines look.
+/// Format of log lines: for people, or structured JSON.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
@@ -245,10 +260,11 @@
     Json,
 }
 
-/// What is logged, to standard error.
+/// Log level and format. Human-readable lines go to standard error, JSON lines to standard output.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
+    /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
     pub format: LogFormat,
 }
--- a/src/errors/coded_error.rs
+++ b/src/errors/coded_error.rs
@@ -1,18 +1,18 @@
-//! An error made of a code and what the reader needs to mend it.
+//! An error with a result code and a detail text.
 
 use super::Code;
 
-/// A numbered error with its detail, as operators see it.
+/// An error as operators see it: a result code and the details needed to fix the cause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CodedError {
-    /// The numbered kind of error.
+    /// The result code.
     pub code: Code,
-    /// What was wrong, and what is allowed.
+    /// What is wrong, and which values are allowed.
     pub detail: String,
 }
 
 impl CodedError {
-    /// Joins a code with its detail.
+    /// Creates an error from a code and its detail.
     pub fn new(code: Code, detail: impl Into<String>) -> Self {
         Self { code, detail: detail.into() }
     }
--- a/src/errors/mod.rs
+++ b/src/errors/mod.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes and the error type that carries them.
+//! Result codes and the error type that carries them.
 
 mod code;
 mod coded_error;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! A load balancer for backend servers whose load shifts in milliseconds.
+//! A load balancer for backend servers whose load changes within milliseconds.
 //!
 //! `sorrelwickd` is [`app::Daemon`] with a command line, `sorrelwick` the operators' tool.
-//! A request goes through [`route`], decided by the functions of [`decide`]; everything that
-//! instances share about themselves and their configuration goes through [`peer`], [`member`]
-//! and [`catalog`]; what must last is in the platform's [`store`].
+//! [`route`] handles the requests and picks backend servers with the functions of [`decide`].
+//! Instances share membership and configuration through [`peer`], [`member`] and [`catalog`];
+//! durable state is in the platform's [`store`].
 
 pub mod app;
 pub mod balance;
--- a/src/listener/http_listener.rs
+++ b/src/listener/http_listener.rs
@@ -1,4 +1,4 @@
-//! A listener for HTTP/1.1 that can be stopped without cutting off a request.
+//! An HTTP/1.1 listener with graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::IpAddr;
@@ -22,30 +22,31 @@
 
 use crate::task::TaskGuard;
 
-/// Pause after a failed accept: the process is out of descriptors, and some come free soon.
+/// Delay after a failed accept: the process is out of file descriptors, and some are released soon.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Answers requests; one value serves all connections.
+/// Handles the requests of all connections of a listener.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// The body of its answers.
+    /// The body of its responses.
     type Body: Body<Data: Send, Error: std::error::Error + Send + Sync> + Send + 'static;
 
-    /// Answers one request. Dropped when the caller leaves.
+    /// Handles one request. The future is dropped when the caller disconnects.
     fn handle(
         &self,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<Self::Body>> + Send;
 
-    /// What a connection that is opened now allows.
+    /// Limits for a connection that is accepted now.
     fn limits(&self) -> ConnLimits;
 }
 
-/// Where a request came from; an extension of each request that a handler gets.
+/// The IP address that a request came from; set as an extension of each request passed to a
+/// handler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerAddress(pub IpAddr);
 
 impl CallerAddress {
-    /// Of a request that a listener handed on; unspecified for any other.
+    /// The address of a request that came from a listener; the unspecified address for any other.
     #[must_use]
     pub fn from_parts(parts: &Parts) -> IpAddr {
         let known = parts.extensions.get::<Self>();
@@ -53,11 +54,12 @@
     }
 }
 
-/// Limits of a caller's connection.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnLimits {
+    /// Size limit of a request head.
     pub header_bytes_max: usize,
-    /// Time for the next head, idle time before it included.
+    /// Time limit for receiving the next request head, including idle time before it.
     pub header_timeout: Duration,
 }
 
@@ -66,12 +68,14 @@
 pub struct HttpListener {
     accepting: TaskGuard,
     stop: watch::Sender<bool>,
+    /// One permit per connection.
     permits: Arc<Semaphore>,
     connections_max: u32,
 }
 
 impl HttpListener {
-    /// Serves `listener` with at most `connections_max` connections; more wait to be accepted.
+    /// Serves `listener` with at most `connections_max` connections at a time; further ones wait to
+    /// be accepted.
     pub fn spawn<H: Handler>(listener: TcpListener, handler: H, connections_max: u32) -> Self {
         let permits = Arc::new(Semaphore::new(connections_max as usize));
         let (stop, stopped) = watch::channel(false);
@@ -80,12 +84,12 @@
         Self { accepting, stop, permits, connections_max }
     }
 
-    /// Accepts no further connection, closes idle ones, lets each other one finish its request,
-    /// and returns when all are closed.
+    /// Stops accepting, closes idle connections, lets the others finish their current request, and
+    /// returns when all are closed.
     pub async fn stop(self) {
         self.accepting.end().await;
         self.stop.send_replace(true);
-        // Fails only for a closed semaphore, and this one is never closed.
+        // This fails only for a closed semaphore, and this one is never closed.
         let _ = self.permits.acquire_many(self.connections_max).await;
     }
 }
@@ -120,7 +124,7 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     if stream.set_nodelay(true).is_err() {
-        // The caller has closed it already.
+        // The caller has already closed the connection.
         return;
     }
     let limits = handler.limits();
@@ -136,7 +140,7 @@
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     tokio::select! {
-        // A fault here is the caller's connection breaking; nobody is left to tell.
+        // An error here means that the caller's connection broke; there is nobody to report it to.
         _ = &mut connection => return,
         _ = stopped.wait_for(|stopped| *stopped) => {}
     }
@@ -144,5 +148,5 @@
     let _ = connection.await;
 }
 
-/// The least that `hyper` takes as a connection's buffer.
+/// The smallest connection buffer that `hyper` accepts.
 const BUFFER_BYTES_MIN: usize = 8 << 10;
--- a/src/listener/mod.rs
+++ b/src/listener/mod.rs
@@ -1,4 +1,4 @@
-//! Listeners that can be stopped without cutting off a request.
+//! HTTP listeners with graceful shutdown.
 
 mod http_listener;
 
--- a/src/model/backend_server.rs
+++ b/src/model/backend_server.rs
@@ -1,4 +1,4 @@
-//! One upstream of a service.
+//! A backend server of a service.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,13 @@
     /// Unique within the service.
     pub id: String,
     pub address: SocketAddr,
+    /// Its availability zone.
     pub zone: String,
-    /// Requests that it works on at the same time; at least 1.
+    /// Requests that it processes concurrently; at least 1.
     pub slots: u32,
     /// Connections that it accepts from all instances together; at least `slots`.
     pub connections_max: u32,
-    /// The operator's drain mark: no new work while it stands.
+    /// Set by the operator to drain the server: it gets no new requests.
     #[serde(default)]
     pub drained: bool,
 }
--- a/src/model/check.rs
+++ b/src/model/check.rs
@@ -7,12 +7,17 @@
 use crate::errors::Code;
 use crate::errors::CodedError;
 
-/// Most backend servers that one service may have.
+/// Largest number of backend servers in one service.
 pub const BACKEND_SERVERS_MAX: usize = 2_000;
+/// Largest number of request kinds in one service.
 const KINDS_MAX: usize = 64;
+/// Longest name of a service, kind, server or zone, in bytes.
 const NAME_LEN_MAX: usize = 100;
+/// Largest number of slots of one backend server.
 const SLOTS_MAX: u32 = 10_000;
+/// Largest probe budget of a service, in probes per second.
 const MEASURING_BUDGET_PER_S_MAX: u32 = 10_000;
+/// Longest default deadline of a service.
 const TIMEOUT_MAX_MS: u32 = 600_000;
 
 fn invalid(field: &str, allowed: &str) -> CodedError {
@@ -69,10 +74,10 @@
     Ok(())
 }
 
-/// Checks a declaration.
+/// Validates a declaration.
 ///
 /// # Errors
-/// `ServiceInvalid` with the field and what is allowed.
+/// `ServiceInvalid`, with the field and the allowed values.
 pub fn check_service(service: &Service) -> Result<(), CodedError> {
     check_name("name", &service.name)?;
     if service.kinds.len() > KINDS_MAX {
--- a/src/model/load_report.rs
+++ b/src/model/load_report.rs
@@ -1,10 +1,12 @@
-//! What a backend server tells of its load.
+//! The load that a backend server reports.
 
-/// Load at the moment of an answer.
+/// Load of a backend server at the time of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
+    /// Requests that it is processing.
     pub running: u32,
+    /// Requests in its queue.
     pub waiting: u32,
-    /// How long work takes there now; 100 is the usual.
+    /// How long it takes per request, in percent of its normal time: 200 is half its normal speed.
     pub slowdown_percent: u32,
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! What operators declare and platforms list: services, backend servers and their load, kinds of
-//! request.
+//! Domain types: services and request kinds declared by operators, backend servers listed by a
+//! platform, and the load they report.
 
 mod backend_server;
 mod check;
--- a/src/model/report_source.rs
+++ b/src/model/report_source.rs
@@ -1,16 +1,16 @@
-//! How backend servers are heard.
+//! The sources of backend servers' reports.
 
-/// In what a server's word came.
+/// Which response of a backend server carried a report of its load or state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// The answer to a request.
+    /// The response to a caller's request.
     Response,
-    /// The answer to a health check.
+    /// The response to a health check.
     HealthCheck,
 }
 
 impl ReportSource {
-    /// The name written in logs.
+    /// The name in log lines.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
--- a/src/model/request_kind.rs
+++ b/src/model/request_kind.rs
@@ -1,9 +1,9 @@
-//! The care that one kind of request deserves.
+//! Rules for retries and idempotency keys by kind of request.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A rule that tells requests apart by method and path.
+/// A kind of request, matched by method and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
@@ -11,10 +11,11 @@
     /// Upper-case HTTP method; empty matches every method.
     #[serde(default)]
     pub method: String,
+    /// Start of the paths that it matches.
     pub path_prefix: String,
-    /// Whether a repeat does no harm, so that it may be retried and hedged.
+    /// Whether running the request again does no harm, so that it may be retried and hedged.
     pub idempotent: bool,
-    /// Whether a request without idempotency key is refused.
+    /// Whether requests without an idempotency key are rejected.
     #[serde(default)]
     pub key_required: bool,
 }
--- a/src/model/server_row.rs
+++ b/src/model/server_row.rs
@@ -1,4 +1,4 @@
-//! What the platform lists of a backend server.
+//! A backend server's entry in the platform's list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerState {
@@ -14,29 +14,29 @@
     Draining,
 }
 
-/// Slots of one server at most; an entry that names more is a fault of its writer.
+/// Largest plausible number of slots of one server; an entry with more is rejected.
 const SLOTS_MAX: u32 = 100_000;
 
-/// One start of a backend server. A restart is another row, with another id or with the same and a
-/// later `started_ms`.
+/// One run of a backend server's process. A restart is another row, with another id or with the
+/// same id and a later `started_ms`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRow {
-    /// Empty where the key of the row tells it.
+    /// Empty if the id is part of the row's key in the store.
     #[serde(default = "no_id")]
     pub id: Arc<str>,
     pub service: Arc<str>,
     pub address: SocketAddr,
     pub zone: Arc<str>,
-    /// Requests that it runs at the same time.
+    /// Requests that it processes concurrently.
     pub slots: u32,
     pub state: ServerState,
-    /// How much longer it stays slow after its start, when the row was written.
+    /// Remaining warm-up time after its start, as of the writing of the row.
     #[serde(default)]
     pub warmup_ms: u64,
-    /// When its process started, by its own clock, in Unix milliseconds; 0 where that is not told.
+    /// When its process started, by its own clock, in Unix milliseconds; 0 if not reported.
     #[serde(default)]
     pub started_ms: u64,
-    /// Grows with each report of one start.
+    /// Increases with each report of the same run.
     #[serde(default)]
     pub sequence: u64,
 }
@@ -46,10 +46,10 @@
 }
 
 impl ServerRow {
-    /// Whether it can name a server to use.
+    /// Checks that the row describes a server that can be used.
     ///
     /// # Errors
-    /// Says which field cannot be.
+    /// Names the invalid field.
     pub fn validate(&self) -> Result<(), String> {
         if self.slots == 0 || self.slots > SLOTS_MAX {
             return Err(format!("slots: {} is not within 1 to {SLOTS_MAX}", self.slots));
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// Whether both rows are of the same start of the same server.
+    /// Whether both rows describe the same run of the same server.
     #[must_use]
     pub fn is_same_start(&self, other: &Self) -> bool {
         self.started_ms == other.started_ms
@@ -68,7 +68,7 @@
             && self.service == other.service
     }
 
-    /// Whether the server leaves and takes no new work.
+    /// Whether the server is shutting down and accepts no new requests.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.state == ServerState::Draining
--- a/src/model/service.rs
+++ b/src/model/service.rs
@@ -1,4 +1,4 @@
-//! A service and the rules for its requests.
+//! A declared service: its backend servers, request kinds and limits.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,17 @@
 use super::BackendServer;
 use super::RequestKind;
 
+/// Deadline of requests to a service that declares none.
 const TIMEOUT_DEFAULT_MS: u32 = 10_000;
 
-/// What the operator would rather spend on: fewer measuring calls or a shorter tail.
+/// Whether the operator prefers less extra load or a lower tail latency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Preference {
-    /// Repeated work is kept small: no hedges, few probes.
+    /// Less extra load: no hedges, few probes.
     #[default]
     Cost,
-    /// Hedges and probes are used up to their budgets.
+    /// Lower tail latency: hedges and probes up to their budgets.
     Tail,
 }
 
@@ -30,18 +31,18 @@
     pub kinds: Vec<RequestKind>,
     #[serde(default)]
     pub backend_servers: Vec<BackendServer>,
-    /// Calls a second made only to measure, over all instances; a hard limit for any second.
+    /// Probes per second that all instances together may send; a hard limit in any second.
     #[serde(default)]
     pub measuring_budget_per_s: u32,
     #[serde(default)]
     pub preference: Preference,
-    /// Statuses by which a backend server says that it did not run the request.
+    /// Statuses with which a backend server reports that it did not run the request.
     #[serde(default)]
     pub refusal_statuses: Vec<u16>,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not set its own.
     #[serde(default = "timeout_default")]
     pub timeout_ms: u32,
-    /// Path that probes ask for.
+    /// Path that probes request.
     #[serde(default = "health_path_default")]
     pub health_path: String,
 }
@@ -55,7 +56,7 @@
 }
 
 impl Service {
-    /// The kind with the longest matching prefix; `None` is treated as must-not-repeat.
+    /// The matching kind with the longest path prefix; requests without a kind must not be retried.
     #[must_use]
     pub fn find_kind(&self, method: &str, path: &str) -> Option<&RequestKind> {
         self.kinds
@@ -64,7 +65,7 @@
             .max_by_key(|kind| (kind.path_prefix.len(), kind.method.len()))
     }
 
-    /// Slots in each zone that holds backend servers, in the order of the zones' names.
+    /// Total slots in each zone that has backend servers, ordered by zone name.
     #[must_use]
     pub fn zone_slots(&self) -> Vec<(&str, u32)> {
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
--- a/src/model/versioned_service.rs
+++ b/src/model/versioned_service.rs
@@ -1,4 +1,4 @@
-//! A service at one revision.
+//! A service with its revision and recent changes.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -9,28 +9,29 @@
 /// One committed state of one service; `service` is `None` for a tombstone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedService {
-    /// Grows by one with each commit of the service and never goes back.
+    /// Increases by one with each commit of the service and never decreases.
     pub revision: u64,
-    /// Names the change that made this revision, so that a lost answer can be resolved.
+    /// Id of the change that made this revision; shows whether a change with a lost response was
+    /// committed.
     pub change_id: Uuid,
     pub service: Option<Service>,
-    /// The changes before this one, newest first, at most [`EARLIER_CHANGES_MAX`]: by them a
-    /// change is found to have been made although another came on top of it.
+    /// Ids of the changes before this one, newest first, at most [`EARLIER_CHANGES_MAX`]: they show
+    /// that a change was committed although others followed it.
     #[serde(default)]
     pub earlier_changes: Vec<Uuid>,
 }
 
-/// Earlier changes that a row remembers.
+/// Number of earlier change ids kept in a row.
 pub const EARLIER_CHANGES_MAX: usize = 8;
 
 impl VersionedService {
-    /// Whether this row contains the change, as its last or as one before.
+    /// Whether the change made this revision or one of the kept revisions before it.
     #[must_use]
     pub fn contains_change(&self, change_id: Uuid) -> bool {
         self.change_id == change_id || self.earlier_changes.contains(&change_id)
     }
 
-    /// The row that follows `before` by one change.
+    /// The row that results from applying one change to `before`.
     #[must_use]
     pub fn next(before: Option<&Self>, change_id: Uuid, service: Option<Service>) -> Self {
         let Some(before) = before else {
--- a/src/operator/convert.rs
+++ b/src/operator/convert.rs
@@ -1,4 +1,4 @@
-//! Between the schema's messages and the domain types.
+//! Conversions between the messages of the operators' API and the domain types.
 
 use tonic::Status;
 
@@ -13,7 +13,7 @@
 use crate::model::Service;
 use crate::model::VersionedService;
 
-/// Metadata of an error: the number of its result code.
+/// Metadata key with the number of an error's result code.
 const CODE_METADATA_KEY: &str = "sorrelwick-code";
 
 fn invalid(field: &str, why: impl std::fmt::Display) -> CodedError {
@@ -45,10 +45,10 @@
     }
 }
 
-/// A service as an operator sent it, not yet checked.
+/// Converts a service sent by an operator, without validating it.
 ///
 /// # Errors
-/// `ServiceInvalid` for what the domain types cannot hold.
+/// `ServiceInvalid` for values that the domain types cannot represent.
 pub fn service_from_wire(service: wire::Service) -> Result<Service, CodedError> {
     let preference = match service.preference() {
         wire::Preference::Tail => Preference::Tail,
@@ -70,7 +70,7 @@
     })
 }
 
-/// A service as the schema declares it.
+/// Converts a service to its message.
 #[must_use]
 pub fn service_to_wire(service: &Service) -> wire::Service {
     let kinds = service.kinds.iter().map(|kind| wire::RequestKind {
@@ -104,7 +104,7 @@
     }
 }
 
-/// A row as the schema declares it.
+/// Converts a service with its revision to its message.
 #[must_use]
 pub fn versioned_to_wire(row: &VersionedService) -> wire::Versioned {
     wire::Versioned {
@@ -115,7 +115,7 @@
     }
 }
 
-/// An error as gRPC tells it, with the number of its code in the metadata.
+/// Converts an error to a gRPC status, with the number of its result code in the metadata.
 #[must_use]
 pub fn status_from_error(err: &CodedError) -> Status {
     let text = err.to_string();
@@ -131,13 +131,13 @@
     status
 }
 
-/// An edit's error; a conflict tells the current revision in its text.
+/// Converts an edit's error to a gRPC status; the text of a conflict names the current revision.
 #[must_use]
 pub fn status_from_edit_error(err: &EditError) -> Status {
     status_from_error(&err.coded)
 }
 
-/// The result code that an error of an instance carries.
+/// The result code in a gRPC status, or `OperatorUnreachable` for a status without a known code.
 #[must_use]
 pub fn code_from_status(status: &Status) -> Code {
     let number = status.metadata().get(CODE_METADATA_KEY).and_then(|value| value.to_str().ok());
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: remote procedure calls as declared in `proto/`.
+//! The operators' listener: the gRPC service declared in `proto/`.
 
 mod convert;
 mod operator_listener;
--- a/src/operator/operator_listener.rs
+++ b/src/operator/operator_listener.rs
@@ -1,4 +1,4 @@
-//! The listener of the operators' listener.
+//! The gRPC listener for operators.
 
 use tokio::net::TcpListener;
 use tonic::Request;
@@ -15,22 +15,24 @@
 use crate::route::Router;
 use crate::task::TaskGuard;
 
-/// Metadata field of the operator's token.
+/// Metadata key with the operator's token.
 pub const TOKEN_METADATA_KEY: &str = "authorization";
+/// Concurrent HTTP/2 streams, and so calls, per connection.
 const STREAMS_PER_CONNECTION_MAX: u32 = 64;
 
-/// The operators' listener, open until it is dropped.
+/// The operators' listener; dropping it closes the listener.
 #[derive(Debug)]
 pub struct OperatorListener {
     _task: TaskGuard,
 }
 
-/// Compares in a time that does not depend on where the texts differ.
+/// Compares in a time that does not depend on where the texts differ, against timing attacks.
 fn equal_in_constant_time(expected: &str, given: &str) -> bool {
     use subtle::ConstantTimeEq;
     expected.as_bytes().ct_eq(given.as_bytes()).into()
 }
 
+/// Rejects a request without the operator's token, if one is set.
 fn check_token(router: &Router, request: Request<()>) -> Result<Request<()>, Status> {
     let token = &router.board.settings.operators.token;
     if token.is_empty() {
@@ -56,16 +58,16 @@
             OperatorServer::with_interceptor(OperatorService::new(router), move |request| {
                 check_token(&guard, request)
             });
-        // Without it each answer waits some 40 ms for a delayed acknowledgement.
+        // Without `TCP_NODELAY` each response waits about 40 ms for a delayed acknowledgement.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let serving = Server::builder()
             .max_concurrent_streams(STREAMS_PER_CONNECTION_MAX)
             .add_service(service)
             .serve_with_incoming(incoming);
         let task = TaskGuard::spawn(async move {
-            // Ends only when the listener does; the daemon itself goes on serving callers.
+            // This ends only if the listener fails; the daemon continues to serve callers.
             if let Err(err) = serving.await {
-                log::error!("operators' listener: {err}");
+                log::error!("operators' listener failed: {err}");
             }
         });
         Self { _task: task }
--- a/src/operator/operator_service.rs
+++ b/src/operator/operator_service.rs
@@ -1,4 +1,4 @@
-//! The calls of the operators' listener.
+//! The gRPC service for operators.
 
 use tonic::Request;
 use tonic::Response;
@@ -22,13 +22,15 @@
 use crate::route::Router;
 use crate::store::AnyStore;
 
-/// Answers operators; a change is told to be accepted once it stands in the store.
+/// Handles the operators' calls. A change is reported as accepted only once the store has committed
+/// it.
 #[derive(Clone, Debug)]
 pub struct OperatorService {
     router: Router,
     committer: Committer<AnyStore>,
 }
 
+/// Parses the id of a change; an empty one gets a new random id.
 fn parse_change_id(text: &str) -> Result<Uuid, Status> {
     if text.is_empty() {
         return Ok(Uuid::new_v4());
@@ -66,7 +68,8 @@
         let catalog_row: VersionedService =
             committed.map_err(|err| status_from_edit_error(&err))?;
         let current = Some(versioned_to_wire(&catalog_row));
-        // In force here at once; the others hear it by their watches and pushes.
+        // The change applies here at once; other instances learn of it through their watches of the
+        // store and through pushes from peers.
         let changed_rows = merge_rows(&self.router.board, vec![(name.to_owned(), catalog_row)]);
         crate::catalog::push_rows(&self.router.board, &self.router.links, &changed_rows);
         Ok(Response::new(wire::PutServiceResponse { current }))
--- a/src/status/metrics.rs
+++ b/src/status/metrics.rs
@@ -1,4 +1,4 @@
-//! The counters as `opentelemetry` instruments, written out for scraping.
+//! Counters and gauges as `opentelemetry` instruments, exported for Prometheus.
 
 use std::sync::Arc;
 
@@ -24,12 +24,12 @@
     /// Registers all counters and gauges of the blackboard.
     ///
     /// # Panics
-    /// Never: a registry that is new has no names that could clash.
+    /// Never: a new registry has no metrics whose names could conflict.
     #[must_use]
     pub fn register(board: &Arc<Blackboard>) -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build();
-        let exporter = exporter.expect("a new registry takes an exporter");
+        let exporter = exporter.expect("a new registry has no conflicting metrics");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("sorrelwick");
         for (counter, name, help) in Counter::ALL {
@@ -67,7 +67,7 @@
         Self { registry, _provider: provider }
     }
 
-    /// The text that scrapers read.
+    /// All metrics in the Prometheus text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut bytes = Vec::new();
--- a/src/status/mod.rs
+++ b/src/status/mod.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics for whoever watches the instance.
+//! Health, readiness and metrics endpoints.
 
 mod metrics;
 mod status_listener;
--- a/src/status/status_listener.rs
+++ b/src/status/status_listener.rs
@@ -1,4 +1,4 @@
-//! The status listener.
+//! The listener for health, readiness and metrics.
 
 use std::sync::Arc;
 
@@ -18,18 +18,19 @@
 use crate::board::Phase;
 use crate::task::TaskGuard;
 
-/// The status listener, open until it is dropped.
+/// The status listener; dropping it closes the listener.
 #[derive(Debug)]
 pub struct StatusListener {
     _task: TaskGuard,
 }
 
-/// Answers 200 while the process runs at all.
+/// Responds with 200 as long as the process runs.
 struct HealthHandler;
 
-/// Answers 200 while new callers should come here.
+/// Responds with 200 while the instance accepts new callers.
 struct ReadyHandler(Arc<Blackboard>);
 
+/// Responds with the metrics.
 struct MetricsHandler(Metrics);
 
 #[salvo::async_trait]
--- a/src/task/mod.rs
+++ b/src/task/mod.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with their owner.
+//! Background tasks that are aborted when their owner is dropped.
 
 mod task_guard;
 
--- a/src/task/task_guard.rs
+++ b/src/task/task_guard.rs
@@ -1,18 +1,18 @@
-//! A task that is ended when its handle is dropped.
+//! A task handle that aborts the task on drop.
 
 use tokio::task::JoinHandle;
 
-/// Ends its task when dropped: a listener whose owner is gone must not go on accepting.
+/// Aborts its task when dropped, so that a listener without owner stops accepting connections.
 #[derive(Debug)]
 pub struct TaskGuard(JoinHandle<()>);
 
 impl TaskGuard {
-    /// Starts a task.
+    /// Spawns `work` as a task.
     pub fn spawn(work: impl Future<Output = ()> + Send + 'static) -> Self {
         Self(tokio::spawn(work))
     }
 
-    /// Ends the task and returns when it has ended.
+    /// Aborts the task and waits until it has ended.
     pub async fn end(mut self) {
         self.0.abort();
         let _ = (&mut self.0).await;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `sorrelwick explain`: from a request's id to its cause, from the logs of all instances.
+//! `sorrelwick explain`: reconstructs the path of a request from the logs of all instances.
 
 use std::io::Write;
 use std::process::Command;
@@ -7,8 +7,8 @@
 
 const TOOL: &str = env!("CARGO_BIN_EXE_sorrelwick");
 
-/// An order that timed out on a server which then vanished; lines of two instances, as two
-/// collectors left them: one names the writer before the line.
+/// A request that timed out on a server which was then unlisted. The lines come from two instances
+/// and two log collectors; one of these prefixes each line with the instance.
 const LOGS: &str = r#"
 {"event":"config-in-force","instance":"a-1","version":7,"before":4,"time":"2026-12-02T10:00:01.000000000+00:00"}
 {"event":"server-listed","instance":"a-1","server":"i-9","address":"10.0.0.9:80","draining":false,"warmup_ms":1500,"time":"2026-12-02T10:00:02.000000000+00:00"}
@@ -46,7 +46,7 @@
     place("24 slots in use at most, 5 servers name limits; come back after 83 ms");
     let sent = place("a-1  send 1 to server i-9 of desk: timed-out after 400 ms");
     let answered = place("a-1  answered 504 with code 2203 after 401 ms");
-    assert!(refused < sent && sent < answered, "not in the order of time:\n{told}");
+    assert!(refused < sent && sent < answered, "not in order of time:\n{told}");
     place("its pace known for 1200 us, limited to 1.5/s)");
     place("server i-9 listed at 10.0.0.9:80, slow for 1500 ms more");
     place("2026-12-02T10:00:05.000000000+00:00  server i-9 unlisted");
@@ -56,8 +56,8 @@
     assert!(!told.contains("other"), "{told}");
 }
 
-/// An instance that started a moment before heard of hundreds of servers in one go, and wrote one line on
-/// them. What it knew of the server of a failed request is that it heard of many then.
+/// Guards against a missing server history: an instance that has just started learns of hundreds of
+/// servers at once and logs them in a single line, which must be shown for each of them.
 #[test]
 fn a_server_that_was_listed_with_hundreds_of_others_is_told_of_by_their_line() {
     let read = r#"{"event":"servers-changed","instance":"a-1","listed":809,"unlisted":0,"revision":44,"time":"2026-12-02T10:00:02.500000000+00:00"}"#;
@@ -94,8 +94,8 @@
     assert!(text(&unreadable.stderr).contains("3009 LogUnreadable: /nowhere/at.log"));
 }
 
-/// An order is refused while servers idle: their availability zone was evacuated, and the one that could
-/// have had it was cold.
+/// A request is rejected while servers are idle, since their zone is evacuated and the only other
+/// server is in warm-up. The explanation must name the zones evacuated on that instance at that time.
 #[test]
 fn a_refusal_names_the_zones_that_were_passed_over() {
     const LOGS: &str = r#"
--- a/tests/listeners.rs
+++ b/tests/listeners.rs
@@ -1,4 +1,4 @@
-//! Bad input at every operator gets a numbered answer, and a stranger gets nothing.
+//! All listeners: invalid input gets a result code, and unauthenticated peers get no response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,8 @@
     assert!(good.contains("sorrelwick-outcome: ran"), "{good}");
 }
 
-/// A backend server cannot pass off its answer as one of ours, and fields for one hop stay.
+/// `sorrelwick-` headers of backend servers and callers are dropped, so that neither can forge one,
+/// and hop-by-hop headers are not forwarded.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_fields_of_others_do_not_travel() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -94,8 +95,8 @@
     assert!(!seen.contains("sorrelwick-outcome") && !seen.contains("trailers"), "{seen}");
 }
 
-/// Story: a stranger on the network speaks to the peer port, without the secret, with a wrong
-/// one, or with plain nonsense. It gets no answer and changes nothing.
+/// A client without the shared secret sends peer requests or garbage to the peer port. It must get
+/// no response, and each attempt must be counted.
 #[tokio::test(flavor = "multi_thread")]
 async fn strangers_get_nothing_at_the_peer_port() {
     let bed = Bed::start(BedPlan { instances: 2, ..BedPlan::default() }).await;
@@ -166,7 +167,7 @@
         "{metrics}"
     );
     let stopping = tokio::spawn(bed.daemons[0].take().expect("runs").stop());
-    standins::bed::until("it says that it leaves", async || {
+    standins::bed::until("the instance reports not ready", async || {
         raw(status, &page("/ready")).await.contains("503")
     })
     .await;
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Separate daemon processes under signals: a kill that is a kill, a freeze that is a freeze.
+//! Separate daemon processes that are killed, frozen and stopped by signals.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -24,11 +24,11 @@
         let runs = counts.get(id).copied().unwrap_or(0);
         assert!(runs <= 1, "{id} ran {runs} times: {answers:?}");
         let denied = answers.last().is_some_and(|told| told.outcome() == "not-run");
-        assert!(runs == 0 || !denied, "{id} ran and was told not-run: {answers:?}");
+        assert!(runs == 0 || !denied, "{id} ran and was reported as not-run: {answers:?}");
     }
 }
 
-/// Sends orders bound to the instance at `at`, and repeats each at all other instances.
+/// Sends orders whose keys are owned by the instance at `at`, and repeats each at all others.
 async fn orders(
     fleet: &Fleet,
     at: usize,
@@ -61,8 +61,8 @@
     work.join_all().await.into_iter().collect()
 }
 
-/// Story: the process that owns some orders is killed by the system while they run, and the store
-/// goes down at the same moment. Shops repeat their orders at the others: no order runs twice.
+/// The instance that owns the keys of running requests is killed while the store goes down. Callers
+/// repeat the requests at the other instances: none may run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_in_the_middle_of_orders_with_the_store_down() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
@@ -83,9 +83,9 @@
     assert!(fleet.daemons[1].exited().is_some());
 }
 
-/// Story: a process is stopped by a noisy neighbour for longer than the others wait, and wakes.
-/// Meanwhile its orders were repeated at the others, which must not run them; after waking it
-/// goes on with its own, and is believed to be alive again.
+/// An instance is frozen until the others declare it dead, and then resumes. Its requests are
+/// repeated at the others in the meantime: none may run twice. Afterwards it must be alive again and
+/// serve requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_until_given_up_and_woken() {
     let fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
@@ -95,11 +95,11 @@
     let early = tokio::time::timeout(Duration::from_millis(40), &mut sending).await;
     assert!(early.is_err(), "the freeze must come in the middle");
     fleet.daemons[2].freeze();
-    until("the others give it up", async || fleet.alive_seen_by(0).await == 3).await;
+    until("the others declare it dead", async || fleet.alive_seen_by(0).await == 3).await;
     fleet.daemons[2].thaw();
     let told = sending.await;
     check(&fleet.bed, &told);
-    until("it is believed to be alive again", async || {
+    until("it is alive again", async || {
         fleet.alive_seen_by(0).await == 4 && fleet.alive_seen_by(2).await == 4
     })
     .await;
@@ -109,8 +109,8 @@
     assert_eq!(ran, 10, "{told:?}");
 }
 
-/// Story: a process gets the signal of a planned stop, and then another by an impatient hand,
-/// under steady load. It ends with code 0, and no request is cut off.
+/// An instance under steady load gets a second stop signal during its graceful shutdown. It must
+/// exit with code 0 and cut off no request.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_signals_to_stop_cut_off_nothing() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
@@ -141,8 +141,8 @@
     assert!(fleet.bed.run_counts().values().all(|count| *count == 1));
 }
 
-/// Story: a process is frozen for ten seconds with a budget to spend. On waking it must not make
-/// up for the probes that it missed.
+/// All instances are frozen for ten seconds while they have a probe budget. After they resume, they
+/// must not send the probes missed in the meantime on top of the budget.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_process_does_not_burst_probes_on_waking() {
     const BUDGET: u32 = 8;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings: the defaults are valid, faults name file, line, field and what is allowed, and the
-//! tables in the docs are those of the code.
+//! Settings: the defaults are valid, faults name file, line, field and the allowed values, and the
+//! documented result codes match the code.
 
 use sorrelwick::conf::DEFAULTS;
 use sorrelwick::conf::Settings;
@@ -11,7 +11,7 @@
 fn printed_defaults_are_the_defaults() {
     let printed = parse_settings("defaults", DEFAULTS).expect("the printed defaults are valid");
     let least = r#"{ instance: { name: "a1", zone: "burnaby" } }"#;
-    let implied: Settings = parse_settings("least", least).expect("the least settings are valid");
+    let implied: Settings = parse_settings("least", least).expect("the minimal settings are valid");
     assert_eq!(printed, implied);
 }
 
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The operators' tool and the daemon's command line, as processes.
+//! The command lines of the operators' tool and the daemon, run as processes.
 
 use std::path::Path;
 use std::process::Command;
@@ -33,7 +33,7 @@
     std::fs::write(dir.join(format!("{name}.json5")), text).expect("written");
 }
 
-/// From an empty directory to two services and back, with a conflict on the way.
+/// Two services are planned, applied, updated at a stale revision, which must conflict, and pruned.
 #[tokio::test(flavor = "multi_thread")]
 async fn declarations_are_planned_applied_and_conflicts_told_apart() {
     let bed = Bed::start(BedPlan::default()).await;
@@ -68,7 +68,7 @@
     assert!(out(&listed).contains("catalogue") && !out(&listed).contains("orders"));
 }
 
-/// `status` and `timeline` ask every instance, and one that is gone is shown as such.
+/// `status` and `timeline` query every instance, and a killed instance is shown as dead.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_and_timeline_cover_all_instances() {
     let mut bed = Bed::start(BedPlan::default()).await;
@@ -81,7 +81,7 @@
     bed.operator(0).set_drain("orders", "b0", true).await.expect("drained");
     bed.until_in_force("orders", 2).await;
     bed.kill(2);
-    until("the death is on the time line", async || {
+    until("the dead instance is on the timeline", async || {
         let events = run(TOOL, &["--address", &operator, "timeline"]).await;
         out(&events).lines().any(|line| line.contains("i2") && line.ends_with("dead"))
     })
