--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -177,8 +177,7 @@
 #[test]
 fn a_request_waits_instead_of_starting_on_a_slow_server() {
     let mut pool = pool(1, 4);
-    let report =
-        |pace_percent| LoadReport { running: 0, waiting: 0, slowdown_percent: pace_percent };
+    let report = |slowdown_percent| LoadReport { running: 0, waiting: 0, slowdown_percent };
     pool.server_mut("s0").expect("listed").record_load(report(500), MS);
     let spec = spec("look", 2, 600.0, MS);
     assert!(pool.acquire_slot(1, &spec, ZONE, MS, &mut fixed_random()).is_none());
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -132,7 +132,7 @@
         for (number, server) in servers.iter().enumerate() {
             dispatcher.record_use(server);
             let slow = (check + number as u64).is_multiple_of(3);
-            let pace_percent = if slow { 500 } else { 100 };
+            let slowdown_percent = if slow { 500 } else { 100 };
             let load = LoadReport { running: 0, waiting: 0, slowdown_percent };
             let notice = ServerNotice {
                 load: Some(load),
