--- a/src/app/daemon.rs
+++ b/src/app/daemon.rs
@@ -103,7 +103,7 @@
             Router { board: Arc::clone(&board), links: links.clone(), store: store.clone() };
         let shard = Shard::default();
         let buckets = TokenBuckets::default();
-        let answers = DaemonPeerService {
+        let peer_service = DaemonPeerService {
             router: router.clone(),
             shard: shard.clone(),
             buckets: buckets.clone(),
@@ -123,7 +123,7 @@
         tasks.spawn(run_cleanup(Arc::clone(&board)));
         board.record_event(EventKind::Started);
         Ok(Self {
-            _peers: PeerListener::spawn(peers, secret, answers),
+            _peers: PeerListener::spawn(peers, secret, peer_service),
             _operators: OperatorListener::spawn(operators, router.clone()),
             _status: StatusListener::spawn(status, Arc::clone(&board)),
             listener: CallerListener::spawn(callers, router.clone()),
--- a/src/command/log_lines.rs
+++ b/src/command/log_lines.rs
@@ -86,13 +86,13 @@
     Ok(read)
 }
 
-fn read_from(mut reader: impl BufRead, take: &mut impl FnMut(LogLine)) -> std::io::Result<u64> {
+fn read_from(mut reader: impl BufRead, on_line: &mut impl FnMut(LogLine)) -> std::io::Result<u64> {
     let mut read = 0;
     let mut bytes = Vec::new();
     while reader.read_until(b'\n', &mut bytes)? > 0 {
         if let Some(line) = LogLine::parse(&String::from_utf8_lossy(&bytes)) {
             read += 1;
-            take(line);
+            on_line(line);
         }
         bytes.clear();
     }
--- a/src/command/service.rs
+++ b/src/command/service.rs
@@ -11,7 +11,7 @@
 use crate::operator::service_to_wire;
 
 /// The output after a committed change of the service `what`.
-fn committed(row: &wire::Versioned, what: &str, json: bool) -> String {
+fn format_committed(row: &wire::Versioned, what: &str, json: bool) -> String {
     if json {
         return format!("{}\n", serde_json::json!({ "service": what, "revision": row.revision }));
     }
@@ -30,7 +30,7 @@
 ) -> Result<String, CodedError> {
     let service = read_declaration(file)?;
     let row = client.put(&service_to_wire(&service), expected_revision).await?;
-    Ok(committed(&row, &service.name, json))
+    Ok(format_committed(&row, &service.name, json))
 }
 
 /// Prints one service as a declaration.
@@ -88,7 +88,7 @@
     json: bool,
 ) -> Result<String, CodedError> {
     let row = client.delete(name, expected_revision).await?;
-    Ok(committed(&row, name, json))
+    Ok(format_committed(&row, name, json))
 }
 
 /// Starts or ends the draining of a backend server.
@@ -103,7 +103,7 @@
     json: bool,
 ) -> Result<String, CodedError> {
     let row = client.set_drain(service, backend_server, drained).await?;
-    Ok(committed(&row, service, json))
+    Ok(format_committed(&row, service, json))
 }
 
 /// Sets the probe budget of a service, in probes per second.
@@ -117,5 +117,5 @@
     json: bool,
 ) -> Result<String, CodedError> {
     let row = client.set_budget(service, per_s).await?;
-    Ok(committed(&row, service, json))
+    Ok(format_committed(&row, service, json))
 }
--- a/src/listener/http_listener.rs
+++ b/src/listener/http_listener.rs
@@ -66,7 +66,7 @@
 /// A running listener.
 #[derive(Debug)]
 pub struct HttpListener {
-    accepting: TaskGuard,
+    accept_task: TaskGuard,
     stop: watch::Sender<bool>,
     /// One permit per connection.
     permits: Arc<Semaphore>,
@@ -79,15 +79,15 @@
     pub fn spawn<H: Handler>(listener: TcpListener, handler: H, connections_max: u32) -> Self {
         let permits = Arc::new(Semaphore::new(connections_max as usize));
         let (stop, stopped) = watch::channel(false);
-        let accepting =
+        let accept_task =
             TaskGuard::spawn(accept_all(listener, handler, Arc::clone(&permits), stopped));
-        Self { accepting, stop, permits, connections_max }
+        Self { accept_task, stop, permits, connections_max }
     }
 
     /// Stops accepting, closes idle connections, lets the others finish their current request, and
     /// returns when all are closed.
     pub async fn stop(self) {
-        self.accepting.end().await;
+        self.accept_task.end().await;
         self.stop.send_replace(true);
         // This fails only for a closed semaphore, and this one is never closed.
         let _ = self.permits.acquire_many(self.connections_max).await;
--- a/src/operator/operator_listener.rs
+++ b/src/operator/operator_listener.rs
@@ -53,10 +53,10 @@
     /// Serves operators on `listener`.
     #[must_use]
     pub fn spawn(listener: TcpListener, router: Router) -> Self {
-        let guard = router.clone();
+        let token_router = router.clone();
         let service =
             OperatorServer::with_interceptor(OperatorService::new(router), move |request| {
-                check_token(&guard, request)
+                check_token(&token_router, request)
             });
         // Without `TCP_NODELAY` each response waits about 40 ms for a delayed acknowledgement.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -37,31 +37,31 @@
 }
 
 #[test]
-fn a_failed_order_is_told_from_its_id_to_its_cause() {
+fn the_path_of_a_failed_request_is_explained() {
     let output = explain(&["order-1"], LOGS);
     let explanation = text(&output.stdout);
     assert!(output.status.success(), "{}", text(&output.stderr));
-    let place = |part: &str| {
+    let position_of = |part: &str| {
         explanation.find(part).unwrap_or_else(|| panic!("no '{part}' in:\n{explanation}"))
     };
-    let refused = place("b-2  no slot of desk: none in time, 12 waiting here, 24 slots");
-    place("24 slots in use at most, 5 servers name limits; come back after 83 ms");
-    let sent = place("a-1  send 1 to server i-9 of desk: timed-out after 400 ms");
-    let answered = place("a-1  answered 504 with code 2203 after 401 ms");
+    let refused = position_of("b-2  no slot of desk: none in time, 12 waiting here, 24 slots");
+    position_of("24 slots in use at most, 5 servers name limits; come back after 83 ms");
+    let sent = position_of("a-1  send 1 to server i-9 of desk: timed-out after 400 ms");
+    let answered = position_of("a-1  answered 504 with code 2203 after 401 ms");
     assert!(refused < sent && sent < answered, "not in order of time:\n{explanation}");
-    place("its pace known for 1200 us, limited to 1.5/s)");
-    place("server i-9 listed at 10.0.0.9:80, slow for 1500 ms more");
-    place("2026-12-02T10:00:05.000000000+00:00  server i-9 unlisted");
-    place("version 7 in force here since 2026-12-02T10:00:01.000000000+00:00");
-    place("it may have run.");
-    place("a-1 dropped 3 lines before 2026-12-02T10:00:04.400000000+00:00");
+    position_of("its pace known for 1200 us, limited to 1.5/s)");
+    position_of("server i-9 listed at 10.0.0.9:80, slow for 1500 ms more");
+    position_of("2026-12-02T10:00:05.000000000+00:00  server i-9 unlisted");
+    position_of("version 7 in force here since 2026-12-02T10:00:01.000000000+00:00");
+    position_of("it may have run.");
+    position_of("a-1 dropped 3 lines before 2026-12-02T10:00:04.400000000+00:00");
     assert!(!explanation.contains("other"), "{explanation}");
 }
 
 /// Guards against a missing server history: an instance that has just started learns of hundreds of
 /// servers at once and logs them in a single line, which must be shown for each of them.
 #[test]
-fn a_server_that_was_listed_with_hundreds_of_others_is_told_of_by_their_line() {
+fn a_bulk_listing_explains_a_server_without_a_line_of_its_own() {
     let read = r#"{"event":"servers-changed","instance":"a-1","listed":809,"unlisted":0,"revision":44,"time":"2026-12-02T10:00:02.500000000+00:00"}"#;
     let listed = LOGS.lines().find(|line| line.contains("server-listed")).expect("a line");
     let output = explain(&["order-1"], &LOGS.replace(listed, read));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn files_are_read_together_and_json_is_printed_on_request() {
+fn log_files_are_merged_and_json_is_printed_on_request() {
     let dir = tempfile::tempdir().expect("a directory");
     let mut paths = Vec::new();
     for (number, part) in LOGS.split("this line").enumerate() {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_unknown_id_and_an_unreadable_file_are_numbered_errors() {
+fn an_unknown_id_and_an_unreadable_file_have_result_codes() {
     let unknown = explain(&["nobody"], LOGS);
     assert!(!unknown.status.success() && unknown.stdout.is_empty());
     assert!(text(&unknown.stderr).contains("3010 RequestNotLogged: no line of 7 bears"));
@@ -99,7 +99,7 @@
 /// A request is rejected while servers are idle, since their zone is evacuated and the only other
 /// server is in warm-up. The explanation must name the zones evacuated on that instance at that time.
 #[test]
-fn a_refusal_names_the_zones_that_were_passed_over() {
+fn a_missing_slot_is_explained_by_evacuated_zones() {
     const LOGS: &str = r#"
 {"event":"zone-evacuated","instance":"a-1","zone":"east","servers":5,"time":"2026-12-02T10:00:01.000000000+00:00"}
 {"event":"zone-evacuated","instance":"a-1","zone":"west","servers":5,"time":"2026-12-02T10:00:01.500000000+00:00"}
--- a/tests/listeners.rs
+++ b/tests/listeners.rs
@@ -15,7 +15,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-async fn raw(address: SocketAddr, text: &str) -> String {
+async fn send_raw(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connected");
     stream.write_all(text.as_bytes()).await.expect("sent");
     let mut seen = Vec::new();
@@ -23,12 +23,12 @@
     String::from_utf8_lossy(&seen).into_owned()
 }
 
-fn get(fields: &str) -> String {
+fn get_request(fields: &str) -> String {
     format!("GET /x HTTP/1.1\r\nhost: orders\r\nconnection: close\r\n{fields}\r\n")
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_callers_door_answers_bad_requests_with_codes() {
+async fn bad_requests_of_callers_get_result_codes() {
     let mut plan = BedPlan { instances: 1, ..BedPlan::default() };
     plan.requests.body_limit_bytes = 1_000;
     let bed = Bed::start(plan).await;
@@ -38,30 +38,30 @@
     bed.until_in_force("orders", revision).await;
     let address = bed.caller_addresses()[0];
     let long = "k".repeat(201);
-    let post = |fields: &str| get(fields).replacen("GET", "POST", 1);
+    let post = |fields: &str| get_request(fields).replacen("GET", "POST", 1);
     let cases = [
-        (get("sorrelwick-timeout-ms: soon\r\n"), "2001"),
-        (get("sorrelwick-service: nothing-here\r\n"), "2002"),
+        (get_request("sorrelwick-timeout-ms: soon\r\n"), "2001"),
+        (get_request("sorrelwick-service: nothing-here\r\n"), "2002"),
         (post(&format!("idempotency-key: {long}\r\ncontent-length: 0\r\n")), "2004"),
         (post("content-length: 0\r\n"), "2005"),
         (post(&format!("content-length: 2000\r\n\r\n{}", "b".repeat(2_000))), "2003"),
     ];
     for (request, code) in cases {
-        let answer = raw(address, &request).await;
+        let answer = send_raw(address, &request).await;
         assert!(answer.contains(&format!("sorrelwick-code: {code}")), "{code}: {answer}");
         assert!(answer.contains("sorrelwick-outcome: not-run"), "{answer}");
     }
-    let garbage = raw(address, "\x16\x03\x01 this is no HTTP\r\n\r\n").await;
+    let garbage = send_raw(address, "\x16\x03\x01 this is no HTTP\r\n\r\n").await;
     assert!(garbage.is_empty() || garbage.starts_with("HTTP/1.1 400"), "{garbage}");
     assert_eq!(bed.run_counts().len(), 0);
-    let good = raw(address, &get("x-request-id: good\r\n")).await;
+    let good = send_raw(address, &get_request("x-request-id: good\r\n")).await;
     assert!(good.contains("sorrelwick-outcome: ran"), "{good}");
 }
 
 /// `sorrelwick-` headers of backend servers and callers are dropped, so that neither can forge one,
 /// and hop-by-hop headers are not forwarded.
 #[tokio::test(flavor = "multi_thread")]
-async fn own_fields_of_others_do_not_travel() {
+async fn forged_and_hop_by_hop_headers_are_not_forwarded() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let backend = listener.local_addr().expect("an address");
     let seen = std::sync::Arc::new(tokio::sync::Mutex::new(String::new()));
@@ -83,8 +83,8 @@
     service.backend_servers[0].address = backend;
     let revision = bed.put(0, &service, 0).await.expect("accepted");
     bed.until_in_force("orders", revision).await;
-    let request = get("sorrelwick-outcome: not-run\r\nte: trailers\r\nx-caller: 1\r\n");
-    let answer = raw(bed.caller_addresses()[0], &request).await;
+    let request = get_request("sorrelwick-outcome: not-run\r\nte: trailers\r\nx-caller: 1\r\n");
+    let answer = send_raw(bed.caller_addresses()[0], &request).await;
     assert!(
         answer.contains("sorrelwick-outcome: ran\r\n") && answer.contains("x-own: 1"),
         "{answer}"
@@ -98,15 +98,15 @@
 /// A client without the shared secret sends peer requests or garbage to the peer port. It must get
 /// no response, and each attempt must be counted.
 #[tokio::test(flavor = "multi_thread")]
-async fn strangers_get_nothing_at_the_peer_port() {
+async fn unauthenticated_peers_get_no_response() {
     let bed = Bed::start(BedPlan { instances: 2, ..BedPlan::default() }).await;
     let board = &bed.boards()[0];
     let address = board.settings.listen.peer;
-    let stranger = Links::new("another secret of enough characters");
-    let asked = PeerRequest::Fetch(vec!["orders".into()]);
-    let result = stranger.call(address, &asked, Duration::from_secs(3)).await;
+    let unauthenticated = Links::new("another secret of enough characters");
+    let fetch = PeerRequest::Fetch(vec!["orders".into()]);
+    let result = unauthenticated.call(address, &fetch, Duration::from_secs(3)).await;
     assert_eq!(result, Err(PeerError::NotSent));
-    let seen = raw(
+    let seen = send_raw(
         address,
         "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\nand much more that is no proof at all, and then some",
     )
@@ -115,11 +115,11 @@
     let refused = sorrelwick::board::Counter::PeersRefused;
     standins::bed::until("both are counted", async || board.counters.get(refused) >= 2).await;
     let peer = Links::new(&board.settings.peers.secret);
-    assert!(peer.call(address, &asked, Duration::from_secs(3)).await.is_ok());
+    assert!(peer.call(address, &fetch, Duration::from_secs(3)).await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_operators_door_wants_its_token_and_checks_declarations() {
+async fn operators_need_the_token_and_valid_declarations() {
     let mut bed = Bed::start(BedPlan { instances: 0, ..BedPlan::default() }).await;
     let at = bed.add_daemon_with(|s| s.operators.token = "a token of sixteen or more".into()).await;
     let address = bed.daemon(at).board().settings.listen.operator.to_string();
@@ -152,25 +152,25 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_tells_health_readiness_and_metrics() {
+async fn the_status_listener_serves_health_readiness_and_metrics() {
     let mut bed = Bed::start(BedPlan { instances: 1, ..BedPlan::default() }).await;
     bed.create("orders").await;
     let board = std::sync::Arc::clone(&bed.boards()[0]);
-    raw(bed.caller_addresses()[0], &get("x-request-id: m\r\n")).await;
+    send_raw(bed.caller_addresses()[0], &get_request("x-request-id: m\r\n")).await;
     let page = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: s\r\nconnection: close\r\n\r\n");
     let status = board.settings.listen.status;
-    assert!(raw(status, &page("/health")).await.contains("200 OK"));
-    assert!(raw(status, &page("/ready")).await.contains("200 OK"));
-    let metrics = raw(status, &page("/metrics")).await;
+    assert!(send_raw(status, &page("/health")).await.contains("200 OK"));
+    assert!(send_raw(status, &page("/ready")).await.contains("200 OK"));
+    let metrics = send_raw(status, &page("/metrics")).await;
     assert!(
         metrics.contains("sorrelwick_outcome_ran_total") && metrics.contains(" 1\n"),
         "{metrics}"
     );
     let stopping = tokio::spawn(bed.daemons[0].take().expect("runs").stop());
     standins::bed::until("the instance reports not ready", async || {
-        raw(status, &page("/ready")).await.contains("503")
+        send_raw(status, &page("/ready")).await.contains("503")
     })
     .await;
-    assert!(raw(status, &page("/health")).await.contains("200 OK"));
+    assert!(send_raw(status, &page("/health")).await.contains("200 OK"));
     stopping.await.expect("stopped");
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -16,9 +16,9 @@
 use tokio::task::JoinSet;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sorrelwickd");
-const BYTES: usize = 100;
+const BODY_BYTES: usize = 100;
 
-fn check(bed: &Bed, replies: &HashMap<String, Vec<CallResult>>) {
+fn assert_no_double_runs(bed: &Bed, replies: &HashMap<String, Vec<CallResult>>) {
     let counts = bed.run_counts();
     for (id, answers) in replies {
         let runs = counts.get(id).copied().unwrap_or(0);
@@ -29,7 +29,7 @@
 }
 
 /// Sends orders whose keys are owned by the instance at `at`, and repeats each at all others.
-async fn orders(
+async fn send_and_repeat_orders(
     fleet: &Fleet,
     at: usize,
     name: &str,
@@ -44,7 +44,7 @@
     let mut work = JoinSet::new();
     for number in 0..count {
         let id = format!("{name}-{number}");
-        let call = Call::post(&format!("/o?bytes={BYTES}&work_us=20000"), &id)
+        let call = Call::post(&format!("/o?bytes={BODY_BYTES}&work_us=20000"), &id)
             .with_key(&format!("{prefix}-{id}"))
             .with_timeout_ms(2_000);
         let (caller, addresses) = (caller.clone(), addresses.clone());
@@ -64,11 +64,11 @@
 /// The instance that owns the keys of running requests is killed while the store goes down. Callers
 /// repeat the requests at the other instances: none may run twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_in_the_middle_of_orders_with_the_store_down() {
+async fn a_kill_during_a_store_outage_runs_no_request_twice() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
     fleet.create(&fleet.bed.service("orders")).await;
     let replies = {
-        let sending = orders(&fleet, 1, "k", 60);
+        let sending = send_and_repeat_orders(&fleet, 1, "k", 60);
         tokio::pin!(sending);
         let early = tokio::time::timeout(Duration::from_millis(60), &mut sending).await;
         assert!(early.is_err(), "the kill must come in the middle");
@@ -76,7 +76,7 @@
         fleet.bed.platform().switches.down.store(true, Ordering::Release);
         sending.await
     };
-    check(&fleet.bed, &replies);
+    assert_no_double_runs(&fleet.bed, &replies);
     let cut = replies.values().filter(|answers| answers[0].outcome() != "ran").count();
     assert!(cut > 0, "the kill must hit orders, or it shows nothing");
     until("the others notice", async || fleet.alive_seen_by(0).await == 3).await;
@@ -87,10 +87,10 @@
 /// repeated at the others in the meantime: none may run twice. Afterwards it must be alive again and
 /// serve requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_until_given_up_and_woken() {
+async fn an_instance_frozen_until_declared_dead_runs_no_request_twice_and_rejoins() {
     let fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
     fleet.create(&fleet.bed.service("orders")).await;
-    let sending = orders(&fleet, 2, "z", 40);
+    let sending = send_and_repeat_orders(&fleet, 2, "z", 40);
     tokio::pin!(sending);
     let early = tokio::time::timeout(Duration::from_millis(40), &mut sending).await;
     assert!(early.is_err(), "the freeze must come in the middle");
@@ -98,13 +98,13 @@
     until("the others declare it dead", async || fleet.alive_seen_by(0).await == 3).await;
     fleet.daemons[2].thaw();
     let replies = sending.await;
-    check(&fleet.bed, &replies);
+    assert_no_double_runs(&fleet.bed, &replies);
     until("it is alive again", async || {
         fleet.alive_seen_by(0).await == 4 && fleet.alive_seen_by(2).await == 4
     })
     .await;
-    let replies = orders(&fleet, 2, "after", 10).await;
-    check(&fleet.bed, &replies);
+    let replies = send_and_repeat_orders(&fleet, 2, "after", 10).await;
+    assert_no_double_runs(&fleet.bed, &replies);
     let ran = replies.values().filter(|answers| answers[0].outcome() == "ran").count();
     assert_eq!(ran, 10, "{replies:?}");
 }
@@ -112,7 +112,7 @@
 /// An instance under steady load gets a second stop signal during its graceful shutdown. It must
 /// exit with code 0 and cut off no request.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_signals_to_stop_cut_off_nothing() {
+async fn a_second_stop_signal_cuts_off_no_request() {
     let mut fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
     fleet.create(&fleet.bed.service("orders")).await;
     let callers: Vec<Caller> = ["burnaby", "surrey", "richmond"]
@@ -145,7 +145,7 @@
 /// All instances are frozen for ten seconds while they have a probe budget. After they resume, they
 /// must not send the probes missed in the meantime on top of the budget.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_process_does_not_burst_probes_on_waking() {
+async fn a_resumed_process_does_not_burst_probes() {
     const BUDGET: u32 = 8;
     let mut plan = BedPlan::default();
     plan.measuring.shards = 4;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -8,15 +8,16 @@
 use sorrelwick::errors::TABLE;
 
 #[test]
-fn printed_defaults_are_the_defaults() {
+fn printed_defaults_equal_the_built_in_defaults() {
     let printed = parse_settings("defaults", DEFAULTS).expect("the printed defaults are valid");
-    let least = r#"{ instance: { name: "a1", zone: "burnaby" } }"#;
-    let implied: Settings = parse_settings("least", least).expect("the minimal settings are valid");
+    let minimal = r#"{ instance: { name: "a1", zone: "burnaby" } }"#;
+    let implied: Settings =
+        parse_settings("least", minimal).expect("the minimal settings are valid");
     assert_eq!(printed, implied);
 }
 
 #[test]
-fn each_fault_names_file_line_field_and_what_is_allowed() {
+fn each_fault_names_file_line_field_and_allowed_values() {
     let text = "{\n  instance: { name: \"a\", zone: \"z\" },\n  // a comment\n  peers: {\n    \
                 seeds: [\"127.0.0.1:9\"],\n    ping_interval_ms: 1,\n  },\n  \"log\": { level: \"loud\" },\n}";
     let faults = parse_settings("f.json", text).expect_err("three faults");
@@ -46,7 +47,7 @@
 
 /// docs/CODES.md has exactly one row per code, with its number, meaning and remedy.
 #[test]
-fn the_table_of_codes_in_the_docs_is_the_codes() {
+fn the_documented_result_codes_match_the_code() {
     let docs = include_str!("../docs/CODES.md");
     let rows: Vec<&str> =
         docs.lines().filter(|line| line.starts_with("| ") && line.contains(" | `")).collect();
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -17,15 +17,15 @@
     tokio::task::spawn_blocking(move || command.output()).await.expect("no panic").expect("it runs")
 }
 
-fn out(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn err(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn declare(dir: &Path, name: &str, timeout_ms: u32) {
+fn write_declaration(dir: &Path, name: &str, timeout_ms: u32) {
     let text = format!(
         "{{\n  // kept in version control\n  name: \"{name}\",\n  timeout_ms: {timeout_ms},\n  \
          kinds: [{{ name: \"lookup\", method: \"GET\", path_prefix: \"/\", idempotent: true }}],\n}}\n"
@@ -35,23 +35,31 @@
 
 /// Two services are planned, applied, updated at a stale revision, which must conflict, and pruned.
 #[tokio::test(flavor = "multi_thread")]
-async fn declarations_are_planned_applied_and_conflicts_told_apart() {
+async fn plan_and_apply_commit_declarations_and_report_conflicts() {
     let bed = Bed::start(BedPlan::default()).await;
     let operator = bed.daemon(0).board().settings.listen.operator.to_string();
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().to_str().expect("a path");
-    declare(dir.path(), "catalogue", 100);
-    declare(dir.path(), "orders", 200);
+    write_declaration(dir.path(), "catalogue", 100);
+    write_declaration(dir.path(), "orders", 200);
     let planned = run(TOOL, &["--address", &operator, "plan", path]).await;
-    assert!(out(&planned).contains("create orders (revision 0)"), "{}", out(&planned));
-    assert!(out(&planned).contains("+ timeout_ms: 200"));
+    assert!(
+        stdout_text(&planned).contains("create orders (revision 0)"),
+        "{}",
+        stdout_text(&planned)
+    );
+    assert!(stdout_text(&planned).contains("+ timeout_ms: 200"));
     let applied = run(TOOL, &["--address", &operator, "apply", path]).await;
-    assert!(out(&applied).contains("committed orders at revision 1"), "{}", err(&applied));
+    assert!(
+        stdout_text(&applied).contains("committed orders at revision 1"),
+        "{}",
+        stderr_text(&applied)
+    );
     let again = run(TOOL, &["--address", &operator, "plan", path]).await;
-    assert_eq!(out(&again), "nothing to change\n");
-    declare(dir.path(), "orders", 300);
+    assert_eq!(stdout_text(&again), "nothing to change\n");
+    write_declaration(dir.path(), "orders", 300);
     let changed = run(TOOL, &["--address", &operator, "--json", "plan", path]).await;
-    let rows: serde_json::Value = serde_json::from_str(&out(&changed)).expect("JSON");
+    let rows: serde_json::Value = serde_json::from_str(&stdout_text(&changed)).expect("JSON");
     assert_eq!(rows[0]["lines"][0], "~ timeout_ms: 200 -> 300");
     assert_eq!(rows[0]["expected_revision"], 1);
     let file = dir.path().join("orders.json5");
@@ -60,12 +68,16 @@
         run(TOOL, &["--address", &operator, "service", "update", file, "--expected-revision", "7"])
             .await;
     assert_eq!(stale.status.code(), Some(3), "a conflict has its own exit code");
-    assert!(err(&stale).contains("error 3002 Conflict"), "{}", err(&stale));
+    assert!(stderr_text(&stale).contains("error 3002 Conflict"), "{}", stderr_text(&stale));
     std::fs::remove_file(dir.path().join("orders.json5")).expect("removed");
     let pruned = run(TOOL, &["--address", &operator, "apply", "--prune", path]).await;
-    assert!(out(&pruned).contains("delete orders (revision 1)"), "{}", err(&pruned));
+    assert!(
+        stdout_text(&pruned).contains("delete orders (revision 1)"),
+        "{}",
+        stderr_text(&pruned)
+    );
     let listed = run(TOOL, &["--address", &operator, "service", "list"]).await;
-    assert!(out(&listed).contains("catalogue") && !out(&listed).contains("orders"));
+    assert!(stdout_text(&listed).contains("catalogue") && !stdout_text(&listed).contains("orders"));
 }
 
 /// `status` and `timeline` query every instance, and a killed instance is shown as dead.
@@ -75,7 +87,7 @@
     bed.create("orders").await;
     let operator = bed.daemon(0).board().settings.listen.operator.to_string();
     let status = run(TOOL, &["--address", &operator, "status"]).await;
-    let text = out(&status);
+    let text = stdout_text(&status);
     assert_eq!(text.matches("orders@1").count(), 3, "{text}");
     assert!(text.contains("i2") && text.contains("richmond"));
     bed.operator(0).set_drain("orders", "b0", true).await.expect("drained");
@@ -83,11 +95,11 @@
     bed.kill(2);
     until("the dead instance is on the timeline", async || {
         let events = run(TOOL, &["--address", &operator, "timeline"]).await;
-        out(&events).lines().any(|line| line.contains("i2") && line.ends_with("dead"))
+        stdout_text(&events).lines().any(|line| line.contains("i2") && line.ends_with("dead"))
     })
     .await;
     let events = run(TOOL, &["--address", &operator, "--json", "timeline"]).await;
-    let events: serde_json::Value = serde_json::from_str(&out(&events)).expect("JSON");
+    let events: serde_json::Value = serde_json::from_str(&stdout_text(&events)).expect("JSON");
     let rows = events.as_array().expect("a list");
     let stamps: Vec<u64> = rows.iter().filter_map(|row| row["stamp"].as_u64()).collect();
     assert!(stamps.is_sorted());
@@ -96,13 +108,13 @@
 }
 
 #[tokio::test]
-async fn faults_have_numbers_and_exit_codes() {
+async fn errors_have_result_codes_and_exit_codes() {
     let unreachable = run(TOOL, &["--address", "127.0.0.1:1", "service", "list"]).await;
     assert_eq!(unreachable.status.code(), Some(1));
     assert!(
-        err(&unreachable).starts_with("error 3008 OperatorUnreachable"),
+        stderr_text(&unreachable).starts_with("error 3008 OperatorUnreachable"),
         "{}",
-        err(&unreachable)
+        stderr_text(&unreachable)
     );
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("bad.json5");
@@ -110,28 +122,29 @@
     let path = dir.path().to_str().expect("a path");
     let bad = run(TOOL, &["--address", "127.0.0.1:1", "plan", path]).await;
     assert!(
-        err(&bad).contains("3007 DeclarationInvalid") && err(&bad).contains("line 3"),
+        stderr_text(&bad).contains("3007 DeclarationInvalid")
+            && stderr_text(&bad).contains("line 3"),
         "{}",
-        err(&bad)
+        stderr_text(&bad)
     );
     let completions = run(TOOL, &["completions", "bash"]).await;
-    assert!(out(&completions).contains("sorrelwick"));
+    assert!(stdout_text(&completions).contains("sorrelwick"));
 }
 
 #[tokio::test]
-async fn the_daemon_checks_settings_and_prints_defaults() {
+async fn the_daemon_validates_settings_and_prints_defaults() {
     let defaults = run(DAEMON, &["--print-defaults"]).await;
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("settings.json5");
     std::fs::write(&file, &defaults.stdout).expect("written");
     let path = file.to_str().expect("a path");
     let good = run(DAEMON, &["--settings", path, "--check"]).await;
-    assert_eq!(good.status.code(), Some(0), "{}", err(&good));
-    let broken = out(&defaults).replace("queue_max: 1000", "queue_max: 99999999");
+    assert_eq!(good.status.code(), Some(0), "{}", stderr_text(&good));
+    let broken = stdout_text(&defaults).replace("queue_max: 1000", "queue_max: 99999999");
     std::fs::write(&file, broken).expect("written");
     let bad = run(DAEMON, &["--settings", path, "--check"]).await;
     assert_eq!(bad.status.code(), Some(2));
-    assert!(err(&bad).contains("requests.queue_max"), "{}", err(&bad));
+    assert!(stderr_text(&bad).contains("requests.queue_max"), "{}", stderr_text(&bad));
     let missing = run(DAEMON, &["--settings", "/nowhere/at/all", "--check"]).await;
-    assert!(err(&missing).starts_with("1001 SettingsUnreadable"));
+    assert!(stderr_text(&missing).starts_with("1001 SettingsUnreadable"));
 }
