--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -9,7 +9,7 @@
 use sorrelwick::decide::ServerLoad;
 use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::SlotPool;
-use sorrelwick::decide::admit;
+use sorrelwick::decide::decide_admission;
 
 fn decide(c: &mut Criterion) {
     let mut group = c.benchmark_group("take and give back");
@@ -33,7 +33,7 @@
             median_service_us: 900.0,
             remaining_us: 1_000_000,
         };
-        b.iter(|| admit(std::hint::black_box(&view)));
+        b.iter(|| decide_admission(std::hint::black_box(&view)));
     });
 }
 
--- a/src/app/gateway.rs
+++ b/src/app/gateway.rs
@@ -129,7 +129,7 @@
     RetryAllowance {
         ratio: gateway.repeat_ratio * RETRY_RATIO_FACTOR,
         window_us: u64::try_from(gateway.repeat_window().as_micros()).unwrap_or(u64::MAX),
-        slack: gateway.repeat_slack * RETRY_SLACK_FACTOR,
+        slack_retries: gateway.repeat_slack * RETRY_SLACK_FACTOR,
     }
 }
 
--- a/src/balance/concurrency_limit.rs
+++ b/src/balance/concurrency_limit.rs
@@ -53,7 +53,7 @@
     /// Relative service time of requests on servers with one slot free.
     one_slot_free: MovingMean,
     /// Whether the last slot is in use. Off until the samples show that it increases throughput.
-    last_slot_pays: bool,
+    last_slot_enabled: bool,
 }
 
 impl ConcurrencyLimit {
@@ -82,8 +82,8 @@
 
     /// Whether the last slot increases throughput, as far as known.
     #[must_use]
-    pub const fn last_slot_pays(&self, slots: u32) -> bool {
-        self.last_slot_pays || slots < 2
+    pub const fn is_last_slot_enabled(&self, slots: u32) -> bool {
+        self.last_slot_enabled || slots < 2
     }
 
     /// Updates the decision if the means are clear. Between the two thresholds it stays, as noise
@@ -95,9 +95,9 @@
         let gain = 1.0 / f64::from(slots - 1);
         let slowdown = self.saturated.value / self.one_slot_free.value.max(f64::MIN_POSITIVE) - 1.0;
         if slowdown > gain {
-            self.last_slot_pays = false;
+            self.last_slot_enabled = false;
         } else if slowdown < gain * HYSTERESIS_FACTOR {
-            self.last_slot_pays = true;
+            self.last_slot_enabled = true;
         }
     }
 
@@ -116,13 +116,17 @@
     /// so that only some servers explore at any time.
     #[must_use]
     pub fn current_limit(&self, slots: u32, key: u32, now_us: u64) -> u32 {
-        if self.last_slot_pays(slots) || self.is_exploring(key, now_us) { slots } else { slots - 1 }
+        if self.is_last_slot_enabled(slots) || self.is_exploring(key, now_us) {
+            slots
+        } else {
+            slots - 1
+        }
     }
 
     /// Concurrent requests on a server with `slots` slots, without exploration.
     #[must_use]
     pub fn steady_limit(&self, slots: u32) -> u32 {
-        if self.last_slot_pays(slots) { slots } else { slots - 1 }
+        if self.is_last_slot_enabled(slots) { slots } else { slots - 1 }
     }
 
     fn is_exploring(&self, key: u32, now_us: u64) -> bool {
--- a/src/balance/retry_budget.rs
+++ b/src/balance/retry_budget.rs
@@ -11,7 +11,7 @@
     /// Length of the sliding window, in microseconds.
     pub window_us: u64,
     /// Retries allowed in addition to the ratio.
-    pub slack: f64,
+    pub slack_retries: f64,
 }
 
 /// Whether the caller can retry a request if this instance does not.
@@ -59,7 +59,7 @@
         let from_us = now_us.saturating_sub(allowance.window_us);
         remove_before(&mut self.requests_us, from_us);
         remove_before(&mut self.retries_us, from_us);
-        let allowed = allowance.ratio * self.requests_us.len() as f64 + allowance.slack;
+        let allowed = allowance.ratio * self.requests_us.len() as f64 + allowance.slack_retries;
         let share = match need {
             RetryNeed::CallerCanRetry => CALLER_CAN_RETRY_SHARE,
             RetryNeed::LastChance => 1.0,
--- a/src/balance/server_health.rs
+++ b/src/balance/server_health.rs
@@ -3,7 +3,7 @@
 use super::SendOutcome;
 
 /// Weight of one outcome in the failure rate.
-const FAILURE_WEIGHT: f64 = 0.3;
+const OUTCOME_WEIGHT: f64 = 0.3;
 /// Half-life of the failure rate without new outcomes, so that a failing server is tried again.
 const FAILURE_HALF_LIFE_US: f64 = 1_000_000.0;
 /// Weight of a refusal relative to a failure. Nothing ran, and the request is sent elsewhere at
@@ -16,12 +16,12 @@
 const EJECTION_DOUBLINGS_MAX: u32 = 4;
 /// Consecutive unanswered health checks before the server is ejected. A single one may be lost on a
 /// busy network.
-const CHECK_TIMEOUTS_MAX: u32 = 2;
+const CHECK_TIMEOUTS_TO_EJECT: u32 = 2;
 /// Ejection time after unanswered health checks.
 const CHECK_TIMEOUTS_EJECTION_US: u64 = 300_000;
 /// Broken connections in a row before the server is ejected: a single reset says little about the
 /// server.
-const BROKEN_CONNECTIONS_MAX: u32 = 3;
+const BROKEN_CONNECTIONS_TO_EJECT: u32 = 3;
 
 /// Health of one server, from sends and health checks.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
             SendOutcome::Unreachable => self.eject(now_us),
             SendOutcome::Broken => {
                 self.connection_failures += 1;
-                if self.connection_failures >= BROKEN_CONNECTIONS_MAX {
+                if self.connection_failures >= BROKEN_CONNECTIONS_TO_EJECT {
                     self.eject(now_us);
                 }
             }
@@ -79,7 +79,7 @@
             SendOutcome::Refused => REFUSAL_SAMPLE,
             _ => 1.0,
         };
-        self.failure_rate = failures + FAILURE_WEIGHT * (sample - failures);
+        self.failure_rate = failures + OUTCOME_WEIGHT * (sample - failures);
         self.failure_rate_at_us = now_us;
     }
 
@@ -125,7 +125,7 @@
     /// Records a health check without a response.
     pub fn record_check_timeout(&mut self, now_us: u64) {
         self.check_timeouts += 1;
-        if self.check_timeouts >= CHECK_TIMEOUTS_MAX {
+        if self.check_timeouts >= CHECK_TIMEOUTS_TO_EJECT {
             self.ejected_until_us = self.ejected_until_us.max(now_us + CHECK_TIMEOUTS_EJECTION_US);
         }
     }
--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -74,7 +74,7 @@
     /// usual times rise with load, so a slowdown of all requests would not show against them.
     unsaturated_times: ServiceTimes,
     /// Moving mean of the service time of all requests, in milliseconds; 0 before the first sample.
-    pub(super) mean_ms: f64,
+    pub(super) mean_service_ms: f64,
     cold_policy: ColdPolicy,
     home_set: Arc<HomeSet>,
     /// The partition that this instance prefers; `None` if it prefers none.
@@ -99,7 +99,7 @@
             concurrency_limit: ConcurrencyLimit::default(),
             service_times: ServiceTimes::default(),
             unsaturated_times: ServiceTimes::default(),
-            mean_ms: 0.0,
+            mean_service_ms: 0.0,
             cold_policy: ColdPolicy::default(),
             home_set: Arc::default(),
             subset: None,
@@ -163,7 +163,12 @@
     /// Up to `servers_max` usable servers, from the zone with this hash if it has any. The selection
     /// is stable while other servers come and go.
     #[must_use]
-    pub fn sample(&self, wanted_zone_hash: u64, servers_max: usize, now_us: u64) -> Vec<Arc<str>> {
+    pub fn usable_server_ids(
+        &self,
+        wanted_zone_hash: u64,
+        servers_max: usize,
+        now_us: u64,
+    ) -> Vec<Arc<str>> {
         let usable = |server: &&TrackedServer| {
             server.row.state == ServerState::Ready && server.in_service(now_us)
         };
@@ -391,8 +396,8 @@
             spec.target_ms,
             took_ms / sent.slowdown.max(f64::MIN_POSITIVE),
         );
-        let mean_ms = if self.mean_ms == 0.0 { took_ms } else { self.mean_ms };
-        self.mean_ms = mean_ms + 0.05 * (took_ms - mean_ms);
+        let mean_ms = if self.mean_service_ms == 0.0 { took_ms } else { self.mean_service_ms };
+        self.mean_service_ms = mean_ms + 0.05 * (took_ms - mean_ms);
     }
 
     /// What was learned about the last slot of the servers.
--- a/src/balance/service_queue.rs
+++ b/src/balance/service_queue.rs
@@ -147,7 +147,7 @@
     /// keeps only some of its slots busy.
     fn own_slots(&self, now_us: u64) -> OwnSlots {
         let share = self.own_share(now_us);
-        let mean_s = self.mean_ms / 1000.0;
+        let mean_s = self.mean_service_ms / 1000.0;
         let (mut unlimited, mut limited) = (0.0, 0.0);
         let mut all_limited = None;
         for server in self.usable_servers(now_us) {
@@ -181,7 +181,7 @@
             !other.late && other.spec.priority <= priority && by_tag
         };
         let before = self.queue.iter().filter(before).count();
-        if self.mean_ms == 0.0 {
+        if self.mean_service_ms == 0.0 {
             return 0;
         }
         let own = self.own_slots(now_us);
@@ -190,7 +190,7 @@
         if ahead == 0 {
             return 0;
         }
-        (ahead as f64 * self.mean_ms * 1000.0 / own.slots) as u64
+        (ahead as f64 * self.mean_service_ms * 1000.0 / own.slots) as u64
     }
 
     /// This instance's fraction of all requests on the servers, but at least its fair share.
@@ -255,13 +255,13 @@
     /// Sorts the queue, most urgent first. It is nearly sorted already, so this takes about one
     /// pass.
     fn sort_queue(&mut self) {
-        let before = |one: &QueuedRequest, other: &QueuedRequest| {
+        let compare = |one: &QueuedRequest, other: &QueuedRequest| {
             let urgency = |of: &QueuedRequest| (of.late, of.spec.priority);
             let by_tag = || one.tag.start_ms.total_cmp(&other.tag.start_ms);
             let by_arrival = || one.spec.arrived_us.cmp(&other.spec.arrived_us);
             urgency(one).cmp(&urgency(other)).then_with(by_tag).then_with(by_arrival)
         };
-        self.queue.sort_by(before);
+        self.queue.sort_by(compare);
     }
 
     /// Gives a free slot to the most urgent request that can use it.
--- a/src/balance/service_times.rs
+++ b/src/balance/service_times.rs
@@ -18,13 +18,13 @@
     /// The usual service time of a route; estimated from its latency target before the first
     /// sample.
     #[must_use]
-    pub fn typical_ms(&self, route: &str, aim_ms: f64) -> f64 {
-        self.by_route.get(route).copied().unwrap_or(aim_ms * INITIAL_TARGET_SHARE)
+    pub fn typical_ms(&self, route: &str, target_ms: f64) -> f64 {
+        self.by_route.get(route).copied().unwrap_or(target_ms * INITIAL_TARGET_SHARE)
     }
 
     /// Adds a sample.
-    pub fn record(&mut self, route: &str, aim_ms: f64, took_ms: f64) {
-        let before = self.typical_ms(route, aim_ms);
+    pub fn record(&mut self, route: &str, target_ms: f64, took_ms: f64) {
+        let before = self.typical_ms(route, target_ms);
         let after = before + SAMPLE_WEIGHT * (took_ms - before);
         match self.by_route.get_mut(route) {
             Some(known) => *known = after,
--- a/src/cold/cold_limit.rs
+++ b/src/cold/cold_limit.rs
@@ -16,9 +16,9 @@
     /// Requests per second that cold servers of the service tolerate.
     pub per_s: f64,
     /// Factor by which the limit may be exceeded.
-    pub overage: f64,
+    pub overage_factor: f64,
     /// Requests by which the limit may be exceeded in addition.
-    pub slack: f64,
+    pub slack_requests: f64,
 }
 
 impl ColdLimit {
@@ -31,7 +31,7 @@
         reason = "a few requests, never below zero"
     )]
     pub fn starts_per_view(&self) -> u32 {
-        let limit = self.per_s.max(0.0).mul_add(self.overage, self.slack);
+        let limit = self.per_s.max(0.0).mul_add(self.overage_factor, self.slack_requests);
         (limit / CONCURRENT_VIEWS_MAX).max(1.0) as u32
     }
 }
--- a/src/conf/gateway_settings.rs
+++ b/src/conf/gateway_settings.rs
@@ -148,8 +148,8 @@
     pub const fn quota_tolerance(&self) -> QuotaTolerance {
         QuotaTolerance {
             window_s: self.quota_window_s,
-            overage: self.quota_overage,
-            slack: self.quota_slack,
+            overage_fraction: self.quota_overage,
+            slack_requests: self.quota_slack,
         }
     }
 
--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -55,7 +55,7 @@
 
 /// Decides on a request that found no free slot.
 #[must_use]
-pub fn admit(view: &QueueView) -> Admission {
+pub fn decide_admission(view: &QueueView) -> Admission {
     let wait_us = expected_wait_us(view);
     let retry_after_ms = (wait_us / 1000).max(RETRY_AFTER_MIN_MS);
     if view.slots == 0 {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -13,7 +13,7 @@
 
 pub use admit::Admission;
 pub use admit::QueueView;
-pub use admit::admit;
+pub use admit::decide_admission;
 pub use choose_server::choose_server;
 pub use hedge::HEDGE_SHARE;
 pub use hedge::hedge_delay_us;
--- a/src/decide/quantile.rs
+++ b/src/decide/quantile.rs
@@ -1,7 +1,7 @@
 //! A streaming estimate of one quantile in constant space.
 
 /// Maximum change of the estimate by one sample, as a fraction of the estimate.
-const STEP: f32 = 0.05;
+const STEP_SHARE: f32 = 0.05;
 
 /// Moves up by `p` steps for a larger sample and down by `1 - p` steps for a smaller one, so that
 /// it settles where a fraction `p` of the samples is smaller.
@@ -26,7 +26,7 @@
             self.value = sample;
             return;
         }
-        let step = STEP * self.value.max(1.0);
+        let step = STEP_SHARE * self.value.max(1.0);
         if sample > self.value {
             self.value += step * self.p;
         } else {
--- a/src/decide/ratio_budget.rs
+++ b/src/decide/ratio_budget.rs
@@ -26,13 +26,13 @@
 
     /// Whether a token for another attempt is left.
     #[must_use]
-    pub const fn has_left(&self) -> bool {
+    pub const fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
     /// Takes a token for an attempt; returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
-        let left = self.has_left();
+        let left = self.has_token();
         if left {
             self.tokens -= 1.0;
         }
--- a/src/decide/server_load.rs
+++ b/src/decide/server_load.rs
@@ -1,17 +1,17 @@
 //! Load of one backend server as this instance knows it.
 
 /// Consecutive failures after which a server is ejected.
-const EJECT_AFTER: u32 = 3;
+const FAILURES_TO_EJECT: u32 = 3;
 /// First ejection time; doubles with each ejection in a row.
-const EJECT_BASE_MS: u64 = 500;
+const EJECTION_BASE_MS: u64 = 500;
 /// Maximum number of doublings of the ejection time.
-const EJECT_DOUBLINGS_MAX: u32 = 6;
+const EJECTION_DOUBLINGS_MAX: u32 = 6;
 /// A new or returning server reaches its full limit only after this time.
 const RAMP_UP_MS: u64 = 1_000;
 /// Factor on the concurrency limit after a refusal.
-const LIMIT_DECREASE: f32 = 0.7;
+const LIMIT_DECREASE_FACTOR: f32 = 0.7;
 /// Weight of a sample in the moving average of the latency.
-const LATENCY_WEIGHT: f32 = 0.2;
+const LATENCY_SAMPLE_WEIGHT: f32 = 0.2;
 /// A latency older than this is ignored, so that the server is tried again.
 pub(super) const LATENCY_AGE_MAX_US: u64 = 1_000_000;
 /// A server in use is stalled after this many median service times without progress.
@@ -123,13 +123,13 @@
     #[must_use]
     pub fn current_limit(&self, now_us: u64) -> u32 {
         let age_us = now_us.saturating_sub(self.ramp_up_from_us);
-        let whole = self.concurrency_limit.max(1.0);
+        let full_limit = self.concurrency_limit.max(1.0);
         if age_us >= RAMP_UP_MS * 1000 {
-            return floor(whole);
+            return floor(full_limit);
         }
         #[expect(clippy::cast_precision_loss, reason = "a share needs no more precision")]
         let share = age_us as f32 / (RAMP_UP_MS * 1000) as f32;
-        floor((whole * share).max(1.0))
+        floor((full_limit * share).max(1.0))
     }
 
     /// Whether the server has a slot that this instance may take now.
@@ -203,7 +203,7 @@
     }
 
     fn record_refusal(&mut self) {
-        self.concurrency_limit = (self.concurrency_limit * LIMIT_DECREASE).max(1.0);
+        self.concurrency_limit = (self.concurrency_limit * LIMIT_DECREASE_FACTOR).max(1.0);
     }
 
     fn record_answer(&mut self, latency_us: u64, now_us: u64) {
@@ -217,7 +217,7 @@
         if self.latency_us == 0.0 || stale {
             self.latency_us = latency;
         }
-        self.latency_us += LATENCY_WEIGHT * (latency - self.latency_us);
+        self.latency_us += LATENCY_SAMPLE_WEIGHT * (latency - self.latency_us);
         #[expect(clippy::cast_precision_loss, reason = "slots are at most 10,000")]
         let slots = self.slots as f32;
         self.concurrency_limit = (self.concurrency_limit + 1.0 / self.concurrency_limit).min(slots);
@@ -227,13 +227,13 @@
     /// requests, so it is ejected after a few failures in a row, each time for longer.
     fn record_failure(&mut self, may_eject: bool, now_us: u64) {
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= EJECT_AFTER && may_eject {
-            let doublings = self.ejections.min(EJECT_DOUBLINGS_MAX);
-            self.ejected_until_us = now_us + ((EJECT_BASE_MS * 1000) << doublings);
+        if self.consecutive_failures >= FAILURES_TO_EJECT && may_eject {
+            let doublings = self.ejections.min(EJECTION_DOUBLINGS_MAX);
+            self.ejected_until_us = now_us + ((EJECTION_BASE_MS * 1000) << doublings);
             self.ejections += 1;
             self.ramp_up_from_us = self.ejected_until_us;
             // After the ejection a single failure ejects it again.
-            self.consecutive_failures = EJECT_AFTER - 1;
+            self.consecutive_failures = FAILURES_TO_EJECT - 1;
         }
     }
 
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -243,9 +243,9 @@
         let mut state = self.state.lock();
         let ServerRow { id, service, slots, .. } = &server.row;
         if let Some(pool) = state.pools.get_mut(service) {
-            let before = pool.concurrency_limit().last_slot_pays(*slots);
+            let before = pool.concurrency_limit().is_last_slot_enabled(*slots);
             pool.finish_request(id, ticket, spec, outcome, now_us());
-            let after = pool.concurrency_limit().last_slot_pays(*slots);
+            let after = pool.concurrency_limit().is_last_slot_enabled(*slots);
             if before != after {
                 let (full, below) = pool.concurrency_limit().mean_ratios();
                 info!(
--- a/src/gateway/dispatcher_servers.rs
+++ b/src/gateway/dispatcher_servers.rs
@@ -167,7 +167,7 @@
         state
             .pools
             .values()
-            .flat_map(|pool| pool.sample(zone, SAMPLE_SERVERS_MAX, now_us))
+            .flat_map(|pool| pool.usable_server_ids(zone, SAMPLE_SERVERS_MAX, now_us))
             .collect()
     }
 
--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -107,7 +107,10 @@
     #[expect(clippy::cast_precision_loss, reason = "a small number of homes")]
     fn own_retry_allowance(&self) -> RetryAllowance {
         let sharers = self.budget_sharers.load(Ordering::Acquire) as f64;
-        RetryAllowance { slack: self.retry_allowance.slack / sharers, ..self.retry_allowance }
+        RetryAllowance {
+            slack_retries: self.retry_allowance.slack_retries / sharers,
+            ..self.retry_allowance
+        }
     }
 
     /// Total slots of all servers of these services. An entry may name an undeclared service, whose
--- a/src/gateway/quota_limiter.rs
+++ b/src/gateway/quota_limiter.rs
@@ -83,7 +83,7 @@
             return Ok(self.token(workspace));
         }
         if asked > 0 {
-            self.quotas.note_no_lender(workspace, now_us());
+            self.quotas.record_no_lender(workspace, now_us());
         }
         self.board.counters.add(Counter::OverQuota);
         info!(
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -99,7 +99,11 @@
         let gateway = self.board.settings.gateway.as_ref();
         let (overage, slack) = gateway.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
         let rule = |service: &ServiceConfig| ColdPolicy {
-            limit: service.cold_per_s.map(|per_s| ColdLimit { per_s, overage, slack }),
+            limit: service.cold_per_s.map(|per_s| ColdLimit {
+                per_s,
+                overage_factor: overage,
+                slack_requests: slack,
+            }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
         };
         table.services.iter().map(|(name, service)| (Arc::clone(name), rule(service))).collect()
--- a/src/limit/rate_limit.rs
+++ b/src/limit/rate_limit.rs
@@ -11,9 +11,9 @@
 /// Window over which a server measures its limit, in seconds.
 const SERVER_WINDOW_S: f64 = 4.0;
 /// Factor by which a server tolerates more than its limit within [`SERVER_WINDOW_S`].
-const OVERAGE: f64 = 1.5;
+const OVERAGE_FACTOR: f64 = 1.5;
 /// Requests that a server tolerates in addition within [`SERVER_WINDOW_S`].
-const SLACK: f64 = 5.0;
+const SLACK_REQUESTS: f64 = 5.0;
 /// Maximum fraction of the tolerated requests that is used, however many homes there are, as more
 /// than one of them may be replaced at the same time.
 const TOLERATED_SHARE_MAX: f64 = 2.0 / 3.0;
@@ -50,7 +50,9 @@
     pub fn starts_tolerated(self, homes: u32) -> u32 {
         let homes = f64::from(homes.max(1));
         let share = (homes / (homes + 1.0)).min(TOLERATED_SHARE_MAX);
-        self.at_least_one(self.per_s.mul_add(OVERAGE * SERVER_WINDOW_S, SLACK) * share)
+        self.at_least_one(
+            self.per_s.mul_add(OVERAGE_FACTOR * SERVER_WINDOW_S, SLACK_REQUESTS) * share,
+        )
     }
 
     #[expect(
--- a/src/quota/quota_tolerance.rs
+++ b/src/quota/quota_tolerance.rs
@@ -15,16 +15,16 @@
     /// Length of the window in seconds.
     pub window_s: f64,
     /// Tolerated excess as a fraction of what the quota allows in a window.
-    pub overage: f64,
+    pub overage_fraction: f64,
     /// Further tolerated excess in requests per window.
-    pub slack: f64,
+    pub slack_requests: f64,
 }
 
 impl QuotaTolerance {
     /// Requests tolerated beyond the quota in a window.
     fn excess_max(&self, workspace: &Workspace) -> f64 {
         let in_window = workspace.rate_per_s.mul_add(self.window_s, workspace.burst);
-        in_window.mul_add(self.overage, self.slack)
+        in_window.mul_add(self.overage_fraction, self.slack_requests)
     }
 
     /// Tokens added per second, over all instances. Any window may contain one burst, so a workspace that
--- a/src/quota/quotas.rs
+++ b/src/quota/quotas.rs
@@ -141,7 +141,7 @@
     }
 
     /// Records that none of the lenders had tokens to spare.
-    pub fn note_no_lender(&self, workspace: &Workspace, now_us: u64) {
+    pub fn record_no_lender(&self, workspace: &Workspace, now_us: u64) {
         if let Some(bucket) = self.state.lock().buckets.get_mut(&workspace.name) {
             bucket.no_lender_until_us = now_us + NO_LENDER_BACKOFF_US;
         }
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -22,7 +22,7 @@
 use crate::decide::QueueView;
 use crate::decide::ServerScope;
 use crate::decide::SlotPool;
-use crate::decide::admit;
+use crate::decide::decide_admission;
 use crate::decide::hedge_delay_us;
 use crate::model::Preference;
 use crate::model::Service;
@@ -192,7 +192,7 @@
             median_service_us: state.pool.median_service_us(),
             remaining_us,
         };
-        let max_wait = match admit(&view) {
+        let max_wait = match decide_admission(&view) {
             Admission::Wait { at_most_us } => Duration::from_micros(at_most_us),
             refusal => return EnqueueResult::Rejected(refusal),
         };
@@ -216,7 +216,7 @@
     /// Whether the retry budget has a token.
     #[must_use]
     pub fn has_retry_left(&self) -> bool {
-        self.state.lock().pool.retry_budget.has_left()
+        self.state.lock().pool.retry_budget.has_token()
     }
 
     /// How long after its start an attempt is hedged; `None` for never.
--- a/standins/src/trial/model.rs
+++ b/standins/src/trial/model.rs
@@ -10,8 +10,8 @@
 use sorrelwick::decide::AttemptOutcome;
 use sorrelwick::decide::QueueView;
 use sorrelwick::decide::ServerScope;
-use sorrelwick::decide::admit;
 use sorrelwick::decide::baseline;
+use sorrelwick::decide::decide_admission;
 use sorrelwick::decide::hedge_delay_us;
 use sorrelwick::model::Preference;
 
@@ -283,7 +283,7 @@
             median_service_us: self.homes[home].pool.median_service_us(),
             remaining_us: self.scene.deadline_us.saturating_sub(waited),
         };
-        match admit(&view) {
+        match decide_admission(&view) {
             Admission::Wait { at_most_us } => {
                 self.count_misplaced();
                 self.requests[request].waiting = true;
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -281,8 +281,11 @@
 #[test]
 fn retries_of_all_homes_stay_within_the_operators_budget() {
     let (window_us, ratio, slack, homes) = (10_000 * MS, 0.2, 64.0, 3);
-    let allowance =
-        RetryAllowance { ratio: ratio * 0.9, window_us, slack: slack * 0.7 / f64::from(homes) };
+    let allowance = RetryAllowance {
+        ratio: ratio * 0.9,
+        window_us,
+        slack_retries: slack * 0.7 / f64::from(homes),
+    };
     common::property(60, |u| {
         let mut budgets: Vec<RetryBudget> = (0..homes).map(|_| RetryBudget::default()).collect();
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
@@ -409,7 +412,7 @@
 /// use the whole budget, nothing would be left for the callers' retries.
 #[test]
 fn the_retry_budget_is_reserved_for_requests_that_callers_have_retried() {
-    let allowance = RetryAllowance { ratio: 0.18, window_us: 10_000 * MS, slack: 10.0 };
+    let allowance = RetryAllowance { ratio: 0.18, window_us: 10_000 * MS, slack_retries: 10.0 };
     let mut rng = Pcg64::seed_from_u64(7);
     let mut budget = RetryBudget::default();
     let mut returning = std::collections::VecDeque::new();
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -26,7 +26,7 @@
 
 const MS: u64 = 1_000;
 const SECOND_US: u64 = 1_000_000;
-const LIMIT: ColdLimit = ColdLimit { per_s: 4.8, overage: 1.5, slack: 8.0 };
+const LIMIT: ColdLimit = ColdLimit { per_s: 4.8, overage_factor: 1.5, slack_requests: 8.0 };
 /// `LIMIT` in whole requests.
 const REQUESTS_MAX: usize = 15;
 const WARMUP_MS: u64 = 3_000;
@@ -46,8 +46,8 @@
     common::property(400, |u| {
         let bound = ColdLimit {
             per_s: f64::from(u.int_in_range(0..=400)?) / 10.0,
-            overage: f64::from(u.int_in_range(10..=30)?) / 10.0,
-            slack: f64::from(u.int_in_range(3..=40)?),
+            overage_factor: f64::from(u.int_in_range(10..=30)?) / 10.0,
+            slack_requests: f64::from(u.int_in_range(3..=40)?),
         };
         let key: u32 = u.arbitrary()?;
         let mut sum = 0;
@@ -59,7 +59,10 @@
                 .map(|own| share(&homes, *own).start_share(key).of(bound.starts_per_view()))
                 .sum::<u32>();
         }
-        assert!(f64::from(sum) <= bound.per_s * bound.overage + bound.slack, "{sum}: {bound:?}");
+        assert!(
+            f64::from(sum) <= bound.per_s * bound.overage_factor + bound.slack_requests,
+            "{sum}: {bound:?}"
+        );
         Ok(())
     });
 }
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -22,7 +22,7 @@
 use sorrelwick::peer::ServerLoads;
 
 const RETRY_ALLOWANCE: RetryAllowance =
-    RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+    RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack_retries: 10.0 };
 
 fn row(number: usize, slots: u32) -> ServerRow {
     ServerRow {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -9,9 +9,9 @@
 use sorrelwick::decide::ServerLoad;
 use sorrelwick::decide::ServerScope;
 use sorrelwick::decide::SlotPool;
-use sorrelwick::decide::admit;
 use sorrelwick::decide::baseline;
 use sorrelwick::decide::choose_server;
+use sorrelwick::decide::decide_admission;
 use sorrelwick::decide::may_retry;
 use standins::trial::Policy;
 use standins::trial::Scene;
@@ -181,7 +181,7 @@
             median_service_us: f32::from(u.arbitrary::<u16>()?),
             remaining_us: u.int_in_range(0..=2_000_000)?,
         };
-        match admit(&view) {
+        match decide_admission(&view) {
             Admission::Wait { at_most_us } => {
                 assert!(view.slots > 0 && view.waiting < view.waiting_max);
                 assert!(at_most_us > 0 && at_most_us <= view.remaining_us);
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -31,7 +31,8 @@
 /// Half of the default time limit for evacuations.
 const APPLY_MAX: Duration = Duration::from_millis(2_500);
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const ALLOWANCE: RetryAllowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+const ALLOWANCE: RetryAllowance =
+    RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack_retries: 10.0 };
 
 fn row(id: &str, zone: &str) -> ServerRow {
     // Each server has an address of its own.
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -118,7 +118,7 @@
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
-    let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+    let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack_retries: 10.0 };
     let dispatcher = Dispatcher::new("a", allowance);
     (1..=SERVERS).for_each(|port| dispatcher.list_server(server(port)));
     let servers = dispatcher.servers();
@@ -174,7 +174,7 @@
         board.members.lock().merge(&row, 1_000);
     }
     board.publish_members();
-    let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+    let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack_retries: 10.0 };
     let dispatcher = Dispatcher::new("a", allowance);
     dispatcher.list_server(server(1));
     let links = Recorder::default();
--- a/tests/quota_schedules.rs
+++ b/tests/quota_schedules.rs
@@ -18,7 +18,8 @@
 use sorrelwick::quota::Quotas;
 use sorrelwick::workspace::Workspace;
 
-const TOLERANCE: QuotaTolerance = QuotaTolerance { window_s: 5.0, overage: 0.1, slack: 20.0 };
+const TOLERANCE: QuotaTolerance =
+    QuotaTolerance { window_s: 5.0, overage_fraction: 0.1, slack_requests: 20.0 };
 /// `TOLERANCE.window_s` in milliseconds.
 const WINDOW_MS: u64 = 5_000;
 /// Number of seeds; `SORRELWICK_SCHEDULES` overrides it.
@@ -190,7 +191,7 @@
             }
         }
         if asked_lenders {
-            self.instances[at].quotas.note_no_lender(&self.workspace, now_us);
+            self.instances[at].quotas.record_no_lender(&self.workspace, now_us);
         }
         false
     }
@@ -236,7 +237,7 @@
 
     fn allowed_in_window(&self) -> f64 {
         let in_window = self.workspace.rate_per_s.mul_add(TOLERANCE.window_s, self.workspace.burst);
-        in_window.mul_add(1.0 + TOLERANCE.overage, TOLERANCE.slack)
+        in_window.mul_add(1.0 + TOLERANCE.overage_fraction, TOLERANCE.slack_requests)
     }
 }
 
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -27,7 +27,7 @@
 
 impl Bed {
     fn new() -> Self {
-        let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack: 10.0 };
+        let allowance = RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack_retries: 10.0 };
         let dispatcher = Dispatcher::new("z", allowance);
         let mirror = Mirror::new(ServerSink::new(PlainDialect::default(), dispatcher.clone()));
         Self { dispatcher, mirror, revision: 0 }
