--- a/src/gateway/dispatcher_shares.rs
+++ b/src/gateway/dispatcher_shares.rs
@@ -21,7 +21,7 @@
     clippy::cast_sign_loss,
     reason = "a share of an integer"
 )]
-fn connection_share(config: &ServiceConfig, share: f64) -> u32 {
+fn own_connections_max(config: &ServiceConfig, share: f64) -> u32 {
     (f64::from(config.connections_max) * share).max(1.0) as u32
 }
 
@@ -29,9 +29,9 @@
     /// Passes the limits for servers that warm up or recover, and this instance's share of them, to
     /// the pool of a service.
     pub(super) fn update_start_limits(&mut self, service: &Arc<str>) {
-        let rule = self.cold_policies.get(service).copied().unwrap_or_default();
+        let policy = self.cold_policies.get(service).copied().unwrap_or_default();
         let pool = self.pools.entry(Arc::clone(service)).or_default();
-        pool.set_start_limits(rule, &self.home_set);
+        pool.set_start_limits(policy, &self.home_set);
     }
 
     fn update_all_start_limits(&mut self) {
@@ -75,7 +75,7 @@
         let mut state = self.state.lock();
         let DispatcherState { pools, servers, .. } = &mut *state;
         let own_max = |service: &str| {
-            services.get(service).map_or(u32::MAX, |config| connection_share(config, share))
+            services.get(service).map_or(u32::MAX, |config| own_connections_max(config, share))
         };
         for (service, pool) in pools.iter_mut() {
             // One connection is reserved for health checks.
--- a/src/gateway/follower_start.rs
+++ b/src/gateway/follower_start.rs
@@ -28,8 +28,8 @@
 
 /// How long a starting instance waits for a peer's mirror before it uses a possibly stale read, and
 /// how much longer if it knows another instance, which probably has one.
-const PEER_COPY_TIMEOUT: Duration = Duration::from_millis(60);
-const JOINED_PEER_COPY_TIMEOUT: Duration = Duration::from_millis(200);
+const PEER_MIRROR_TIMEOUT: Duration = Duration::from_millis(60);
+const JOINED_PEER_MIRROR_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long an instance looks for others before it assumes that it is alone. Seeds start some 0.3 s
 /// apart, and a seed that is not running refuses the connection at once.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_millis(300);
@@ -96,7 +96,7 @@
     /// would refuse callers until then. Data that is seconds old is acceptable briefly: nobody
     /// relies on a process that was down for longer than that to have the newest version at once.
     async fn load_from_peer_or_stale_read(&self) {
-        let _ = tokio::time::timeout(PEER_COPY_TIMEOUT, self.load_from_peers()).await;
+        let _ = tokio::time::timeout(PEER_MIRROR_TIMEOUT, self.load_from_peers()).await;
         let first_start = self.board.settings.gateway.as_ref().is_some_and(|one| one.first_start);
         // When hundreds of instances start together, each considers itself a home until it knows
         // another one.
@@ -104,7 +104,7 @@
             return;
         }
         if self.board.members_view().running_count() > 1 {
-            let _ = tokio::time::timeout(JOINED_PEER_COPY_TIMEOUT, self.load_from_peers()).await;
+            let _ = tokio::time::timeout(JOINED_PEER_MIRROR_TIMEOUT, self.load_from_peers()).await;
         }
         tokio::select! {
             () = self.apply_stale_read() => {}
--- a/src/gateway/homes.rs
+++ b/src/gateway/homes.rs
@@ -80,8 +80,8 @@
 pub fn home_index(board: &Blackboard, plan: HomesPlan) -> Option<(usize, usize)> {
     let view = board.members_view();
     let homes = homes_of_zone(&view, &board.settings.instance.zone, plan);
-    let place = homes.iter().position(|row| row.incarnation == board.incarnation)?;
-    Some((place, homes.len()))
+    let index = homes.iter().position(|row| row.incarnation == board.incarnation)?;
+    Some((index, homes.len()))
 }
 
 /// Whether this instance is a home of its zone.
--- a/src/gateway/relays.rs
+++ b/src/gateway/relays.rs
@@ -54,9 +54,9 @@
 /// The relays that this instance asks for changes: the first home of its zone, then the watchers.
 pub fn relay_addresses(board: &Blackboard) -> PeerAddresses {
     let view = board.members_view();
-    let nearest = view.ranked(&board.settings.instance.zone).first();
+    let zone_first_home = view.ranked(&board.settings.instance.zone).first();
     let members: Vec<Arc<MemberRow>> =
-        nearest.into_iter().chain(watchers(&view)).cloned().collect();
+        zone_first_home.into_iter().chain(watchers(&view)).cloned().collect();
     other_addresses(board, &members)
 }
 
--- a/src/gateway/server_list_holders.rs
+++ b/src/gateway/server_list_holders.rs
@@ -23,9 +23,9 @@
     let view = board.members_view();
     let zone = &board.settings.instance.zone;
     let holders = homes_of_zone(&view, zone, plan).len() + STANDBYS_PER_ZONE;
-    let near = view.ranked(zone).iter().take(holders);
+    let zone_holders = view.ranked(zone).iter().take(holders);
     let own = board.incarnation;
-    let is_near = near.into_iter().any(|row| row.incarnation == own);
+    let is_zone_holder = zone_holders.into_iter().any(|row| row.incarnation == own);
     // Another zone may have borrowed this instance as a home.
-    is_near || all_homes(&view, plan).iter().any(|row| row.incarnation == own)
+    is_zone_holder || all_homes(&view, plan).iter().any(|row| row.incarnation == own)
 }
--- a/src/route/proxy_request.rs
+++ b/src/route/proxy_request.rs
@@ -67,7 +67,7 @@
 
     /// The head of this request for forwarding to another instance.
     #[must_use]
-    pub fn pass_head(&self, stage: ForwardStage) -> ForwardHead {
+    pub fn forward_head(&self, stage: ForwardStage) -> ForwardHead {
         ForwardHead {
             service: self.service.clone(),
             fingerprints: self.fingerprints,
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -138,7 +138,7 @@
         proxy_request: &ProxyRequest,
         stage: ForwardStage,
     ) -> Result<Answer, PeerError> {
-        let head = proxy_request.pass_head(stage);
+        let head = proxy_request.forward_head(stage);
         let within = Duration::from_micros(proxy_request.remaining_us()) + FORWARD_GRACE;
         let buffer_bytes = self.board.settings.requests.answer_buffer_bytes;
         let forwarded = async {
