--- a/src/app/daemon_peer_service.rs
+++ b/src/app/daemon_peer_service.rs
@@ -39,6 +39,7 @@
 }
 
 impl DaemonPeerService {
+    /// Replies with the revisions of all services if the peer's digest differs.
     fn compare_digest(&self, digest: u64) -> PeerReply {
         let catalog = self.router.board.catalog.lock();
         if catalog.digest() == digest {
@@ -47,6 +48,7 @@
         PeerReply::Summary(catalog.summary())
     }
 
+    /// Records a peer's load and replies with the number of slots free here.
     fn record_load(&self, note: &LoadNote) -> PeerReply {
         let services = self.router.board.services();
         PeerReply::FreeSlots(
@@ -56,6 +58,7 @@
         )
     }
 
+    /// Closes or reopens a backend server that a peer has seen draining or back.
     fn set_leaving(&self, service: &str, server: &str, leaving: bool) -> PeerReply {
         let board = &self.router.board;
         let Some(state) = board.services().get(service).cloned() else {
@@ -67,6 +70,7 @@
         PeerReply::Done
     }
 
+    /// Takes over a part of the outcomes of an instance that is stopping.
     fn adopt(&self, part: OwnerSnapshot, last: bool) -> PeerReply {
         let board = &self.router.board;
         let from = part.incarnation;
@@ -110,8 +114,8 @@
                 apply_platform_list(board, &leaving.into_iter().collect());
                 PeerReply::Done
             }
-            PeerRequest::Grant(asked) => {
-                PeerReply::Granted(grant_tokens(board, &self.shard, &self.buckets, &asked))
+            PeerRequest::Grant(request) => {
+                PeerReply::Granted(grant_tokens(board, &self.shard, &self.buckets, &request))
             }
             PeerRequest::Suspects { records: rows, complete: all } => {
                 PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
--- a/src/app/graceful_stop.rs
+++ b/src/app/graceful_stop.rs
@@ -61,14 +61,14 @@
         .rows
         .iter()
         .filter(|row| row.incarnation != board.incarnation && row.state == MemberState::Alive);
-    let born_ms = |incarnation| board.members.lock().started_ms(incarnation).unwrap_or(u64::MAX);
+    let started_ms = |incarnation| board.members.lock().started_ms(incarnation).unwrap_or(u64::MAX);
     let preference =
-        |row: &&Arc<MemberRow>| (row.zone == *own_zone, Reverse(born_ms(row.incarnation)));
+        |row: &&Arc<MemberRow>| (row.zone == *own_zone, Reverse(started_ms(row.incarnation)));
     let successor = candidates.max_by_key(preference)?;
     let mut count = 0;
-    for record in board.outcomes.close() {
-        count += record.rows.len();
-        if !send_snapshot(links, successor.peer_address, &record).await {
+    for snapshot in board.outcomes.close() {
+        count += snapshot.rows.len();
+        if !send_snapshot(links, successor.peer_address, &snapshot).await {
             return None;
         }
     }
@@ -77,16 +77,16 @@
 }
 
 /// Sends a snapshot in parts; a final, empty part marks the end.
-async fn send_snapshot(links: &Links, to: SocketAddr, record: &OwnerSnapshot) -> bool {
+async fn send_snapshot(links: &Links, to: SocketAddr, snapshot: &OwnerSnapshot) -> bool {
     let closed_ms = now_ms();
     // A row whose response is too large for a message is sent without it: that the key ran must
     // not be lost.
     let rows: Vec<HandoverRow> =
-        record.rows.iter().map(HandoverRow::without_oversized_answer).collect();
+        snapshot.rows.iter().map(HandoverRow::without_oversized_answer).collect();
     let parts = split_rows(&rows).into_iter().map(|rows| (rows, false));
     for (rows, last) in parts.chain([(Vec::new(), true)]) {
-        let uptime_ms = record.uptime_ms + now_ms().saturating_sub(closed_ms);
-        let part = OwnerSnapshot { uptime_ms, rows, ..*record };
+        let uptime_ms = snapshot.uptime_ms + now_ms().saturating_sub(closed_ms);
+        let part = OwnerSnapshot { uptime_ms, rows, ..*snapshot };
         let request = PeerRequest::HandOver { part, last };
         if links.call(to, &request, HAND_OVER_TIMEOUT).await.is_err() {
             return false;
--- a/src/cli/json_line_writer.rs
+++ b/src/cli/json_line_writer.rs
@@ -35,8 +35,9 @@
 /// the rate limit.
 #[derive(Debug)]
 pub struct JsonLineWriter {
+    /// Name of the instance, which every line carries.
     instance: String,
-    second: Mutex<RateWindow>,
+    window: Mutex<RateWindow>,
     /// Lines dropped since the last one that was written.
     dropped: AtomicU64,
 }
@@ -72,17 +73,17 @@
     /// Creates a writer whose lines carry `instance` as their source.
     #[must_use]
     pub fn new(instance: &str) -> Self {
-        Self { instance: instance.into(), second: Mutex::default(), dropped: AtomicU64::new(0) }
+        Self { instance: instance.into(), window: Mutex::default(), dropped: AtomicU64::new(0) }
     }
 
     fn may_write(&self) -> bool {
         let now_ms = crate::clock::now_ms();
-        let mut second = self.second.lock();
-        if now_ms.saturating_sub(second.started_ms) >= SECOND_MS {
-            *second = RateWindow { started_ms: now_ms, lines: 0 };
+        let mut window = self.window.lock();
+        if now_ms.saturating_sub(window.started_ms) >= SECOND_MS {
+            *window = RateWindow { started_ms: now_ms, lines: 0 };
         }
-        second.lines += 1;
-        second.lines <= LINES_PER_S_MAX && stdout_is_writable()
+        window.lines += 1;
+        window.lines <= LINES_PER_S_MAX && stdout_is_writable()
     }
 }
 
--- a/src/cli/run_daemon.rs
+++ b/src/cli/run_daemon.rs
@@ -93,14 +93,14 @@
 /// Runs a daemon until a signal stops it.
 #[must_use]
 pub fn run_daemon() -> ExitCode {
-    let start = match load_startup(None) {
-        Ok(start) => start,
+    let startup = match load_startup(None) {
+        Ok(startup) => startup,
         Err(code) => return code,
     };
     match Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(async {
-            let daemon = Daemon::spawn(start.settings).await;
-            serve(daemon, &start.path, &start.logger).await
+            let daemon = Daemon::spawn(startup.settings).await;
+            serve(daemon, &startup.path, &startup.logger).await
         }),
         Err(err) => report_startup_error("runtime", err),
     }
@@ -116,18 +116,18 @@
     variable: &str,
     open_store: impl FnOnce(std::net::SocketAddr, Duration) -> S,
 ) -> ExitCode {
-    let start = match load_startup(Some(variable)) {
-        Ok(start) => start,
+    let startup = match load_startup(Some(variable)) {
+        Ok(startup) => startup,
         Err(code) => return code,
     };
-    let Some(gateway) = &start.settings.gateway else {
+    let Some(gateway) = &startup.settings.gateway else {
         return report_startup_error("gateway", "the section is missing in the settings");
     };
     let store = open_store(gateway.store, Duration::from_millis(gateway.store_call_timeout_ms));
     match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(async {
-            let gateway = Gateway::spawn(start.settings, dialect, store).await;
-            serve(gateway, &start.path, &start.logger).await
+            let gateway = Gateway::spawn(startup.settings, dialect, store).await;
+            serve(gateway, &startup.path, &startup.logger).await
         }),
         Err(err) => report_startup_error("runtime", err),
     }
--- a/src/command/changes.rs
+++ b/src/command/changes.rs
@@ -33,9 +33,9 @@
             }
         }
         Value::Array(items) => {
-            for (at, item) in items.iter().enumerate() {
+            for (index, item) in items.iter().enumerate() {
                 let name = ["id", "name"].iter().find_map(|key| item.get(key)?.as_str());
-                let name = name.map_or_else(|| at.to_string(), str::to_owned);
+                let name = name.map_or_else(|| index.to_string(), str::to_owned);
                 flatten(&format!("{prefix}[{name}]"), item, rows);
             }
         }
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -30,7 +30,7 @@
     versions: BTreeMap<(String, u64), String>,
     /// Lines on each content fingerprint of requests to which servers gave no response.
     content_lines: BTreeMap<String, Vec<LogLine>>,
-    /// Lines that report how many lines the instance dropped before them.
+    /// Lines with a count of lines that the instance dropped before them.
     dropped: Vec<LogLine>,
 }
 
@@ -99,8 +99,8 @@
     let mut context = Context::default();
     let mut request_lines = Vec::new();
     let read = read_log_lines(files, |line| {
-        // The check of its server after a failed send ends after the request; its lines name the
-        // request in another field than `id`.
+        // The check of a server that gave no response ends after the request. Its line is not one
+        // of the request's own and names the request in the field `request`.
         if line.text("id") == id || line.text("request") == id {
             request_lines.push(line);
         } else {
--- a/src/conf/check.rs
+++ b/src/conf/check.rs
@@ -21,6 +21,7 @@
 const DURATION_MAX_S: f64 = 3_600.0;
 /// Least memory limit: with less, there is no room for connections beside the program itself.
 const MEMORY_MIN_MB: f64 = 16.0;
+/// Largest memory limit.
 const MEMORY_MAX_MB: f64 = 1e6;
 /// The log levels.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
--- a/src/conf/gateway_settings.rs
+++ b/src/conf/gateway_settings.rs
@@ -40,13 +40,13 @@
     /// Length of the sliding window in which a workspace's quota is checked.
     #[serde(default = "quota_window_default")]
     pub quota_window_s: f64,
-    /// Part of a workspace's quota that it may exceed over all instances together; 0.1 is 10%.
+    /// Fraction by which a workspace may exceed its quota, over all instances together; 0.1 is 10%.
     #[serde(default)]
     pub quota_overage: f64,
-    /// Requests that a workspace may send beyond that in a window.
+    /// Requests per window that a workspace may send beyond that.
     #[serde(default)]
     pub quota_slack: f64,
-    /// Factor on the rate that its service allows for a server in warm-up.
+    /// Factor on the request rate that a service allows for each server in warm-up.
     #[serde(default = "cold_overage_default")]
     pub cold_overage: f64,
     /// Requests that a server in warm-up may get beyond that.
@@ -90,6 +90,7 @@
     5.0
 }
 
+/// Default of the drain time and of the time to apply a configuration, in milliseconds.
 const fn apply_default() -> u64 {
     2_000
 }
--- a/tests/listeners.rs
+++ b/tests/listeners.rs
@@ -124,8 +124,8 @@
     let at = bed.add_daemon_with(|s| s.operators.token = "a token of sixteen or more".into()).await;
     let address = bed.daemon(at).board().settings.listen.operator.to_string();
     for token in ["", "a wrong token of some length"] {
-        let mut stranger = ToolClient::open(&address, token).expect("an address");
-        assert_eq!(stranger.list().await.expect_err("refused").code, Code::Unauthenticated);
+        let mut unauthenticated = ToolClient::open(&address, token).expect("an address");
+        assert_eq!(unauthenticated.list().await.expect_err("refused").code, Code::Unauthenticated);
     }
     let mut operator =
         ToolClient::open(&address, "a token of sixteen or more").expect("an address");
