--- a/src/balance/available_server.rs
+++ b/src/balance/available_server.rs
@@ -2,7 +2,7 @@
 
 use super::ServicePool;
 
-/// Minimum time between scans of all servers while no server of the subset can be used.
+/// Minimum time between scans of all servers while no preferred server can take a request.
 const FULL_SCAN_INTERVAL_US: u64 = 5_000;
 
 /// A server that can take another request.
--- a/src/balance/concurrency_limit.rs
+++ b/src/balance/concurrency_limit.rs
@@ -48,11 +48,12 @@
 /// running as with `n - 1`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConcurrencyLimit {
-    /// Relative service time of requests on saturated servers.
+    /// Service time, relative to the usual one, of requests whose server had all slots in use.
     saturated: MovingMean,
-    /// Relative service time of requests on servers with one slot free.
+    /// Service time, relative to the usual one, of requests whose server had one slot free.
     one_slot_free: MovingMean,
-    /// Whether the last slot is in use. Off until the samples show that it increases throughput.
+    /// Whether the last slot of each server is used. Off until the samples show that it increases
+    /// throughput.
     last_slot_enabled: bool,
 }
 
@@ -80,7 +81,7 @@
         self.update_decision(slots);
     }
 
-    /// Whether the last slot increases throughput, as far as known.
+    /// Whether the last slot is used. The only slot of a server always is.
     #[must_use]
     pub const fn is_last_slot_enabled(&self, slots: u32) -> bool {
         self.last_slot_enabled || slots < 2
@@ -105,8 +106,7 @@
         self.saturated.samples >= SAMPLES_MIN && self.one_slot_free.samples >= SAMPLES_MIN
     }
 
-    /// Mean relative service time of requests on saturated servers and on servers with one slot
-    /// free.
+    /// Mean service times, relative to the usual one, with all slots in use and with one slot free.
     #[must_use]
     pub const fn mean_ratios(&self) -> (f64, f64) {
         (self.saturated.value, self.one_slot_free.value)
--- a/src/balance/retry_budget.rs
+++ b/src/balance/retry_budget.rs
@@ -10,7 +10,7 @@
     pub ratio: f64,
     /// Length of the sliding window, in microseconds.
     pub window_us: u64,
-    /// Retries allowed in addition to the ratio.
+    /// Retries allowed per window in addition to the ratio.
     pub slack_retries: f64,
 }
 
--- a/src/balance/server_health.rs
+++ b/src/balance/server_health.rs
@@ -6,11 +6,12 @@
 const OUTCOME_WEIGHT: f64 = 0.3;
 /// Half-life of the failure rate without new outcomes, so that a failing server is tried again.
 const FAILURE_HALF_LIFE_US: f64 = 1_000_000.0;
-/// Weight of a refusal relative to a failure. Nothing ran, and the request is sent elsewhere at
-/// once. With full weight, if all servers shed some requests, their expected times exceed the
-/// latency targets threefold and requests wait although slots are free.
+/// Sample of a refusal for the failure rate, where a failure counts 1. Nothing ran, and the request
+/// is sent elsewhere at once. With full weight, if all servers shed some requests, their expected
+/// times exceed the latency targets threefold and requests wait although slots are free.
 const REFUSAL_SAMPLE: f64 = 0.25;
-/// Ejection time after a failed connection; doubles with each consecutive failure.
+/// Ejection time after the first connection failure; doubles with each one until the next
+/// successful answer.
 const EJECTION_BASE_US: u64 = 150_000;
 /// Maximum number of doublings of the ejection time.
 const EJECTION_DOUBLINGS_MAX: u32 = 4;
@@ -19,8 +20,8 @@
 const CHECK_TIMEOUTS_TO_EJECT: u32 = 2;
 /// Ejection time after unanswered health checks.
 const CHECK_TIMEOUTS_EJECTION_US: u64 = 300_000;
-/// Broken connections in a row before the server is ejected: a single reset says little about the
-/// server.
+/// Connection failures since the last successful answer after which a broken connection ejects the
+/// server. A single reset says little about it.
 const BROKEN_CONNECTIONS_TO_EJECT: u32 = 3;
 
 /// Health of one server, from sends and health checks.
@@ -29,7 +30,7 @@
     /// Failure rate as of `failure_rate_at_us`, from 0 to 1.
     failure_rate: f64,
     failure_rate_at_us: u64,
-    /// Consecutive connections that failed to open or broke.
+    /// Connections that failed to open or broke since the last successful answer.
     connection_failures: u32,
     ejected_until_us: u64,
     last_contact_us: u64,
@@ -95,8 +96,8 @@
         now_us < self.ejected_until_us
     }
 
-    /// Failure rate from 0 to 1, decaying while there are no new outcomes. It keeps a server that
-    /// fails instantly from looking idle and attracting all requests.
+    /// Failure rate from 0 to 1, decaying while there are no new outcomes. Without it, a server
+    /// that fails instantly would look idle and attract all requests.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "an age in microseconds")]
     pub fn failure_rate(&self, now_us: u64) -> f64 {
--- a/src/balance/service_pool.rs
+++ b/src/balance/service_pool.rs
@@ -62,7 +62,7 @@
     /// Maximum requests of this instance on each server, given by the connections that it accepts;
     /// 0 if unknown.
     pub own_in_flight_max: usize,
-    /// This instance's long-term fraction of the slots: 1 divided by the number of homes.
+    /// This instance's equal fraction of the slots: 1 divided by the number of homes.
     pub fair_share: f64,
     /// Most urgent first.
     pub(super) queue: Vec<QueuedRequest>,
@@ -160,8 +160,8 @@
         self.retain_servers(|server| server.listed(now_us) || !server.idle());
     }
 
-    /// Up to `servers_max` usable servers, from the zone with this hash if it has any. The selection
-    /// is stable while other servers come and go.
+    /// IDs of up to `servers_max` usable servers, from the zone with this hash if it has any. The
+    /// selection is stable while other servers come and go.
     #[must_use]
     pub fn usable_server_ids(
         &self,
--- a/src/balance/service_queue.rs
+++ b/src/balance/service_queue.rs
@@ -34,7 +34,8 @@
     /// Identifies the request on this instance.
     pub ticket: u64,
     pub spec: RequestSpec,
-    /// If started later than this, the request is not expected to be answered in time.
+    /// Latest start: afterwards the request is expected to miss its target or, if `late`, has
+    /// waited for as long as it may.
     pub start_by_us: u64,
     /// The request will miss its target anyway and gets only slots that no other request needs.
     pub late: bool,
@@ -129,7 +130,7 @@
         self.servers.iter().filter(usable)
     }
 
-    /// If started later than this, a request is expected to miss its target.
+    /// The latest start at which a request is expected to meet its target and its deadline.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -166,9 +167,10 @@
         OwnSlots { slots: f64::max(unlimited, 1.0) + limited, all_rate_limited: false }
     }
 
-    /// Time until a new request of this priority and tag gets a slot, once a server may get any:
-    /// the requests ahead of it divided by the rate at which this instance's slots become free. The
-    /// other slots serve the queues of the other homes.
+    /// Time until a new request of this priority and tag gets a slot, apart from the time for which
+    /// the limits of all servers forbid a start: the requests ahead of it divided by the rate at
+    /// which this instance's slots become free. The other slots serve the queues of the other
+    /// homes.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
--- a/src/balance/service_times.rs
+++ b/src/balance/service_times.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-/// Weight of a sample in the moving average, which covers about the last 20 requests.
+/// Weight of a sample in the moving average, which covers about the last 20 requests of a route.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Fraction of a route's latency target that is assumed as its service time before the first
 /// sample.
--- a/src/balance/start_limits.rs
+++ b/src/balance/start_limits.rs
@@ -64,8 +64,8 @@
         Some(self.share.of(limit.starts_tolerated(self.share.homes())))
     }
 
-    /// Whether this instance has used its share of the advertised limit. The server tolerates
-    /// somewhat more, which is reserved for times when no other server is available.
+    /// Whether this instance has used its share of the advertised limit. The server tolerates some
+    /// requests beyond it, which are only sent while no other server is available.
     #[must_use]
     pub fn own_limit_spent(&self, now_us: u64) -> bool {
         let accepted = self.rate_limit.current().map(|limit| self.share.of(limit.starts_allowed()));
@@ -123,7 +123,7 @@
         self.starts.record(now_us, if limited { LIMIT_WINDOW_US } else { COLD_WINDOW_US });
     }
 
-    /// Removes a start of a request that was not sent.
+    /// Removes the start of a request that the server did not get.
     pub fn undo_start(&mut self, at_us: u64) {
         self.starts.remove(at_us);
     }
--- a/src/balance/tracked_server.rs
+++ b/src/balance/tracked_server.rs
@@ -11,18 +11,19 @@
 use crate::model::ServerState;
 use crate::peer::ServerLoadRow;
 
-/// Requests that no peer advertised fade from the estimate over this time, about the service time
-/// of one request.
+/// Time over which requests that no peer advertised fade out of the occupancy estimate: about the
+/// service time of one request.
 const UNATTRIBUTED_DECAY_US: u64 = 300_000;
-/// An older slowdown report is not advertised to peers. The next health check is due by then.
+/// Maximum age of a slowdown report that is advertised to peers. The next health check is due by
+/// then.
 const SLOWDOWN_ADVERTISED_AGE_MAX_US: u64 = 120_000;
 /// Decay time of a slowdown report: after it, a third of the weight is left. The load of other
 /// tenants on the machine, which causes the slowdown, shifts within 100 to 200 ms.
 const SLOWDOWN_DECAY_US: f64 = 150_000.0;
 /// Slowdown assumed for a cold server without a recent report.
 const COLD_SLOWDOWN: f64 = 2.0;
-/// A request is sent within this time after its slot was acquired. Meanwhile the server is asked
-/// for its current slowdown.
+/// Maximum time from the acquisition of a slot until the request is sent. Meanwhile the server is
+/// asked for its current slowdown, which then counts as the slowdown at the start.
 const SEND_DELAY_MAX_US: u64 = 30_000;
 /// A server that fails all its requests is expected to take 1 plus this factor times as long.
 const FAILURE_PENALTY_FACTOR: f64 = 5.0;
@@ -137,13 +138,13 @@
         self.usable_until_us = Some(self.usable_until_us.unwrap_or(u64::MAX).min(until_us));
     }
 
-    /// Whether the server is listed, or was until a moment ago.
+    /// Whether the server is listed, or was until so recently that it may still be used.
     #[must_use]
     pub fn listed(&self, now_us: u64) -> bool {
         self.usable_until_us.is_none_or(|until_us| now_us < until_us)
     }
 
-    /// Whether the server is no longer listed and can be removed once it is not in use.
+    /// Whether the platform no longer lists the server, even if it may still be used for a moment.
     #[must_use]
     pub const fn is_unlisted(&self) -> bool {
         self.usable_until_us.is_some()
--- a/src/cold/cold_limit.rs
+++ b/src/cold/cold_limit.rs
@@ -4,9 +4,9 @@
 /// and while homes change. The homes of each view send to a cold server, within an equal part of
 /// the limit.
 const CONCURRENT_VIEWS_MAX: f64 = 3.0;
-/// Window in which instances enforce the limit, in microseconds: the operators' second plus a
-/// margin for requests that take longer than others to arrive, by a new connection and a health
-/// check.
+/// Window in which instances enforce the limit, in microseconds: the second for which operators
+/// state it, plus a margin for requests that arrive later than others because they wait for a new
+/// connection and a health check.
 pub const COLD_WINDOW_US: u64 = 1_300_000;
 
 /// The operators' limit on the requests that a cold server gets in any second from all instances
@@ -15,9 +15,9 @@
 pub struct ColdLimit {
     /// Requests per second that cold servers of the service tolerate.
     pub per_s: f64,
-    /// Factor by which the limit may be exceeded.
+    /// The operators tolerate this many times the limit.
     pub overage_factor: f64,
-    /// Requests by which the limit may be exceeded in addition.
+    /// Requests per second that the operators tolerate in addition.
     pub slack_requests: f64,
 }
 
--- a/src/cold/cold_state.rs
+++ b/src/cold/cold_state.rs
@@ -4,10 +4,13 @@
 /// report counts.
 #[derive(Clone, Debug)]
 pub struct ColdState {
+    /// End of the warm-up according to the platform entry.
     entry_until_us: u64,
+    /// When the platform entry was last received.
     entry_at_us: u64,
-    /// From health checks, or assumed as long as there is no report.
+    /// End of the warm-up according to health checks, or as assumed until the next one.
     health_until_us: u64,
+    /// When the last health check was answered; 0 before the first.
     health_at_us: u64,
     /// Whether the server's health checks ever reported it as cold. If so, a health check that does
     /// not means that it is warm.
--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -3,7 +3,7 @@
 /// Longest wait for a slot, however late the deadline, in microseconds. A longer queue only turns
 /// overload into latency for the admitted requests.
 const WAIT_MAX_US: u64 = 500_000;
-/// Minimum retry-after time; 20 times as long if no server takes requests.
+/// Minimum retry-after time. While no server takes requests, callers are told 20 times as long.
 const RETRY_AFTER_MIN_MS: u64 = 50;
 
 /// The queue of one service on one instance, as far as known.
--- a/src/decide/hedge.rs
+++ b/src/decide/hedge.rs
@@ -11,8 +11,8 @@
 /// service.
 const DELAY_MIN_US: f32 = 3_000.0;
 
-/// Time after which a second attempt joins an idempotent first one, in microseconds; `None` for
-/// never.
+/// Time after the start of an attempt at which a hedge is started, in microseconds; `None` if the
+/// request must not be hedged.
 #[must_use]
 pub fn hedge_delay_us(
     preference: Preference,
--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -1,5 +1,5 @@
-//! Selection of the homes of a service, which are the instances that handle its requests, and of the
-//! home that keeps each of its backend servers.
+//! Selection of the homes of a service, which are the instances that handle its requests, and of
+//! the keeper of each backend server, which is the home that hands out its slots.
 
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
--- a/src/decide/quantile.rs
+++ b/src/decide/quantile.rs
@@ -1,10 +1,10 @@
 //! A streaming estimate of one quantile in constant space.
 
-/// Maximum change of the estimate by one sample, as a fraction of the estimate.
+/// Step of the estimate, as a fraction of its value. One sample changes it by at most one step.
 const STEP_SHARE: f32 = 0.05;
 
-/// Moves up by `p` steps for a larger sample and down by `1 - p` steps for a smaller one, so that
-/// it settles where a fraction `p` of the samples is smaller.
+/// Estimate of the quantile `p`. It moves up by `p` steps for a larger sample and down by `1 - p`
+/// steps for a smaller one, so it settles where a fraction `p` of the samples is smaller.
 #[derive(Clone, Debug)]
 pub struct Quantile {
     /// From 0 to 1.
--- a/src/decide/ratio_budget.rs
+++ b/src/decide/ratio_budget.rs
@@ -7,6 +7,7 @@
 /// every request fails, at most this fraction is repeated.
 #[derive(Clone, Debug)]
 pub struct RatioBudget {
+    /// Extra attempts per request.
     share: f32,
     /// From 0 to [`TOKENS_MAX`].
     tokens: f32,
--- a/src/decide/server_load.rs
+++ b/src/decide/server_load.rs
@@ -6,7 +6,7 @@
 const EJECTION_BASE_MS: u64 = 500;
 /// Maximum number of doublings of the ejection time.
 const EJECTION_DOUBLINGS_MAX: u32 = 6;
-/// A new or returning server reaches its full limit only after this time.
+/// Time in which the limit of a new or returning server rises to its full value.
 const RAMP_UP_MS: u64 = 1_000;
 /// Factor on the concurrency limit after a refusal.
 const LIMIT_DECREASE_FACTOR: f32 = 0.7;
@@ -50,7 +50,7 @@
     pub slots: u32,
     /// Whether this instance is the keeper that hands out this server's slots.
     pub is_keeper: bool,
-    /// Drained or leaving: gets no new requests.
+    /// Whether the server drains or leaves, and so gets no new requests.
     pub closed: bool,
     /// Requests of this instance in flight; never above the limit while `is_keeper` does not
     /// change.
@@ -162,8 +162,8 @@
 
     /// Whether requests are in flight there and none has completed for too long.
     ///
-    /// This detects a server that became slow within a few service times. The mean latency shows it
-    /// only once the slow answers have arrived.
+    /// Detects within a few service times that a server became slow. The mean latency shows it only
+    /// once the slow answers have arrived.
     #[must_use]
     pub fn stalled(&self, median_us: f32, now_us: u64) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "microseconds of one stall")]
@@ -255,7 +255,8 @@
         now_us.saturating_sub(self.last_sample_us)
     }
 
-    /// Age of the last report or answer in microseconds, which a probe would reset.
+    /// Time since the last load report or sign of progress, in microseconds. A probe brings a new
+    /// report.
     #[must_use]
     pub fn report_age_us(&self, now_us: u64) -> u64 {
         now_us.saturating_sub(self.reported_us.max(self.last_progress_us))
--- a/src/decide/slot_pool.rs
+++ b/src/decide/slot_pool.rs
@@ -17,8 +17,8 @@
 /// Quantile of the service time after which a request may be hedged.
 const HIGH_QUANTILE: f32 = 0.96;
 
-/// Load, limits and budgets of the servers of one service. No I/O, no clock, and no allocation when
-/// requests start and end.
+/// Load, limits and budgets of the servers of one service. It has no I/O and no clock, and does not
+/// allocate when requests start and end.
 #[derive(Clone, Debug)]
 pub struct SlotPool {
     loads: Vec<ServerLoad>,
@@ -110,7 +110,7 @@
         usable.map(|(_, load)| load.current_limit(now_us)).sum()
     }
 
-    /// Free slots now.
+    /// Free slots of the servers that this instance keeps.
     #[must_use]
     pub fn free_slots(&self, now_us: u64) -> u32 {
         let free = self.loads.iter().filter(|load| load.has_free_slot(ServerScope::Own, now_us));
--- a/src/limit/advertised_limit.rs
+++ b/src/limit/advertised_limit.rs
@@ -18,7 +18,7 @@
 }
 
 impl AdvertisedLimit {
-    /// Records a report, `None` if it has no limit; returns whether that changes the limit.
+    /// Records a report with a limit, or without one; returns whether that changes the limit.
     pub fn record(&mut self, source: ReportSource, limit: Option<RateLimit>, now_us: u64) -> bool {
         self.is_invalid = false;
         if source == ReportSource::HealthCheck {
--- a/src/limit/rate_limit.rs
+++ b/src/limit/rate_limit.rs
@@ -10,12 +10,12 @@
 pub const LIMIT_WINDOW_S: f64 = 4.3;
 /// Window over which a server measures its limit, in seconds.
 const SERVER_WINDOW_S: f64 = 4.0;
-/// Factor by which a server tolerates more than its limit within [`SERVER_WINDOW_S`].
+/// A server tolerates this many times its limit within [`SERVER_WINDOW_S`].
 const OVERAGE_FACTOR: f64 = 1.5;
 /// Requests that a server tolerates in addition within [`SERVER_WINDOW_S`].
 const SLACK_REQUESTS: f64 = 5.0;
-/// Maximum fraction of the tolerated requests that is used, however many homes there are, as more
-/// than one of them may be replaced at the same time.
+/// Maximum fraction of the tolerated requests that all homes together use, however many there are,
+/// as more than one of them may be replaced at the same time.
 const TOLERATED_SHARE_MAX: f64 = 2.0 / 3.0;
 
 /// Requests per second that a backend server accepts from all instances together.
--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -10,12 +10,13 @@
 
 use super::AdmittedSend;
 
-/// A running server in the same region accepts a connection within a few milliseconds; one whose machine
-/// is gone never does.
+/// A running server in the same region accepts a connection within a few milliseconds; one whose
+/// machine is gone never does.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a retry waits for the check of the previous server, so that a crash by the request itself is
-/// counted before it is sent again. An address that does not even refuse connections is not waited for.
+/// How long a retry waits for the check of the previous server, so that a crash by the request
+/// itself is counted before it is sent again. An address that does not even refuse connections is
+/// not waited for.
 pub const CRASH_CHECK_WAIT: Duration = Duration::from_millis(25);
 
 /// A send that got no complete response.
@@ -26,7 +27,8 @@
     pub service: String,
     /// Id of the server.
     pub server: String,
-    /// Hash that identifies the server between instances: of its id, and in the gateway also of its start.
+    /// Hash that identifies the server between instances: of its id, and in the gateway also of its
+    /// start.
     pub server_hash: u32,
     pub address: SocketAddr,
 }
@@ -34,8 +36,8 @@
 impl FailedSend {
     /// Checks in the background whether the server has crashed, and records it if so.
     ///
-    /// A connection closes without a response if the server crashed, or if a running server lost the
-    /// response or reset the connection. Only a crashed server refuses the next connection.
+    /// A connection closes without a response if the server crashed, or if a running server lost
+    /// the response or reset the connection. Only a crashed server refuses the next connection.
     #[must_use = "the check continues when this is dropped; a retry waits for it"]
     pub fn check_for_crash(self, admitted_send: Arc<AdmittedSend>) -> JoinHandle<()> {
         tokio::spawn(async move {
--- a/src/quarantine/denial.rs
+++ b/src/quarantine/denial.rs
@@ -4,7 +4,7 @@
 
 use crate::errors::Code;
 
-/// Retry delay while a copy of the request is in flight; a usual response takes no longer.
+/// Retry-after time while a copy of the request is in flight; a usual response takes no longer.
 const IN_FLIGHT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Why a request is not sent to a server; it has not run.
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -11,7 +11,8 @@
 pub enum FingerprintScope {
     /// Caller address, host or service, method, path, query and body.
     Exact,
-    /// Caller address, method, path and body: matches a client that numbers its retries in the query.
+    /// Caller address, method, path and body: matches a client that numbers its retries in the
+    /// query.
     Caller,
     /// Method, path and body: matches reads of a record that crashes servers whoever reads it.
     Content,
@@ -54,7 +55,8 @@
     caller_address: u32,
 }
 
-/// Hash of several parts. Each is preceded by its length, so that no part can run into the next one.
+/// Hash of several parts. Each is preceded by its length, so that no part can run into the next
+/// one.
 fn hash(parts: &[&[u8]]) -> u128 {
     let mut hash = Xxh3::new();
     for part in parts {
@@ -115,8 +117,8 @@
         Fingerprint { scope, hash }
     }
 
-    /// Hash that tells apart requests with the same fingerprint in a scope: the exact fingerprint in `Caller`,
-    /// the caller address in `Content`. 0 in `Exact`.
+    /// Hash that tells apart requests with the same fingerprint in a scope: the exact fingerprint
+    /// in `Caller`, the caller address in `Content`. 0 in `Exact`.
     #[must_use]
     pub const fn variant_in(&self, scope: FingerprintScope) -> u32 {
         match scope {
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,8 +1,9 @@
 //! Quarantine of requests that crash the backend servers that run them.
 //!
-//! Such a request is repeated under new ids and at any instance, and crashes one server after another,
-//! along with all other requests that run there. Instances recognize it by its [`Fingerprints`], gossip
-//! the crashes that happened while it ran, and reject it after three: see [`SuspectRequest`] for the rule.
+//! Such a request is repeated under new ids and at any instance, and crashes one server after
+//! another, along with all other requests that run there. Instances recognize it by its
+//! [`Fingerprints`], gossip the crashes that happened while it ran, and reject it after three: see
+//! [`SuspectRequest`] for the rule.
 
 mod admitted_send;
 mod crash_check;
--- a/src/quarantine/quarantine.rs
+++ b/src/quarantine/quarantine.rs
@@ -25,9 +25,9 @@
 use super::fingerprint::short_hash;
 use crate::clock::now_us;
 
-/// Capacity of the table. When an availability zone loses power, each request that ran there is suspect for
-/// some minutes. The table keeps those with the most quarantines, the highest level and the latest change,
-/// some 30 bytes each, which bounds the size of gossip messages.
+/// Capacity of the table. When an availability zone loses power, each request that ran there is
+/// suspect for some minutes. The table keeps those with the most quarantines, the highest level and
+/// the latest change, some 30 bytes each, which bounds the size of gossip messages.
 const SUSPECTS_MAX: usize = 128;
 
 /// A suspect request, and its sends by this instance.
@@ -63,7 +63,8 @@
     unsent_updates: HashSet<Fingerprint>,
     /// Entries quarantined by this instance that were not written to the platform's store yet.
     newly_quarantined: Vec<Fingerprint>,
-    /// Time of the last response to this instance by hash of the service; only kept while there are entries.
+    /// Time of the last response to this instance by hash of the service; only kept while there are
+    /// entries.
     last_response_us: HashMap<u32, u64>,
 }
 
@@ -171,8 +172,8 @@
         changed
     }
 
-    /// Merges a record of another instance; returns whether this blocks the request. An expired record is not
-    /// added again, or instances would keep sending it to each other forever.
+    /// Merges a record of another instance; returns whether this blocks the request. An expired
+    /// record is not added again, or instances would keep sending it to each other forever.
     fn merge(&mut self, record: &SuspectRecord, now_us: u64) -> bool {
         let blocked = |suspect: &SuspectRequest| {
             matches!(suspect.send_policy(now_us), SendPolicy::Blocked { .. })
@@ -199,7 +200,8 @@
 #[derive(Debug, Default)]
 struct Inner {
     state: Mutex<State>,
-    /// Number of entries; read without the lock, so that requests take no lock while there are none.
+    /// Number of entries; read without the lock, so that requests take no lock while there are
+    /// none.
     entry_count: AtomicUsize,
     /// Wakes [`Quarantine::next_updates`].
     updates_pending: Notify,
@@ -238,8 +240,9 @@
 
     /// Admits one send of a request.
     ///
-    /// A request that may have crashed servers is sent one at a time. Otherwise each copy that arrives between
-    /// the send and the crash would crash a server, however fast crashes are gossiped.
+    /// A request that may have crashed servers is sent one at a time. Otherwise each copy that
+    /// arrives between the send and the crash would crash a server, however fast crashes are
+    /// gossiped.
     ///
     /// # Errors
     /// If the request may not be sent now.
@@ -332,8 +335,8 @@
         }
     }
 
-    /// Merges records of another instance; returns those that differ here. If the records are `all` that the
-    /// other instance has, those that it lacks are returned, too.
+    /// Merges records of another instance; returns those that differ here. If the records are `all`
+    /// that the other instance has, those that it lacks are returned, too.
     #[must_use]
     pub fn merge_and_diff(&self, records: &[SuspectRecord], all: bool) -> Vec<SuspectRecord> {
         self.merge(records);
@@ -402,7 +405,8 @@
     }
 }
 
-/// `learned` tells whether the crashes were recorded `here` or the quarantine was `told` by another instance.
+/// `learned` tells whether the crashes were recorded `here` or the quarantine was `told` by another
+/// instance.
 fn log_quarantined(fingerprint: Fingerprint, learned: &str) {
     let name = fingerprint.to_string();
     warn!(
--- a/src/quarantine/suspect_gossip.rs
+++ b/src/quarantine/suspect_gossip.rs
@@ -13,11 +13,12 @@
 
 /// Minimum time between two broadcasts, so that simultaneous crashes are sent together.
 const SEND_INTERVAL_MIN: Duration = Duration::from_millis(10);
-/// An instance that misses an update detects the difference with its next ping.
+/// Timeout for sending records to one instance. An instance that misses an update detects the
+/// difference with its next ping.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends new records to the instances that callers are directed to, until the process ends. The others
-/// fetch them from an instance that they ping, when the digests differ.
+/// Sends new records to the instances that callers are directed to, until the process ends. The
+/// others fetch them from an instance that they ping, when the digests differ.
 pub async fn run_suspect_gossip<L: PeerClient>(board: Arc<Blackboard>, links: L) {
     loop {
         let updates = board.quarantine.next_updates().await;
@@ -29,8 +30,8 @@
     }
 }
 
-/// Sends records, and merges those that the peer knows differently. `all` means that they are all that
-/// this instance has.
+/// Sends records, and merges those that the peer knows differently. `all` means that they are all
+/// that this instance has.
 async fn send_records<L: PeerClient>(
     board: &Blackboard,
     links: &L,
--- a/src/quarantine/suspect_record.rs
+++ b/src/quarantine/suspect_record.rs
@@ -9,9 +9,9 @@
 /// Crash of a backend server that ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Crash {
-    /// One more than the highest level that the instance knew when it sent the request. Crashes of one level
-    /// may share a cause outside of the request, such as a power loss; a crash of the next level came after
-    /// the request was sent again.
+    /// One more than the highest level that the instance knew when it sent the request. Crashes of
+    /// one level may share a cause outside of the request, such as a power loss; a crash of the
+    /// next level came after the request was sent again.
     pub level: u16,
     /// Hash that identifies the server, see [`super::FailedSend::server_hash`].
     pub server: u32,
@@ -29,7 +29,8 @@
     /// Hash of the name of the service that the request was last sent to.
     pub service: u32,
     pub crashes: Crashes,
-    /// Crashes up to this level no longer count: the request got a response since, or was quarantined.
+    /// Crashes up to this level no longer count: the request got a response since, or was
+    /// quarantined.
     pub settled_level: u16,
     /// Number of quarantines.
     #[serde(rename = "convictions")]
@@ -37,8 +38,8 @@
     /// Quarantines that a response has ended since.
     #[serde(rename = "pardons")]
     pub release_count: u16,
-    /// Milliseconds since the last crash that counted, or the last quarantine. A duration, as the clocks of
-    /// instances differ.
+    /// Milliseconds since the last crash that counted, or the last quarantine. A duration, as the
+    /// clocks of instances differ.
     pub age_ms: u64,
 }
 
@@ -55,7 +56,8 @@
         now_us.saturating_sub(self.age_ms.saturating_mul(1000))
     }
 
-    /// Hash of all fields but the age and the service; equal for instances that hold the same record.
+    /// Hash of all fields but the age and the service; equal for instances that hold the same
+    /// record.
     #[must_use]
     pub fn content_hash(&self) -> u64 {
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
--- a/src/quarantine/suspect_request.rs
+++ b/src/quarantine/suspect_request.rs
@@ -10,35 +10,35 @@
 use super::SuspectRecord;
 use super::suspect_record::Crashes;
 
-/// Crashes after which a request is quarantined. One that shared a server with the request at fault is
-/// sent again once or twice, so it rarely takes part in three crashes.
+/// Crashes after which a request is quarantined. A harmless request that shared a server with the
+/// one at fault is sent again once or twice, so it rarely takes part in three crashes.
 const CRASHES_TO_QUARANTINE: usize = 3;
-/// Levels that these crashes must span. Many equal requests that run when all servers lose power are not
-/// the cause; only a later repeat that crashes one more server shows that the request is.
+/// Levels that these crashes must span. Many equal requests that run when all servers lose power
+/// are not the cause; only a later repeat that crashes one more server shows that the request is.
 const LEVELS_TO_QUARANTINE: u16 = 2;
-/// Variants that the crashes of a `Caller` or `Content` fingerprint must span: while all crashes came from
-/// one caller, other callers with the same request are not affected; nor other queries, while all crashes
-/// had the same one.
+/// Variants that the crashes of a `Caller` or `Content` fingerprint must span: while all crashes
+/// came from one caller, other callers with the same request are not affected; nor other queries,
+/// while all crashes had the same one.
 const VARIANTS_TO_QUARANTINE: usize = 2;
-/// Crashes after which a request is sent one at a time, so that the third crash is known before more than
-/// one further copy is sent.
+/// Crashes after which a request is sent one at a time, so that the third crash is known before
+/// more than one further copy is sent.
 const CRASHES_TO_SERIALIZE: usize = 2;
 /// Crashes kept while they do not suffice for a quarantine; those of the highest levels are kept.
 const CRASHES_KEPT: usize = 4;
-/// Block time of the first quarantine: longer than callers keep retrying, shorter than operators need to fix
-/// the server and wonder about rejections.
+/// Block time of the first quarantine: longer than callers keep retrying, shorter than operators
+/// need to fix the server and wonder about rejections.
 const FIRST_BLOCK: Duration = Duration::from_mins(10);
-/// Factor by which each further quarantine lasts longer: a request whose fault is never fixed crashes at
-/// most three servers in the two days after its first quarantine.
+/// Factor by which each further quarantine lasts longer: a request whose fault is never fixed
+/// crashes at most three servers in the two days after its first quarantine.
 const BLOCK_GROWTH_FACTOR: u32 = 6;
 /// Number of times that the block time grows; it is 324 days then.
 const BLOCK_GROWTHS_MAX: u16 = 6;
-/// While no other request of the service gets a response either, a request is paused instead of quarantined,
-/// until one does. The first pause lasts at most this long, which is longer than gossip takes to reach all
-/// instances.
+/// While no other request of the service gets a response either, a request is paused instead of
+/// quarantined, until one does. The first pause lasts at most this long, which is longer than
+/// gossip takes to reach all instances.
 const FIRST_PAUSE: Duration = Duration::from_secs(4);
-/// Factor by which each further pause lasts longer: where no other requests are sent, so that none can get
-/// a response, a request that crashes servers crashes three more of them in a minute.
+/// Factor by which each further pause lasts longer: where no other requests are sent, so that none
+/// can get a response, a request that crashes servers crashes three more of them in a minute.
 const PAUSE_GROWTH_FACTOR: u32 = 3;
 /// Number of times that pauses grow; one lasts 324 s then.
 const PAUSE_GROWTHS_MAX: u32 = 4;
@@ -71,7 +71,8 @@
     release_count: u16,
     /// Time of the last crash that counted, or of the last quarantine.
     last_change_us: u64,
-    /// Neither this nor `pause_count` is gossiped: both reflect what this instance sees at the moment.
+    /// End of the pause. Neither this nor `pause_count` is gossiped: both reflect what this
+    /// instance sees at the moment.
     paused_until_us: u64,
     pause_count: u32,
 }
@@ -140,8 +141,8 @@
         if one_at_a_time { SendPolicy::OneAtATime } else { SendPolicy::Unrestricted }
     }
 
-    /// Whether there are at least `crashes_min` crashes, spread over enough levels and variants to make the
-    /// request their likely cause.
+    /// Whether there are at least `crashes_min` crashes, spread over enough levels and variants to
+    /// make the request their likely cause.
     fn is_likely_cause(&self, crashes_min: usize) -> bool {
         let levels = self.level().saturating_sub(self.settled_level);
         let mut variants: SmallVec<[u32; 4]> = self.crashes.iter().map(|c| c.variant).collect();
@@ -163,8 +164,9 @@
 
     /// Records that a server crashed while the request ran; returns whether this quarantines it.
     ///
-    /// `others_served` tells whether other requests of the service got responses since this one became
-    /// suspect. If not, all of them may crash servers, and this one is no more to blame than the rest.
+    /// `others_served` tells whether other requests of the service got responses since this one
+    /// became suspect. If not, all of them may crash servers, and this one is no more to blame than
+    /// the rest.
     pub fn record_crash(&mut self, crash: Crash, others_served: bool, now_us: u64) -> bool {
         if !self.block_remaining(now_us).is_zero() {
             // It was sent before the quarantine.
@@ -179,8 +181,8 @@
         self.evaluate(others_served, now_us)
     }
 
-    /// Records a response to a send that started when crashes up to `known_level` were known: the request did
-    /// not cause those. Returns whether anything changed.
+    /// Records a response to a send that started when crashes up to `known_level` were known: the
+    /// request did not cause those. Returns whether anything changed.
     pub fn record_response(&mut self, known_level: u16, now_us: u64) -> bool {
         if !self.block_remaining(now_us).is_zero() {
             // The response belongs to a send from before the quarantine.
@@ -217,8 +219,8 @@
         true
     }
 
-    /// Quarantines or pauses the request if its crashes suffice, and returns whether it is quarantined. If not,
-    /// only the last [`CRASHES_KEPT`] crashes are kept.
+    /// Quarantines or pauses the request if its crashes suffice, and returns whether it is
+    /// quarantined. If not, only the last [`CRASHES_KEPT`] crashes are kept.
     fn evaluate(&mut self, others_served: bool, now_us: u64) -> bool {
         if self.is_likely_cause(CRASHES_TO_QUARANTINE)
             && self.quarantine_or_pause(others_served, now_us)
@@ -244,8 +246,8 @@
         false
     }
 
-    /// Merges the record of another instance; returns whether this quarantines the request. One instance may
-    /// know of the crashes, and another of the responses to other requests.
+    /// Merges the record of another instance; returns whether this quarantines the request. One
+    /// instance may know of the crashes, and another of the responses to other requests.
     pub fn merge(&mut self, record: &SuspectRecord, others_served: bool, now_us: u64) -> bool {
         self.quarantine_count = self.quarantine_count.max(record.quarantine_count);
         self.release_count = self.release_count.max(record.release_count);
--- a/src/quota/quota_bucket.rs
+++ b/src/quota/quota_bucket.rs
@@ -19,7 +19,7 @@
     refilled_us: u64,
     /// Fraction of the rate at the last refill.
     fraction: f64,
-    /// No instance had tokens to lend; none is asked again before this time.
+    /// No instance is asked for tokens before this time, as none had any to lend.
     pub(super) no_lender_until_us: u64,
 }
 
@@ -29,15 +29,16 @@
         Self { tokens, refilled_us: since_us, fraction, no_lender_until_us: 0 }
     }
 
-    /// Adds the tokens of the time since the last refill. If the fraction changed in between, the smaller one
-    /// counts, since it is unknown when the larger one took effect.
+    /// Adds the tokens of the time since the last refill. If the fraction changed in between, the
+    /// smaller one counts, since it is unknown when the larger one took effect.
     #[expect(clippy::cast_precision_loss, reason = "microseconds of uptime stay below 2^52")]
     pub(super) fn refill(&mut self, limits: BucketLimits, now_us: u64) {
         let passed_s = now_us.saturating_sub(self.refilled_us) as f64 / 1e6;
         let fraction = limits.fraction.min(self.fraction);
         let own_max = limits.tokens_max * fraction;
         let filled = (fraction * limits.tokens_per_s).mul_add(passed_s, self.tokens);
-        // Borrowed tokens may exceed this instance's own capacity, but never the capacity over all instances.
+        // Borrowed tokens may exceed this instance's own capacity, but never the capacity over all
+        // instances.
         self.tokens = filled.min(own_max.max(self.tokens)).min(limits.tokens_max);
         self.refilled_us = now_us;
         self.fraction = limits.fraction;
--- a/src/quota/quota_placement.rs
+++ b/src/quota/quota_placement.rs
@@ -20,9 +20,9 @@
 
 /// The homes that may hold tokens, as this instance sees them.
 ///
-/// Each availability zone has a fixed fraction, whichever instances are believed to be there, so zones that
-/// are partitioned from each other do not take over each other's fraction. Within a zone, only instances
-/// that see more than half of it hold tokens.
+/// Each availability zone has a fixed fraction, whichever instances are believed to be there, so
+/// zones that are partitioned from each other do not take over each other's fraction. Within a
+/// zone, only instances that see more than half of it hold tokens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuotaPlacement {
     /// All availability zones, including those without instances.
@@ -35,7 +35,8 @@
     pub sees_zone_majority: bool,
 }
 
-/// Rank of a candidate for a workspace (rendezvous hashing), so that workspaces have different holders.
+/// Rank of a candidate for a workspace (rendezvous hashing), so that workspaces have different
+/// holders.
 fn rank_hash(workspace: &str, candidate: &[u8]) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(workspace.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(candidate, seed)
@@ -90,7 +91,8 @@
         if holds { zone_fraction * equal_fraction(homes.len()) } else { 0.0 }
     }
 
-    /// Peer addresses of the other instances that hold tokens of a workspace, those of this zone first.
+    /// Peer addresses of the other instances that hold tokens of a workspace, those of this zone
+    /// first.
     #[must_use]
     pub fn lenders(&self, workspace: &str, tokens_max: f64) -> SmallVec<[SocketAddr; 2]> {
         let mut zones = self.holder_zones(workspace, tokens_max);
--- a/src/quota/quota_tolerance.rs
+++ b/src/quota/quota_tolerance.rs
@@ -2,11 +2,12 @@
 
 use crate::workspace::Workspace;
 
-/// Fraction of the tolerated excess that the tokens of a workspace may reach in steady state. The rest covers
-/// changes of the homes: an old home may leave tokens behind, and a new one starts with some.
+/// Fraction of the tolerated excess that the tokens of a workspace may reach in steady state. The
+/// rest covers changes of the homes: an old home may leave tokens behind, and a new one starts with
+/// some.
 const STEADY_FRACTION: f64 = 0.3;
-/// Fraction of the tolerated excess that homes start with, all together: a home that restarts has forgotten
-/// what it spent before.
+/// Fraction of the tolerated excess that homes start with, all together: a home that restarts has
+/// forgotten what it spent before.
 const STARTUP_FRACTION: f64 = 0.15;
 
 /// Excess over a quota that the operators tolerate in any window of `window_s`.
@@ -27,14 +28,15 @@
         in_window.mul_add(self.overage_fraction, self.slack_requests)
     }
 
-    /// Tokens added per second, over all instances. Any window may contain one burst, so a workspace that
-    /// sends without a pause gets the burst in each window.
+    /// Tokens added per second, over all instances. Any window may contain one burst, so a
+    /// workspace that sends without a pause gets the burst in each window.
     #[must_use]
     pub fn tokens_per_s(&self, workspace: &Workspace) -> f64 {
         workspace.rate_per_s + workspace.burst / self.window_s
     }
 
-    /// Maximum tokens of a workspace over all instances. At least 1, or no request would ever be served.
+    /// Maximum tokens of a workspace over all instances. At least 1, or no request would ever be
+    /// served.
     #[must_use]
     pub fn tokens_max(&self, workspace: &Workspace) -> f64 {
         (self.excess_max(workspace) * STEADY_FRACTION).max(1.0)
--- a/src/quota/quotas.rs
+++ b/src/quota/quotas.rs
@@ -13,13 +13,14 @@
 use super::quota_bucket::QuotaBucket;
 use crate::workspace::Workspace;
 
-/// Seconds of a workspace's rate that are borrowed at once: enough to save calls to lenders, and few enough
-/// that little lies idle here.
+/// Seconds of a workspace's rate that are borrowed at once: enough to save calls to lenders, and
+/// few enough that little lies idle here.
 const BORROW_SPAN_S: f64 = 0.2;
 /// Time without borrowing after all lenders had no tokens, or none to spare.
 const NO_LENDER_BACKOFF_US: u64 = 100_000;
-/// Bounds of the retry delay that rejected callers are given.
+/// Minimum retry-after time sent to callers.
 const RETRY_AFTER_MIN_MS: f64 = 50.0;
+/// Maximum retry-after time sent to callers.
 const RETRY_AFTER_MAX_MS: f64 = 2_000.0;
 
 /// No token is left at this instance.
--- a/src/starts/start_window.rs
+++ b/src/starts/start_window.rs
@@ -15,7 +15,7 @@
         self.starts_us.push(now_us);
     }
 
-    /// Removes a start at this time, as its request was not sent.
+    /// Removes a start at this time, as the server did not get its request.
     pub fn remove(&mut self, at_us: u64) {
         if let Some(at) = self.starts_us.iter().position(|started_us| *started_us == at_us) {
             self.starts_us.remove(at);
--- a/src/workspace/key_redaction.rs
+++ b/src/workspace/key_redaction.rs
@@ -14,8 +14,8 @@
 /// The other fields of a workspace; all are numbers.
 const NUMBER_FIELDS: [&str; 3] = ["priority", "rate_per_s", "burst"];
 
-/// Replaces the keys in a configuration by their hashes. A configuration that mentions workspaces but cannot
-/// be parsed becomes empty, since keys may be anywhere in it.
+/// Replaces the keys in a configuration by their hashes. A configuration that mentions workspaces
+/// but cannot be parsed becomes empty, since keys may be anywhere in it.
 #[must_use]
 pub fn redact_keys(config: Vec<u8>) -> Vec<u8> {
     let mentions_workspaces =
@@ -33,8 +33,8 @@
     serde_json::to_vec(&document).unwrap_or_default()
 }
 
-/// A value that is not a list becomes a list of one unreadable workspace: without a list, requests would
-/// need no key.
+/// A value that is not a list becomes a list of one unreadable workspace: without a list, requests
+/// would need no key.
 fn redacted_list(workspaces: &Value) -> Value {
     let Value::Array(workspaces) = workspaces else {
         return Value::Array(vec![Value::Null]);
@@ -42,8 +42,8 @@
     Value::Array(workspaces.iter().map(redacted_workspace).collect())
 }
 
-/// Keeps only the known fields of a workspace, and only if of the expected type, so that a key in the wrong
-/// place is dropped.
+/// Keeps only the known fields of a workspace, and only if of the expected type, so that a key in
+/// the wrong place is dropped.
 fn redacted_workspace(workspace: &Value) -> Value {
     let Value::Object(workspace) = workspace else {
         return Value::Null;
--- a/src/workspace/mod.rs
+++ b/src/workspace/mod.rs
@@ -1,7 +1,7 @@
 //! Workspaces, and the API keys that identify the workspace of a request.
 //!
-//! A key is stored, compared and passed on only as a [`KeyHash`], so that no log line, message or status
-//! page can reveal one.
+//! A key is stored, compared and passed on only as a [`KeyHash`], so that no log line, message or
+//! status page can reveal one.
 
 mod key_hash;
 mod key_redaction;
--- a/src/workspace/workspace_table.rs
+++ b/src/workspace/workspace_table.rs
@@ -11,8 +11,8 @@
 pub enum KeyAccess {
     /// Requests run as this workspace.
     Granted(Arc<Workspace>),
-    /// No access for now. Either the configuration of the key's workspace cannot be read, so the key may have
-    /// been revoked, or two workspaces list the key.
+    /// No access for now. Either the configuration of the key's workspace cannot be read, so the
+    /// key may have been revoked, or two workspaces list the key.
     Suspended,
 }
 
@@ -24,7 +24,8 @@
 }
 
 impl WorkspaceTable {
-    /// Adds a workspace. A key that two workspaces list is suspended, since it does not identify one of them.
+    /// Adds a workspace. A key that two workspaces list is suspended, since it does not identify
+    /// one of them.
     pub fn add(&mut self, workspace: Workspace) {
         let workspace = Arc::new(workspace);
         for key in &workspace.key_hashes {
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -202,11 +202,11 @@
 }
 
 /// Models a burst of 1.5 times the capacity for eight seconds. Servers slow down all their requests
-/// by `knee` while all their slots are in use. Returns the fraction of requests answered within the
-/// latency target.
+/// by `full_slowdown` while all their slots are in use. Returns the fraction of requests answered
+/// within the latency target.
 ///
-/// 220 ms of work on 11 servers of 4 slots, the part of one home of a zone.
-fn burst(knee: f64, slots: u32) -> f64 {
+/// Each request takes 220 ms of work. The 11 servers of 4 slots are the part of one home of a zone.
+fn burst(full_slowdown: f64, slots: u32) -> f64 {
     let mut pool = pool(11, slots);
     let mut rng = Pcg64::seed_from_u64(7);
     let capacity_per_s = 11.0 * f64::from(slots - 1) / 0.22;
@@ -223,7 +223,7 @@
         let mut ended = BinaryHeap::new();
         for (ticket, work) in &mut running {
             let full = on_server[&work.server] >= slots;
-            work.left_us -= MS as f64 / if full { knee } else { 1.0 };
+            work.left_us -= MS as f64 / if full { full_slowdown } else { 1.0 };
             if work.left_us <= 0.0 {
                 ended.push(End { at_us: std::cmp::Reverse(now_us), ticket: *ticket });
             }
@@ -256,24 +256,24 @@
     f64::from(in_target) / f64::from(sent)
 }
 
-/// Guards against filling every server to its last slot where that slows its requests by 1.7, so
-/// that fewer are served than with a free slot.
+/// Guards against filling every server to its last slot where that makes its requests take 1.7
+/// times as long, so that fewer are served than with a free slot.
 ///
 /// At 1.5 times the capacity without the last slot, 1 / 1.5 = 0.67 of the requests can be served;
 /// with all slots in use it is 0.67 * 4/3 / 1.7 = 0.52, and later than the target. With the limit
 /// 0.55 are served; the rest is lost to learning and refusals.
 #[test]
 fn in_a_burst_the_last_slot_is_left_free_where_it_slows_the_rest() {
-    let with_knee = burst(1.7, 4);
-    assert!(with_knee > 0.5, "{with_knee}");
+    let with_slowdown = burst(1.7, 4);
+    assert!(with_slowdown > 0.5, "{with_slowdown}");
 }
 
 /// Guards against leaving the last slot free where it slows nothing: with it, 4/3 of the work is
 /// served.
 #[test]
 fn in_a_burst_the_last_slot_is_used_where_it_slows_nothing() {
-    let without_knee = burst(1.0, 4);
-    assert!(without_knee > 0.7, "{without_knee}");
+    let without_slowdown = burst(1.0, 4);
+    assert!(without_slowdown > 0.7, "{without_slowdown}");
 }
 
 /// Guards against amplified outages: all instances together retry more than the operators allow for
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -112,7 +112,7 @@
         }
     }
     assert!(most <= REQUESTS_MAX, "{most} within a second");
-    // It is kept busy at the rate that it tolerates.
+    // The limit is also used up.
     assert!(all >= 8, "{all} in {WARMUP_MS} ms");
 }
 
@@ -147,7 +147,7 @@
     }
     let spec = spec_now(2 * MS);
     let choice = pool.acquire_slot(9, &spec, "z", 2 * MS, &mut || 0.5).expect("a warm server");
-    // With ten times the expected time, slowness alone is no reason.
+    // Ten times the expected time, so that the server is not rejected just for being slow.
     let expected_ms = 10.0 * choice.expected_ms;
     assert!(!pool.is_worse("s0", key, &spec, expected_ms, 2 * MS));
     pool.server_mut("s0").expect("listed").record_warmup_left(Some(WARMUP_MS), 3 * MS);
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -91,8 +91,8 @@
         all
     }
 
-    /// Sends the same request to all instances in turn until well after the third crash, and fails if it
-    /// still crashes servers then.
+    /// Sends the same request to all instances in turn until well after the third crash, and fails
+    /// if it still crashes servers then.
     async fn repeat(&mut self, line: &str, body: &[u8]) {
         self.repeat_with_others(line, body, false).await;
     }
@@ -122,10 +122,11 @@
     }
 }
 
-/// Guards against a lookup that takes down a whole service. A client repeats it under new ids and at
-/// different instances; an instance that recognizes requests only by id sends each repeat to another server,
-/// which crashes with all other requests that run there. Crashes are attributed by the equal content of the
-/// requests, and by servers that refuse connections after a missing response.
+/// Guards against a lookup that takes down a whole service. A client repeats it under new ids and
+/// at different instances; an instance that recognizes requests only by id sends each repeat to
+/// another server, which crashes with all other requests that run there. Crashes are attributed by
+/// the equal content of the requests, and by servers that refuse connections after a missing
+/// response.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_lookup_is_quarantined_by_all_instances() {
     let mut fixture = CrashFixture::start("parts", false).await;
@@ -142,9 +143,9 @@
     }
 }
 
-/// Guards against a service taken down by an order that must not run twice. Instances do not retry it, but
-/// its caller sends it as a new order with the same body each time the outcome is unknown. Other orders must
-/// still be served.
+/// Guards against a service taken down by an order that must not run twice. Instances do not retry
+/// it, but its caller sends it as a new order with the same body each time the outcome is unknown.
+/// Other orders must still be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_order_is_quarantined_by_all_instances() {
     let mut fixture = CrashFixture::start("orders", false).await;
@@ -157,9 +158,9 @@
     }
 }
 
-/// Guards against repeats that are not equal byte for byte, each of which crashes a server: a client that
-/// puts a counter into the query, or users who open the same record from different addresses. They share
-/// method, path and body, and none of them got a response.
+/// Guards against repeats that are not equal byte for byte, each of which crashes a server: a
+/// client that puts a counter into the query, or users who open the same record from different
+/// addresses. They share method, path and body, and none of them got a response.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_repeats_with_varied_query_or_caller_are_quarantined() {
     for by_query in [true, false] {
@@ -180,7 +181,8 @@
     }
 }
 
-/// Guards against quarantining a page for all callers when one caller's broken session crashes servers.
+/// Guards against quarantining a page for all callers when one caller's broken session crashes
+/// servers.
 #[tokio::test(flavor = "multi_thread")]
 async fn page_that_crashes_for_one_caller_is_served_to_others() {
     let mut fixture = CrashFixture::start("parts", false).await;
@@ -210,16 +212,16 @@
     }
 }
 
-/// Guards against not counting a crash in the middle of a large response: the caller has the status and half
-/// of the body by then, and sends the request again.
+/// Guards against not counting a crash in the middle of a large response: the caller has the status
+/// and half of the body by then, and sends the request again.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_crashes_servers_mid_response_is_quarantined() {
     let mut fixture = CrashFixture::start("parts", true).await;
     fixture.repeat("GET /look/poison", b"").await;
 }
 
-/// Guards against quarantining a frequently read page when all servers lose power at once, several times. The
-/// page is not the cause and must be served as soon as servers are back.
+/// Guards against quarantining a frequently read page when all servers lose power at once, several
+/// times. The page is not the cause and must be served as soon as servers are back.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_in_flight_during_a_power_loss_are_served_again() {
     let mut fixture = CrashFixture::start("parts", false).await;
@@ -247,9 +249,9 @@
     }
 }
 
-/// Guards against a popular page staying quarantined for ten minutes after the fix of a bad release that
-/// crashed on every request. The page had crashed one server after another, and instances did not consider
-/// that all other requests had done so, too.
+/// Guards against a popular page staying quarantined for ten minutes after the fix of a bad release
+/// that crashed on every request. The page had crashed one server after another, and instances did
+/// not consider that all other requests had done so, too.
 #[tokio::test(flavor = "multi_thread")]
 async fn page_is_served_soon_after_a_full_outage() {
     let mut fixture = CrashFixture::start("parts", false).await;
@@ -281,8 +283,8 @@
     }
 }
 
-/// Guards against a newly started instance that sends a request which the others have quarantined, because it
-/// did not learn of the quarantine.
+/// Guards against a newly started instance that sends a request which the others have quarantined,
+/// because it did not learn of the quarantine.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_instance_learns_the_quarantine() {
     let mut fixture = CrashFixture::start("parts", false).await;
@@ -298,8 +300,8 @@
     assert_eq!(fixture.crash_times().len(), before);
 }
 
-/// Guards against losing quarantines when all instances lose power at once: after each such restart the request
-/// would crash three more servers. Quarantines must survive in the platform's store.
+/// Guards against losing quarantines when all instances lose power at once: after each such restart
+/// the request would crash three more servers. Quarantines must survive in the platform's store.
 #[tokio::test(flavor = "multi_thread")]
 async fn quarantine_survives_a_restart_of_all_instances() {
     let mut fixture = CrashFixture::start("parts", false).await;
@@ -319,9 +321,10 @@
     assert_eq!(fixture.crash_times().len(), before);
 }
 
-/// Guards against crashing requests at the native interface, where instances pass requests on to each other:
-/// the one that received the request, the home with the slots and the owner of the idempotency key. Each of
-/// them must recognize a repeat, for lookups as well as for orders with and without a key.
+/// Guards against crashing requests at the native interface, where instances pass requests on to
+/// each other: the one that received the request, the home with the slots and the owner of the
+/// idempotency key. Each of them must recognize a repeat, for lookups as well as for orders with
+/// and without a key.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_requests_are_quarantined_at_the_native_interface() {
     let backend = BackendSettings {
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -47,7 +47,7 @@
 }
 
 /// No sequence of starts and ends assigns more slots than there are, or selects a server that is
-/// closed, avoided or kept by another home.
+/// closed, already tried or kept by another home.
 #[test]
 fn no_slot_is_assigned_twice_and_no_closed_server_is_selected() {
     property(300, |u| {
--- a/tests/key_revocation.rs
+++ b/tests/key_revocation.rs
@@ -1,4 +1,5 @@
-//! Revoked API keys: no instance, connected or not, accepts one for longer than the configured bound.
+//! Revoked API keys: no instance, connected or not, accepts one for longer than the configured
+//! bound.
 
 use std::time::Duration;
 
@@ -40,8 +41,8 @@
     }
 }
 
-/// Whether an instance may accept keys: its proof that its configuration is current is not older than the
-/// bound.
+/// Whether an instance may accept keys: its proof that its configuration is current is not older
+/// than the bound.
 fn may_accept_keys(fleet: &RelayFleet, at: usize) -> bool {
     fleet.net.mirrors[at].proof_age().is_some_and(|age| age <= REVOCATION_BOUND)
 }
@@ -57,7 +58,8 @@
     }
 }
 
-/// Draws random losses, an outage of the store, or instances that reach neither the store nor each other.
+/// Draws random losses, an outage of the store, or instances that reach neither the store nor each
+/// other.
 fn losses_or_outage(rng: &mut Pcg64) -> Vec<InstanceFault> {
     let outages = [StoreFault::Busy, StoreFault::Silent, StoreFault::Hung];
     match rng.random_range(0..4) {
@@ -72,13 +74,14 @@
     }
 }
 
-/// Calls to the store at full cost, i.e. without stale reads and reachability checks, which cost a tenth.
+/// Calls to the store at full cost, i.e. without stale reads and reachability checks, which cost a
+/// tenth.
 fn full_cost_calls(fleet: &RelayFleet) -> u64 {
     fleet.store_clients.iter().map(|view| view.calls() - view.cheap_calls()).sum()
 }
 
-/// Changes the configuration under one random set of losses after the other. Returns how many checks met an
-/// instance that may accept keys, and how many one that may not.
+/// Changes the configuration under one random set of losses after the other. Returns how many
+/// checks met an instance that may accept keys, and how many one that may not.
 async fn run_schedule(seed: u64) -> (u64, u64) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let store = MemoryEventStore::default();
@@ -117,8 +120,8 @@
     (accepting, not_accepting)
 }
 
-/// Guards against a revoked key being accepted by an instance that is partitioned, rejected by the store, or
-/// connected only to such instances.
+/// Guards against a revoked key being accepted by an instance that is partitioned, rejected by the
+/// store, or connected only to such instances.
 #[tokio::test(start_paused = true)]
 async fn no_instance_accepts_revoked_keys_beyond_the_bound() {
     let given = std::env::var("SORRELWICK_SCHEDULES").ok();
@@ -148,7 +151,8 @@
     assert_eq!(accepting, 0);
 }
 
-/// Guards against rejecting keys when nothing fails, and against proofs whose cost grows with the fleet.
+/// Guards against rejecting keys when nothing fails, and against proofs whose cost grows with the
+/// fleet.
 #[tokio::test(start_paused = true)]
 async fn proof_calls_do_not_grow_with_fleet_size_without_faults() {
     const CALM: Duration = Duration::from_secs(10);
--- a/tests/quota_schedules.rs
+++ b/tests/quota_schedules.rs
@@ -1,5 +1,5 @@
-//! Simulates quotas over all instances in virtual time: the total stays within the bound whatever instances
-//! believe of each other, and without faults no request below the quota is rejected.
+//! Simulates quotas over all instances in virtual time: the total stays within the bound whatever
+//! instances believe of each other, and without faults no request below the quota is rejected.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
@@ -210,7 +210,8 @@
             while due >= 1.0 {
                 due -= 1.0;
                 let zone = zones[self.rng.random_range(0..zones.len())];
-                // A few callers use an outdated address; the others use a home as seen by some instance.
+                // A few callers use an outdated address; the others use a home as seen by some
+                // instance.
                 let of_zone: Vec<usize> = self.in_zone(zone).collect();
                 let any = of_zone[self.rng.random_range(0..of_zone.len())];
                 let homes = self.homes_seen_by(any, zone);
@@ -241,7 +242,8 @@
     }
 }
 
-/// Injects a random fault: a partition, stopped instances, a restart, message loss, or recovery from all.
+/// Injects a random fault: a partition, stopped instances, a restart, message loss, or recovery
+/// from all.
 fn inject_fault(model: &mut Model) {
     let count = model.instances.len();
     match model.rng.random_range(0..5) {
@@ -283,8 +285,8 @@
     given.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_SEED_COUNT)
 }
 
-/// Guards against a customer getting several times its quota while zones are partitioned, homes change or
-/// messages are lost.
+/// Guards against a customer getting several times its quota while zones are partitioned, homes
+/// change or messages are lost.
 #[test]
 fn faults_do_not_raise_a_workspace_above_its_bound() {
     for seed in 0..seed_count() {
@@ -312,8 +314,8 @@
     }
 }
 
-/// Guards against rejecting callers within their quota because its tokens are at instances that they do not
-/// call.
+/// Guards against rejecting callers within their quota because its tokens are at instances that
+/// they do not call.
 #[test]
 fn whole_quota_is_usable_from_one_zone_or_all_without_faults() {
     for (rate_per_s, homes_per_zone) in [(12.0, 1), (160.0, 1), (160.0, 8), (12.0, 8), (1.5, 2)] {
@@ -339,7 +341,8 @@
     }
 }
 
-/// Guards against instances that start together, know no other instance yet, and each grant the whole quota.
+/// Guards against instances that start together, know no other instance yet, and each grant the
+/// whole quota.
 #[test]
 fn instances_without_known_members_grant_no_tokens() {
     let mut model = Model::new(500, 1, 12.0, 3);
--- a/tests/server_cooldowns.rs
+++ b/tests/server_cooldowns.rs
@@ -22,7 +22,7 @@
 use standins::routed::two_routes;
 
 const COOLDOWN: Duration = Duration::from_secs(3);
-/// Requests in flight when a server asks for a cooldown have arrived by then.
+/// Requests on the way to a server when it asks for a cooldown arrive within this time.
 const IN_FLIGHT_TIME_MAX: Duration = Duration::from_millis(500);
 /// Requests that a server tolerates in its cooldown.
 const TOLERATED: usize = 2;
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -1,4 +1,5 @@
-//! The rule by which requests are quarantined, merging of its records between instances, and its limits.
+//! The rule by which requests are quarantined, merging of its records between instances, and its
+//! limits.
 
 use std::time::Duration;
 
@@ -28,7 +29,8 @@
     suspect.record(fingerprints(1, "/look/a").in_scope(FingerprintScope::Exact), now_us)
 }
 
-/// Records the crash of a send that knew of crashes up to `known_level`, while other requests get responses.
+/// Records the crash of a send that knew of crashes up to `known_level`, while other requests get
+/// responses.
 fn crash(
     suspect: &mut SuspectRequest,
     server: u32,
@@ -114,8 +116,8 @@
     assert_eq!(suspect.send_policy(second_block_end_us), SendPolicy::Unrestricted);
 }
 
-/// Guards against quarantining a frequent request during an outage in which all requests of a service crash
-/// servers. It must be sent again as soon as any other request gets a response.
+/// Guards against quarantining a frequent request during an outage in which all requests of a
+/// service crash servers. It must be sent again as soon as any other request gets a response.
 #[test]
 fn request_is_paused_and_not_quarantined_during_an_outage() {
     let mut paused = new_suspect(FingerprintScope::Exact);
@@ -165,8 +167,8 @@
     assert_eq!(quarantine.digest(), 0);
 }
 
-/// Guards against instances that disagree after updates that arrive late, twice or in any order, and that do
-/// not block a request after learning that another instance has quarantined it.
+/// Guards against instances that disagree after updates that arrive late, twice or in any order,
+/// and that do not block a request after learning that another instance has quarantined it.
 #[test]
 fn merging_converges_in_any_order() {
     arbtest::arbtest(|u| {
@@ -220,8 +222,8 @@
     .budget(Duration::from_secs(3));
 }
 
-/// Guards against an unbounded table, and against losing a quarantine, when an availability zone loses power
-/// while thousands of requests run there.
+/// Guards against an unbounded table, and against losing a quarantine, when an availability zone
+/// loses power while thousands of requests run there.
 #[test]
 fn power_loss_keeps_the_table_bounded_and_quarantines_in_place() {
     let quarantine = Quarantine::default();
--- a/tests/workspaces.rs
+++ b/tests/workspaces.rs
@@ -1,4 +1,5 @@
-//! API keys and workspaces: which requests are served, as which workspace, and where keys must not appear.
+//! API keys and workspaces: which requests are served, as which workspace, and where keys must not
+//! appear.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -83,8 +84,8 @@
     assert!(!head.contains("mill"), "{head}");
 }
 
-/// Guards against serving requests without a valid key, and against malformed keys that crash or hang an
-/// instance.
+/// Guards against serving requests without a valid key, and against malformed keys that crash or
+/// hang an instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_without_exactly_one_valid_key_is_rejected() {
     let (bed, parts) = start_bed(&two_workspaces()).await;
