--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -12,11 +12,11 @@
 use crate::conf::GatewaySettings;
 use crate::errors::Code;
 
-/// Keys are accepted while the configuration was last proved current within this fraction of the
+/// Keys are accepted while the configuration was last proved up to date within this fraction of the
 /// key revocation time. The rest allows for differences between clocks.
 const PROOF_AGE_REJECT_RATIO: f64 = 0.9;
-/// Fraction of the key revocation time without such a proof after which the instance reports itself
-/// as not ready, so that callers move to other instances before keys are refused.
+/// Age of that proof, as a fraction of the key revocation time, from which on the instance reports
+/// itself as not ready, so that callers move to other instances before keys are refused.
 const PROOF_AGE_UNREADY_RATIO: f64 = 0.6;
 /// Retry delay, in milliseconds, for a request refused because the configuration may be stale. By
 /// then this instance has asked the store again, or the caller reaches another instance.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     pub table: CurrentRouteTable,
-    /// Age of the configuration's copy.
+    /// Age of the mirror that the configuration comes from.
     age: Arc<MirrorAge>,
     /// Time within which a new configuration version is active on every instance.
     config_apply: Duration,
@@ -39,7 +39,7 @@
 }
 
 impl Admission {
-    /// Creates the checks of `table` from the age of its copy and the bounds in the settings.
+    /// Creates the checks of `table` from the age of its mirror and the bounds in the settings.
     #[must_use]
     pub fn new(table: CurrentRouteTable, age: Arc<MirrorAge>, settings: &GatewaySettings) -> Self {
         Self {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Whether the configuration was proved current within this fraction of the key revocation time.
+    /// Whether the configuration was proved up to date within this fraction of the key revocation
+    /// time.
     fn proved_within(&self, ratio: f64) -> bool {
         self.key_revocation
             .is_none_or(|bound| self.age.proof_age().is_some_and(|age| age <= bound.mul_f64(ratio)))
@@ -65,7 +66,7 @@
         !keys_required || self.proved_within(PROOF_AGE_UNREADY_RATIO)
     }
 
-    /// Checks that the configuration was proved current recently enough to accept any key.
+    /// Checks that the configuration was proved up to date recently enough to accept any key.
     ///
     /// # Errors
     /// A retryable reply if it is not.
@@ -100,7 +101,7 @@
         rejection
     }
 
-    /// The current route table.
+    /// The current route table. `retry_after_ms` is the caller's retry delay if there is none.
     ///
     /// # Errors
     /// A retryable reply if no configuration has been loaded.
--- a/src/gateway/dispatcher.rs
+++ b/src/gateway/dispatcher.rs
@@ -81,7 +81,7 @@
     zone: Arc<str>,
     /// Retry budget of all instances together.
     pub(super) retry_allowance: RetryAllowance,
-    /// Number of instances that share the slack of the retry budget.
+    /// Number of homes among which the slack of the retry budget is divided.
     pub(super) budget_sharers: Arc<AtomicUsize>,
     /// Ticket of the next request, by which pools identify it.
     next_ticket: Arc<AtomicU64>,
@@ -222,7 +222,7 @@
         outcome.unwrap_or(Err(refused)).map(|grant| *grant)
     }
 
-    /// The refusal for a request that timed out in the queue.
+    /// The refusal for a request that timed out in the queue, with this retry delay.
     #[must_use]
     pub fn refusal(&self, service: &str, retry_after_ms: u64) -> Refusal {
         let state = self.state.lock();
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -48,19 +48,19 @@
 /// is the pause after a change, in which further changes accumulate and are then fetched by one
 /// call.
 const BATCH_PAUSE_DIVISOR: u64 = 5;
-/// Initial and maximum backoff after a call that the store rejected or did not answer; it doubles
-/// with each failure. Failed calls are paid for too, and a store that is back must be noticed
-/// within a second.
+/// Initial backoff after a call that the store rejected or did not answer; it doubles with each
+/// failure, since failed calls are paid for too.
 const REFUSED_BACKOFF_MS: u64 = 200;
+/// Upper limit of that backoff: a store that is back must be noticed within a second.
 const REFUSED_BACKOFF_MAX_MS: u64 = 1_000;
 /// Backoff after a connection that could not be opened; these attempts are free.
 const UNREACHABLE_BACKOFF_MS: u64 = 100;
-/// A mirror that was confirmed complete within this time is *fresh*, and peers may rely on it. If
-/// it is older, the store may be rejecting that instance while it serves this one.
+/// A mirror that was confirmed complete within this time is *fresh*, and peers may rely on it. If a
+/// peer's mirror is older, the store may be rejecting the peer while it serves this instance.
 pub const FRESH_AGE_MAX: Duration = Duration::from_millis(900);
-/// Divides the same time limit. The quotient is the age of the mirror at which an instance stops
-/// waiting for peers and calls the store; the remaining time covers the call, its connection and a
-/// last poll of peers.
+/// Divides the shortest time limit for a change, too. The quotient is the age of the mirror at
+/// which an instance stops waiting for peers and calls the store; the remaining time covers the
+/// call, its connection and a last poll of peers.
 const STALE_MAX_DIVISOR: u32 = 2;
 /// How long an instance that knows no other, and so would consider itself a watcher, waits for
 /// peers after its initial load. A watch is paid for like any other call.
@@ -85,7 +85,8 @@
     /// Age of the mirror from which on this instance calls the store itself.
     pub(super) stale_max: Duration,
     pub(super) outage: StoreOutage,
-    /// The store has discarded the history after the mirror's revision, so all keys must be read.
+    /// Whether the store has discarded the history after the mirror's revision, so that all keys
+    /// must be read.
     snapshot_needed: AtomicBool,
     /// Relays that are temporarily not asked.
     pub(super) relay_cooldowns: Mutex<RelayCooldowns>,
--- a/src/gateway/follower_start.rs
+++ b/src/gateway/follower_start.rs
@@ -26,9 +26,9 @@
 use crate::store::Item;
 use crate::store::StoreError;
 
-/// How long a starting instance waits for a peer's mirror before it uses a possibly stale read, and
-/// how much longer if it knows another instance, which probably has one.
+/// How long a starting instance waits for a peer's mirror before it uses a possibly stale read.
 const PEER_MIRROR_TIMEOUT: Duration = Duration::from_millis(60);
+/// How much longer it waits if it knows another instance, which probably has a mirror.
 const JOINED_PEER_MIRROR_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long an instance looks for others before it assumes that it is alone. Seeds start some 0.3 s
 /// apart, and a seed that is not running refuses the connection at once.
@@ -41,12 +41,12 @@
 /// How long an instance that is not a reader waits for peers before it calls the store. Without a
 /// configuration it refuses all callers that reach it.
 const STORE_FALLBACK_DELAY: Duration = Duration::from_millis(1_500);
-/// Interval of its store calls after that. During a store outage each is paid for and brings
-/// nothing, and the readers pass on what they read.
+/// Interval of the store calls of an instance that is not a reader, after the first one. During a
+/// store outage each is paid for and brings nothing, and the readers pass on what they read.
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// How long a peer may hold the request for the initial data, and the timeout of the request, which
-/// covers a full transfer over a slow link.
+/// How long a peer may hold the request for the initial data.
 const HOLD_TIME: Duration = Duration::from_millis(400);
+/// Timeout of that request, which covers a full transfer over a slow link.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause while no peer is known or the peer refused the connection.
 const NO_PEER_DELAY: Duration = Duration::from_millis(50);
--- a/src/gateway/forwarder.rs
+++ b/src/gateway/forwarder.rs
@@ -63,11 +63,11 @@
 struct Attempts {
     /// Servers that are not to be chosen again.
     servers: SmallVec<[Arc<str>; 4]>,
-    /// Servers that the request was sent to.
+    /// Number of servers that the request was sent to.
     sends: u32,
-    /// Servers that no connection could be opened to.
+    /// Number of servers that no connection could be opened to.
     unreachable: u32,
-    /// Servers that were not used after a preflight check.
+    /// Number of servers that were chosen but found unfit; see [`SendResult::Unfit`].
     unfit: u32,
     /// Whether an earlier attempt may have run, so that a refusal would be untrue.
     may_have_run: bool,
@@ -308,7 +308,8 @@
                 server = &*server.row.id, send = sends, took_ms = took_ms, outcome = result.name(),
                 running = choice.running, expected_ms = choice.expected_ms.round(),
                 pace_age_us = choice.slowdown_age_us, cold = choice.cold,
-                limit_per_s = choice.rate_limit.map(RateLimit::per_s), limit_age_us = choice.rate_limit_age_us;
+                limit_per_s = choice.rate_limit.map(RateLimit::per_s),
+                limit_age_us = choice.rate_limit_age_us;
                 "attempt finished"
             );
             if let SendResult::Refused { status: StatusCode::MISDIRECTED_REQUEST } = result {
--- a/src/gateway/home_planner.rs
+++ b/src/gateway/home_planner.rs
@@ -63,7 +63,7 @@
     homes: Vec<u64>,
     /// Number of the other instances.
     others: usize,
-    /// Version of the configuration; `None` before the first one.
+    /// Version of the configuration in use; `None` before the first one.
     config_version: Option<u64>,
     /// Version of the server list.
     list_version: u64,
@@ -127,7 +127,7 @@
     }
 
     /// Recomputes the demand that the homes of a zone must carry, the homes, and this instance's
-    /// shares.
+    /// shares, unless the inputs are the `previous` ones. Returns the current inputs.
     fn plan(&self, previous: PlanInputs) -> PlanInputs {
         let (inputs, _) = self.plan_inputs();
         if inputs == previous {
--- a/src/gateway/load_reporter.rs
+++ b/src/gateway/load_reporter.rs
@@ -29,8 +29,8 @@
 /// Interval of reports to one peer while there are changes. A request takes some 200 ms, so counts
 /// this old are off by about a tenth of a slot.
 const REPORT_INTERVAL: Duration = Duration::from_millis(25);
-/// The same, in units of [`REPORT_INTERVAL`], while no request is queued: choosing among free
-/// servers needs less precision.
+/// Interval of the reports, in units of [`REPORT_INTERVAL`], while no request is queued: choosing
+/// among free servers needs less precision.
 const UNCONTENDED_INTERVALS: u32 = 3;
 /// Intervals after which an unchanged report is sent as a keepalive: a peer drops reports that are
 /// older than a second.
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -37,8 +37,9 @@
     /// Called when a key was written.
     fn written(&mut self, item: &Item);
 
-    /// Called when a key was removed. During `grace` it may be missing only because its writer's
-    /// lease expired during a store outage.
+    /// Called when a key was removed. If `grace` is not zero, the key may be missing only because
+    /// its writer's lease expired during a store outage; the writer then restores it within that
+    /// time.
     fn removed(&mut self, key: &str, grace: Duration);
 
     /// Keys of a sample that suffices for instances of this zone that rarely serve requests.
@@ -53,8 +54,8 @@
     fn end_batch(&mut self, _revision: u64) {}
 }
 
-/// The copy of the keys. It passes each change to its sink once, and never an older one after a
-/// newer one.
+/// The keys below one prefix, as last read from the store or a peer. It passes each change to its
+/// sink once, and never an older one after a newer one.
 #[derive(Debug)]
 pub struct Mirror<K> {
     pub(super) state: Mutex<MirrorState<K>>,
--- a/src/gateway/platform_handlers.rs
+++ b/src/gateway/platform_handlers.rs
@@ -26,8 +26,8 @@
 /// so this bounds how long callers go on trying it. A shorter time gains little, since detecting
 /// the failure takes most of a second.
 const ADDRESS_TTL: Duration = Duration::from_secs(1);
-/// The same while this instance knows no other. It can only name itself then, and callers would go
-/// on using it after the others, which may be the homes, are found.
+/// How long they may cache it while this instance knows no other. It can only name itself then, and
+/// callers would go on using it after the others, which may be the homes, are found.
 const ADDRESS_TTL_ALONE: Duration = Duration::from_millis(200);
 /// Limits of the connections to these handlers.
 const CONN_LIMITS: ConnLimits =
--- a/src/gateway/relay_cooldowns.rs
+++ b/src/gateway/relay_cooldowns.rs
@@ -7,8 +7,8 @@
 
 use crate::clock::now_us;
 
-/// Relays in cooldown because they did not respond or their copy was not known to be fresh, each
-/// with the end of the cooldown in microseconds.
+/// Relays in cooldown because they did not respond or had no fresh mirror, each with the end of the
+/// cooldown in microseconds.
 #[derive(Debug, Default)]
 pub struct RelayCooldowns(SmallVec<[(SocketAddr, u64); 4]>);
 
--- a/src/gateway/reported_loads.rs
+++ b/src/gateway/reported_loads.rs
@@ -1,4 +1,4 @@
-//! What one peer was told about this instance's requests at the backend servers.
+//! What was last reported to one peer about this instance's requests at the backend servers.
 
 use std::collections::HashMap;
 
--- a/src/gateway/send.rs
+++ b/src/gateway/send.rs
@@ -32,11 +32,11 @@
 use crate::route::is_hop_by_hop;
 use crate::task::TaskGuard;
 
-/// A server in the same region that takes longer to accept counts as unreachable; the remaining
-/// time is better spent on another server.
+/// Timeout of opening a connection. A server in the same region that takes longer to accept one
+/// counts as unreachable; the remaining time is better spent on another server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Age, in microseconds, up to which a reported slowdown is used without a preflight check. With a
-/// change every 150 ms, three in a hundred fall within it.
+/// Age, in microseconds, up to which a reported slowdown is used without a preflight check. If the
+/// slowdown changes every 150 ms, three changes in a hundred fall within this age.
 const LOAD_FRESH_US: u64 = 5_000;
 /// Timeout of a preflight health check, which a server in the same region answers within
 /// milliseconds.
@@ -64,11 +64,12 @@
     Refused { status: StatusCode },
     /// No connection could be opened; nothing was sent.
     NotSent,
-    /// The preflight check found the server slow, silent or gone; nothing was sent.
+    /// The preflight check found the server slow, silent or gone, or all connections to it are in
+    /// use; nothing was sent.
     Unfit { silent: bool },
     /// The request may have run, but there is no complete response.
     Lost(ExchangeError),
-    /// The deadline forwarded; the request may have run.
+    /// The deadline passed; the request may have run.
     TimedOut,
     /// The request may crash servers; nothing was sent.
     Denied(Denial),
@@ -140,9 +141,9 @@
     /// which cancels the request at the server.
     ///
     /// If `health_path` is set and the server's slowdown was not reported recently, a preflight
-    /// health check is sent first on the same connection. The slowdown at the start of the work
-    /// applies to all of it, and a request that must not run twice is not sent to a server or
-    /// connection that is gone.
+    /// health check is sent first on the same connection. It matters for two reasons: the server's
+    /// slowdown when a request starts lasts for all of its work, and a request that must not run
+    /// twice must not be sent to a server or connection that is gone.
     pub async fn send(
         &self,
         request: &ForwardRequest,
@@ -283,7 +284,7 @@
     }
 }
 
-/// Result of the health check just before a request is sent.
+/// Result of the preflight health check, just before a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PreflightResult {
     Passed,
--- a/src/gateway/server_list_holders.rs
+++ b/src/gateway/server_list_holders.rs
@@ -17,7 +17,7 @@
 /// address answer for some seconds.
 pub(super) const SERVER_LIST_RETENTION: Duration = Duration::from_secs(10);
 
-/// Whether this instance should hold the list, judging by the members that it knows.
+/// Whether this instance should hold the full list, judging by the members that it knows.
 pub fn holds_server_list(board: &Blackboard) -> bool {
     let plan = HomesPlan::of(board);
     let view = board.members_view();
--- a/src/gateway/server_notice.rs
+++ b/src/gateway/server_notice.rs
@@ -22,12 +22,12 @@
     pub rate_limit: Result<Option<RateLimit>, InvalidRateLimit>,
     /// Whether the server says that it drains.
     pub draining: bool,
-    /// How long a server that refused the request wants no more from this instance; `None` if it
-    /// sent no such time.
+    /// How long a server that refused the request asks this instance for no further ones; `None` if
+    /// it sent no such time.
     pub retry_after: Result<Option<Duration>, InvalidRetryAfter>,
 }
 
-/// A `Retry-After` value that is no number of seconds.
+/// A `Retry-After` value that is not a number of seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidRetryAfter;
 
--- a/src/gateway/server_starts.rs
+++ b/src/gateway/server_starts.rs
@@ -9,10 +9,11 @@
 use crate::errors::Code;
 use crate::model::ServerRow;
 
-/// How long an outdated row is held for a newer row to contradict it, in microseconds. A running
-/// server renews its entry several times within this (every 1.5 s on current platforms), and an
-/// entry that is not renewed is removed after three such intervals. A row that outlasts this time
-/// is therefore from the running process, whose clock was set back.
+/// How long an outdated row is held, in microseconds, until it is applied after all; a newer row
+/// that arrives in this time discards it. A running server renews its entry several times within
+/// this (every 1.5 s on current platforms), and an entry that is not renewed is removed after three
+/// such intervals. A row that outlasts this time is therefore from the running process, whose clock
+/// was set back.
 const OUTDATED_ROW_HOLD_US: u64 = 5_000_000;
 /// How long the last start of a removed server is remembered, in microseconds, so that a delayed
 /// report cannot list it again.
--- a/src/route/keyed.rs
+++ b/src/route/keyed.rs
@@ -20,9 +20,9 @@
 use crate::outcome::claim;
 use crate::peer::ForwardStage;
 
-/// Retry delay for the caller if the owner's outcome table is full.
+/// Retry delay for the caller, in milliseconds, if the owner's outcome table is full.
 const TABLE_FULL_RETRY_AFTER_MS: u64 = 1_000;
-/// Retry delay for the caller if the key's owner is unknown or cannot be reached.
+/// Retry delay for the caller, in milliseconds, if the key's owner is unknown or cannot be reached.
 const OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
 fn owner_unreachable() -> Answer {
--- a/src/route/queues.rs
+++ b/src/route/queues.rs
@@ -16,7 +16,7 @@
 use crate::peer::PeerReply;
 use crate::peer::PeerRequest;
 
-/// Pause between two rounds over the queues of all services.
+/// Pause between two rounds over the queues of all services, while any request waits.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(5);
 /// Timeout of a load message.
 const SEND_TIMEOUT: Duration = Duration::from_millis(200);
--- a/src/route/runner.rs
+++ b/src/route/runner.rs
@@ -52,7 +52,8 @@
     Rejected(Answer),
 }
 
-/// Whether the answer is unusable, so that another attempt may give a better one.
+/// Whether the answer is unusable (not run, unknown, or a server failure), so that another attempt
+/// may give a better one.
 fn needs_retry(answer: &Answer) -> bool {
     answer.outcome != Outcome::Ran || is_server_failure(answer.status)
 }
@@ -253,9 +254,9 @@
         }
     }
 
-    /// A co-home with free slots; or any co-home, if this home has no usable server: the request
-    /// then waits there, at a keeper of servers. A request that was already forwarded between
-    /// homes stays here, so that it cannot loop.
+    /// A co-home with free slots; or the first co-home, if this home has no usable server: the
+    /// request then waits there, at a home that keeps servers. A request that was already forwarded
+    /// between homes stays here, so that it cannot loop.
     fn choose_co_home(
         &self,
         state: &ServiceState,
--- a/src/route/slot_queue.rs
+++ b/src/route/slot_queue.rs
@@ -62,7 +62,7 @@
     pub upstream: Arc<Upstream>,
     /// Whether this instance is the keeper of the server.
     pub is_keeper: bool,
-    /// The server announced that it is leaving.
+    /// Whether the server announced that it is leaving.
     pub self_reported_leaving: bool,
     /// Whether the server may get requests now.
     pub usable: bool,
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -159,8 +159,8 @@
     }
 }
 
-/// Guards against a zone that stays evacuated, or in use, against the last write because events are
-/// duplicated, delayed or lost.
+/// Guards against a zone staying evacuated, or in use, contrary to the last write, because events
+/// were duplicated, delayed or lost.
 #[test]
 fn last_write_per_zone_wins_despite_lost_events() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
--- a/tests/server_entries.rs
+++ b/tests/server_entries.rs
@@ -18,7 +18,7 @@
 
 mod common;
 
-/// The servers of an instance, and its copy of the store that lists them.
+/// The servers of an instance, and its mirror of the store that lists them.
 struct Bed {
     dispatcher: Dispatcher,
     mirror: Mirror<ServerSink<PlainDialect>>,
