--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -151,7 +151,7 @@
         self.events.push(kind);
     }
 
-    /// A snapshot of the members.
+    /// The current snapshot of the members.
     #[must_use]
     pub fn members_view(&self) -> Arc<MembersView> {
         Arc::clone(&self.view.read())
--- a/src/board/latencies.rs
+++ b/src/board/latencies.rs
@@ -31,6 +31,7 @@
 }
 
 impl Latencies {
+    /// The histogram of a latency.
     fn histogram(&self, latency: Latency) -> &OnceLock<Histogram<f64>> {
         match latency {
             Latency::Request => &self.request,
--- a/src/board/members_view.rs
+++ b/src/board/members_view.rs
@@ -57,10 +57,12 @@
         }
     }
 
+    /// The index of a member's row, or where it would be inserted.
     fn position(&self, incarnation: u64) -> Result<usize, usize> {
         self.rows.binary_search_by_key(&incarnation, |row| row.incarnation)
     }
 
+    /// Adds a row, in place of the member's previous one.
     fn insert(&mut self, row: Arc<MemberRow>) {
         self.remove(row.incarnation);
         self.running_count += usize::from(row.state.may_answer());
@@ -73,6 +75,7 @@
         self.rows.insert(at, row);
     }
 
+    /// Removes a member's row.
     fn remove(&mut self, incarnation: u64) {
         let Ok(at) = self.position(incarnation) else {
             return;
--- a/src/catalog/committer.rs
+++ b/src/catalog/committer.rs
@@ -63,6 +63,7 @@
 }
 
 impl StoredService {
+    /// The revision in the store; 0 if there is no row.
     fn revision(&self) -> u64 {
         self.row.as_ref().map_or(0, |row| row.revision)
     }
@@ -82,6 +83,7 @@
 }
 
 impl Edit {
+    /// The revision that the edit expects, if any.
     fn expected(&self) -> Option<u64> {
         match self {
             Self::Put { expected, .. } | Self::Delete { expected } => Some(*expected),
@@ -116,6 +118,7 @@
         Self { store }
     }
 
+    /// Reads the row of a service.
     async fn read(&self, name: &str) -> Result<StoredService, StoreError> {
         let entry = self.store.get(&format!("{SERVICES_PREFIX}{name}")).await?;
         let Some(entry) = entry else {
@@ -211,6 +214,7 @@
     }
 }
 
+/// The error of an edit whose expected revision is not the current one.
 fn conflict(expected: u64, current: &StoredService) -> EditError {
     let detail = format!("expected revision {expected}, current is {}", current.revision());
     EditError {
--- a/src/catalog/merge.rs
+++ b/src/catalog/merge.rs
@@ -22,6 +22,7 @@
     digest: u64,
 }
 
+/// The share of one row in the digest.
 fn row_hash(name: &str, revision: u64) -> u64 {
     xxh3_64(format!("{name}\0{revision}").as_bytes())
 }
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -40,6 +40,7 @@
     mac.finalize().into_bytes().into()
 }
 
+/// A `PeerUnauthenticated` error.
 fn auth_error(why: impl std::fmt::Display) -> CodedError {
     CodedError::new(Code::PeerUnauthenticated, why.to_string())
 }
@@ -59,7 +60,7 @@
     let mut magic = [0; MAGIC.len()];
     stream.read_exact(&mut magic).await.map_err(auth_error)?;
     if magic != MAGIC {
-        return Err(auth_error("another protocol or version"));
+        return Err(auth_error("unknown protocol or version"));
     }
     let mut theirs = [0; NONCE_BYTES];
     stream.read_exact(&mut theirs).await.map_err(auth_error)?;
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -81,7 +81,7 @@
     match bytes.split_first() {
         Some((&PLAIN, plain)) => decode_plain(plain),
         Some((&COMPRESSED, compressed)) => decode_plain(&decompress(compressed)?),
-        _ => Err(CodedError::new(Code::PeerFrame, "neither plain nor compressed")),
+        _ => Err(CodedError::new(Code::PeerFrame, "unknown encoding")),
     }
 }
 
@@ -95,7 +95,7 @@
     if read != bytes.len() {
         return Err(CodedError::new(
             Code::PeerFrame,
-            format!("{} bytes left over", bytes.len() - read),
+            format!("{} trailing bytes", bytes.len() - read),
         ));
     }
     Ok(message)
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -56,6 +56,7 @@
         self.control_bytes.load(Ordering::Relaxed)
     }
 
+    /// The link to an address, added if absent.
     fn link(&self, address: SocketAddr) -> Arc<Link> {
         let mut links = self.by_address.lock();
         Arc::clone(links.entry(address).or_insert_with(|| Arc::new(Link::new(address))))
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -71,6 +71,7 @@
     }
 }
 
+/// Accepts connections until the task ends.
 async fn accept_all<S: PeerService>(listener: TcpListener, secret: Arc<str>, service: S) {
     let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     loop {
@@ -91,6 +92,7 @@
     }
 }
 
+/// Authenticates a connection and serves its streams.
 async fn serve_connection<S: PeerService>(
     mut stream: TcpStream,
     from: SocketAddr,
@@ -102,7 +104,7 @@
     match authenticated {
         Ok(Ok(())) => {}
         Ok(Err(err)) => return service.connection_refused(from, &err.to_string()),
-        Err(_) => return service.connection_refused(from, "no proof in time"),
+        Err(_) => return service.connection_refused(from, "authentication timed out"),
     }
     let mut builder = h2::server::Builder::new();
     builder.initial_window_size(WINDOW_BYTES).initial_connection_window_size(4 * WINDOW_BYTES);
@@ -115,6 +117,7 @@
     }
 }
 
+/// Serves one message by its path; a message that cannot be served gets status 400.
 async fn serve_stream<S: PeerService>(
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
@@ -139,6 +142,7 @@
     respond.send_response(Response::new(()), false).ok()
 }
 
+/// Serves a control message; `None` if it is malformed.
 async fn serve_control<S: PeerService>(
     body: &mut RecvStream,
     respond: &mut SendResponse<Bytes>,
@@ -151,6 +155,7 @@
     stream.send_data(Bytes::from(encode(&reply)), true).ok()
 }
 
+/// Serves a forwarded request; `None` if it is malformed or its body is too large.
 async fn serve_forward<S: PeerService>(
     mut body: RecvStream,
     respond: &mut SendResponse<Bytes>,
@@ -198,6 +203,7 @@
     let _ = stream.send_data(Bytes::new(), true);
 }
 
+/// Sends one chunk as flow control permits; `None` if the stream is closed.
 async fn send_chunk(stream: &mut SendStream<Bytes>, mut bytes: Bytes) -> Option<()> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
--- a/src/store/consul_store.rs
+++ b/src/store/consul_store.rs
@@ -21,8 +21,9 @@
 
 /// Response header that carries the store's index.
 const INDEX_HEADER: &str = "x-consul-index";
-/// Service names in the platform's catalog.
+/// Name under which the platform's catalog lists the instances of sorrelwick.
 const INSTANCES: &str = "sorrelwick";
+/// Name under which the platform's catalog lists backend servers.
 const BACKEND_SERVERS: &str = "backend-servers";
 
 /// A [`Store`] and [`Roster`] over HTTP; clones share connections.
@@ -53,6 +54,7 @@
     meta: CatalogMeta,
 }
 
+/// Metadata of a catalog entry.
 #[derive(Default, Deserialize)]
 struct CatalogMeta {
     #[serde(default)]
@@ -69,6 +71,7 @@
     id: String,
 }
 
+/// A response with the store's index.
 struct Reply {
     status: StatusCode,
     index: u64,
@@ -79,10 +82,12 @@
     StoreError::ResponseLost(why.to_string())
 }
 
+/// Parses a response body; an invalid one counts as a lost response.
 fn parse<T: serde::de::DeserializeOwned>(reply: &Reply) -> Result<T, StoreError> {
     serde_json::from_slice(&reply.body).map_err(response_lost)
 }
 
+/// Turns an error status into an error.
 fn expect_ok(reply: Reply) -> Result<Reply, StoreError> {
     if reply.status.is_success() {
         return Ok(reply);
@@ -104,7 +109,7 @@
         Self { http: HttpClient::open(platform.address, call_timeout) }
     }
 
-    /// Makes one call; `extra_wait` extends the timeout by the time the store may hold the call.
+    /// Makes one call. `extra_wait` is the time that the store may hold it, added to the timeout.
     async fn call(
         &self,
         method: &str,
@@ -142,6 +147,7 @@
     }
 }
 
+/// The entries of a key-value response; none for a 404.
 fn entries(reply: &Reply) -> Result<Vec<Entry>, StoreError> {
     if reply.status == StatusCode::NOT_FOUND {
         return Ok(Vec::new());
--- a/src/store/http_client.rs
+++ b/src/store/http_client.rs
@@ -64,6 +64,7 @@
         Self { address, call_timeout, idle: Arc::default() }
     }
 
+    /// Opens a connection with keepalive.
     async fn connect(&self) -> Result<Sender, StoreError> {
         let stream = TcpStream::connect(self.address).await.map_err(unreachable)?;
         stream.set_nodelay(true).map_err(unreachable)?;
@@ -95,7 +96,7 @@
             .unwrap_or_else(|_| Err(unreachable("connect timed out")))
     }
 
-    /// Makes one call; `extra_wait` extends the timeout by the time the store may hold the call.
+    /// Makes one call. `extra_wait` is the time that the store may hold it, added to the timeout.
     ///
     /// # Errors
     /// The error tells whether the call may have taken effect.
--- a/src/store/memory_store.rs
+++ b/src/store/memory_store.rs
@@ -40,6 +40,7 @@
 }
 
 impl MemoryStore {
+    /// Writes an entry at the next index and wakes up watches.
     fn write(&self, rows: &mut Rows, key: &str, value: &[u8]) {
         rows.index += 1;
         let entry = Entry { key: key.into(), value: value.into(), index: rows.index };
--- a/tests/control_cost.rs
+++ b/tests/control_cost.rs
@@ -24,6 +24,7 @@
 const RETRY_ALLOWANCE: RetryAllowance =
     RetryAllowance { ratio: 0.2, window_us: 10_000_000, slack_retries: 10.0 };
 
+/// A ready backend server.
 fn row(number: usize, slots: u32) -> ServerRow {
     ServerRow {
         id: format!("i-{number:08x}").into(),
@@ -38,6 +39,7 @@
     }
 }
 
+/// A dispatcher that lists this many servers.
 fn dispatcher_with(servers: usize) -> Dispatcher {
     let dispatcher = Dispatcher::new("burnaby", RETRY_ALLOWANCE);
     for number in 0..servers {
@@ -119,6 +121,7 @@
     assert!(took_many < took_few.max(least) * 5, "{took_few:?} and {took_many:?}");
 }
 
+/// A live member.
 fn member(incarnation: u64) -> MemberRow {
     let peer = SocketAddr::from(([10, 0, 0, 1], 1_000)).ip();
     let port = u16::try_from(incarnation % 60_000).expect("a port");
@@ -138,6 +141,7 @@
     }
 }
 
+/// The state of an instance that knows this many members, itself included.
 fn board_with(members: u64) -> Blackboard {
     let settings = parse_settings("t", r#"{ instance: { name: "a", zone: "z0" } }"#);
     let board = Blackboard::new(settings.expect("valid"), 1);
--- a/tests/local_health.rs
+++ b/tests/local_health.rs
@@ -8,6 +8,7 @@
 use sorrelwick::member::SuspicionTimer;
 use standins::routed::member_row;
 
+/// Observers in the simulation.
 const INSTANCES: u64 = 500;
 const SUSPECT_TIMEOUT_MS: u64 = 600;
 /// One of this many instances is stalled during the suspicion.
@@ -16,16 +17,20 @@
 const REFUTATION_DELAY_MAX_MS: u64 = 400;
 /// Maximum lateness of the timers of an instance that is not stalled.
 const JITTER_MS: u64 = 20;
+/// Length of the simulation.
 const END_MS: u64 = 6_000;
 
 /// An instance that times a suspicion out, and the times at which it is stalled.
 struct Observer {
     members: MemberTable,
     suspicion: SuspicionTimer,
+    /// When the next timer tick fires.
     next_ms: u64,
     /// Received messages that are still unread, with their time of arrival.
     unread: Vec<(u64, MemberRow)>,
+    /// When this instance is stalled.
     stalled: std::ops::Range<u64>,
+    /// When this instance declared the suspect dead.
     dead_ms: Option<u64>,
 }
 
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -19,6 +19,7 @@
 
 use common::property;
 
+/// A member's row of this generation and state.
 fn row(incarnation: u64, generation: u32, state: MemberState) -> MemberRow {
     MemberRow { generation, state, ..member_row(incarnation) }
 }
