--- a/src/board/blackboard.rs
+++ b/src/board/blackboard.rs
@@ -160,13 +160,13 @@
     /// Publishes changes of the member table to the request path and logs them.
     pub fn publish_members(&self) {
         let mut view = self.view.write();
-        let subscribe_changes = self.members.lock().take_changes(now_ms());
-        if subscribe_changes.is_empty() {
+        let changes = self.members.lock().take_changes(now_ms());
+        if changes.is_empty() {
             return;
         }
-        self.record_member_changes(&view, &subscribe_changes);
+        self.record_member_changes(&view, &changes);
         let current = Arc::make_mut(&mut view);
-        for change in subscribe_changes {
+        for change in changes {
             current.apply(change);
         }
         drop(view);
@@ -213,7 +213,7 @@
 
     /// Subscribes to changes of what the placement depends on.
     #[must_use]
-    pub fn changes(&self) -> watch::Receiver<u64> {
+    pub fn subscribe_changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
--- a/src/gateway/follower.rs
+++ b/src/gateway/follower.rs
@@ -184,7 +184,7 @@
     /// a lost answer, and cross-checks of watchers no longer cover it, so it must sync from peers
     /// at once.
     async fn wait_until_not_watcher(&self) {
-        let mut changes = self.board.changes();
+        let mut changes = self.board.subscribe_changes();
         while is_watcher(&self.board) {
             if changes.changed().await.is_err() {
                 return;
--- a/src/gateway/follower_relays.rs
+++ b/src/gateway/follower_relays.rs
@@ -73,7 +73,7 @@
         if self.board.settings.peers.seeds.is_empty() {
             return;
         }
-        let mut changes = self.board.changes();
+        let mut changes = self.board.subscribe_changes();
         while self.board.members_view().running_count() <= 1 {
             // An error means that the board was dropped, which outlives all controllers.
             if changes.changed().await.is_err() {
--- a/src/route/placement.rs
+++ b/src/route/placement.rs
@@ -92,7 +92,7 @@
 
 /// Rebuilds the services after each change of configuration or membership.
 pub async fn run_placement(board: Arc<Blackboard>) {
-    let mut changes = board.changes();
+    let mut changes = board.subscribe_changes();
     loop {
         changes.mark_unchanged();
         rebuild_services(&board);
