--- a/src/decide/homes.rs
+++ b/src/decide/homes.rs
@@ -63,9 +63,9 @@
 
 /// For each backend server (ID, zone), the position in `homes` of its keeper.
 ///
-/// The keeper of a server is the only home that hands out its slots, so no slots are leased that
-/// could be lost. A home in the server's zone is preferred, and no home keeps more than its equal
-/// share.
+/// The keeper of a server is the only home that hands out its slots, so no slots are leased to
+/// other homes, which could lose them. A home in the server's zone is preferred, and no home keeps
+/// more than its equal share.
 #[must_use]
 pub fn assign_keepers(servers: &[(&str, &str)], homes: &[HomeCandidate<'_>]) -> Vec<usize> {
     if homes.is_empty() {
--- a/src/quarantine/crash_check.rs
+++ b/src/quarantine/crash_check.rs
@@ -10,13 +10,13 @@
 
 use super::AdmittedSend;
 
-/// A running server in the same region accepts a connection within a few milliseconds; one whose
-/// machine is gone never does.
+/// Timeout of the connection that the check opens. A running server in the same region accepts a
+/// connection within a few milliseconds; one whose machine is gone never does.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a retry waits for the check of the previous server, so that a crash by the request
-/// itself is counted before it is sent again. An address that does not even refuse connections is
-/// not waited for.
+/// itself is counted before it is sent again. If the address neither accepts nor refuses
+/// connections, the retry does not wait for the end of the check.
 pub const CRASH_CHECK_WAIT: Duration = Duration::from_millis(25);
 
 /// A send that got no complete response.
--- a/src/quarantine/suspect_request.rs
+++ b/src/quarantine/suspect_request.rs
@@ -16,17 +16,17 @@
 /// Levels that these crashes must span. Many equal requests that run when all servers lose power
 /// are not the cause; only a later repeat that crashes one more server shows that the request is.
 const LEVELS_TO_QUARANTINE: u16 = 2;
-/// Variants that the crashes of a `Caller` or `Content` fingerprint must span: while all crashes
-/// came from one caller, other callers with the same request are not affected; nor other queries,
-/// while all crashes had the same one.
+/// Variants that the crashes of a `Caller` or `Content` fingerprint must span: if all crashes
+/// came from one caller, the same request of other callers is still sent, and if all had one
+/// query, so are other queries.
 const VARIANTS_TO_QUARANTINE: usize = 2;
 /// Crashes after which a request is sent one at a time, so that the third crash is known before
 /// more than one further copy is sent.
 const CRASHES_TO_SERIALIZE: usize = 2;
 /// Crashes kept while they do not suffice for a quarantine; those of the highest levels are kept.
 const CRASHES_KEPT: usize = 4;
-/// Block time of the first quarantine: longer than callers keep retrying, shorter than operators
-/// need to fix the server and wonder about rejections.
+/// Block time of the first quarantine: longer than callers keep retrying, and over before operators
+/// have fixed the server and wonder why the request is still rejected.
 const FIRST_BLOCK: Duration = Duration::from_mins(10);
 /// Factor by which each further quarantine lasts longer: a request whose fault is never fixed
 /// crashes at most three servers in the two days after its first quarantine.
--- a/src/quota/quota_placement.rs
+++ b/src/quota/quota_placement.rs
@@ -8,7 +8,7 @@
 /// Minimum capacity of a home that holds tokens; below 1 it would never serve a request.
 const TOKENS_PER_HOLDER_MIN: f64 = 2.0;
 
-/// A home, i.e. an instance that callers are directed to, that may hold tokens.
+/// A home: an instance that callers are directed to, and that may hold tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaHome {
     pub zone: Arc<str>,
--- a/tests/cold_servers.rs
+++ b/tests/cold_servers.rs
@@ -234,6 +234,6 @@
             now_us + 440 * MS,
         );
     }
-    let usual_ms = pool.typical_ms(&spec_now(0));
-    assert!((200.0..280.0).contains(&usual_ms), "{usual_ms} ms");
+    let typical_ms = pool.typical_ms(&spec_now(0));
+    assert!((200.0..280.0).contains(&typical_ms), "{typical_ms} ms");
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -274,10 +274,10 @@
         "too few servers crashed for an outage"
     );
     fixture.servers.iter().for_each(|server| server.set_crash_rule(crash("nothing")));
-    let mended = Instant::now();
+    let fixed_at = Instant::now();
     for at in 0..ZONES.len() {
         while fixture.call(at, "GET /look/front-page", b"").await.status != 200 {
-            assert!(mended.elapsed() < RECOVERY_MAX, "instance {at} refuses the page");
+            assert!(fixed_at.elapsed() < RECOVERY_MAX, "instance {at} refuses the page");
             tokio::time::sleep(REQUEST_INTERVAL).await;
         }
     }
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -70,7 +70,7 @@
 
 /// Arrivals at a rate-limited server beside an unlimited one, with three instances and callers in
 /// all zones.
-async fn arrivals_at_limited_server(word: ReportedLimit) -> (Vec<Instant>, Instant) {
+async fn arrivals_at_limited_server(reported: ReportedLimit) -> (Vec<Instant>, Instant) {
     let bed = Arc::new(GatewayFleet::start(&ZONES).await);
     let (limited, unlimited) = (RawServer::spawn("s1").await, RawServer::spawn("s2").await);
     bed.store.put(CONFIG_KEY, &two_routes(1));
@@ -82,7 +82,7 @@
     }
     let callers = callers(&bed);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    limited.set_reported_limit(Some(word));
+    limited.set_reported_limit(Some(reported));
     let advertised_at = Instant::now();
     tokio::time::sleep(ENFORCED_AFTER + SERVER_WINDOW).await;
     drop(callers);
@@ -140,14 +140,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rate_limited_server_gets_no_more_from_all_instances_together() {
     for in_health_checks in [false, true] {
-        let word = ReportedLimit { per_s: 1.2, in_health_checks };
-        let (arrived_at, advertised_at) = arrivals_at_limited_server(word).await;
+        let reported = ReportedLimit { per_s: 1.2, in_health_checks };
+        let (arrived_at, advertised_at) = arrivals_at_limited_server(reported).await;
         let most = most_within_window(&arrived_at, advertised_at);
         #[expect(clippy::cast_precision_loss, reason = "some hundred requests")]
-        let tolerated = most as f64 <= tolerated(word.per_s);
-        assert!(tolerated, "{most} within {SERVER_WINDOW:?}, {word:?}");
+        let tolerated = most as f64 <= tolerated(reported.per_s);
+        assert!(tolerated, "{most} within {SERVER_WINDOW:?}, {reported:?}");
         let after = arrived_at.iter().filter(|at| **at >= advertised_at + ENFORCED_AFTER).count();
-        assert!(after >= 3, "hardly used any more: {after} in {SERVER_WINDOW:?}, {word:?}");
+        assert!(after >= 3, "hardly used any more: {after} in {SERVER_WINDOW:?}, {reported:?}");
     }
 }
 
