--- a/standins/src/backend/behaviour.rs
+++ b/standins/src/backend/behaviour.rs
@@ -1,32 +1,32 @@
-//! Switches that change how a backend server behaves while it runs.
+//! Switches that change the behaviour of a running backend server.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::AtomicU64;
 
-/// All faults of one backend server; off at the start.
+/// Faults of one backend server; all off at the start.
 #[derive(Debug, Default)]
 pub struct Behaviour {
-    /// Says so in each answer, and goes on working.
+    /// Announces draining in each response, and still runs requests.
     pub draining: AtomicBool,
-    /// Answers work with 500 at once.
+    /// Responds 500 at once, without running the request.
     pub failing: AtomicBool,
-    /// Answers work with 503 instead of queueing it.
+    /// Responds 503 instead of queueing when all slots are busy.
     pub shedding: AtomicBool,
-    /// Answers all work with 503 and asks for so many seconds of rest; 0 changes nothing.
+    /// Responds 503 with this `Retry-After` to all requests; 0 turns it off.
     pub retry_after_s: AtomicU32,
-    /// Multiplies the time of work; 0 and 1 change nothing.
+    /// Factor on the service time; 0 counts as 1.
     pub slow_factor: AtomicU32,
-    /// Health says 200 whatever else is true.
+    /// Health checks get 200 without load and state headers, even while the server fails.
     pub always_healthy: AtomicBool,
-    /// Takes requests in and never answers.
+    /// Accepts requests and never responds.
     pub frozen: AtomicBool,
-    /// Reported load is this much per cent of the true one; 0 stands for 100.
+    /// Reported load in percent of the actual one; 0 counts as 100.
     pub report_percent: AtomicU32,
-    /// So many next answers are cut in the middle of the body.
+    /// Number of next responses whose connection is closed in the middle of the body.
     pub bodies_to_truncate: AtomicU64,
-    /// Those answers are sent in chunks, without telling their length beforehand.
+    /// Whether those responses are chunked, without `Content-Length`.
     pub truncate_chunked: AtomicBool,
-    /// So many next requests are run, and the connection is closed without an answer.
+    /// Number of next requests that are run and whose connection is closed without a response.
     pub responses_to_drop: AtomicU64,
 }
--- a/standins/src/backend/mod.rs
+++ b/standins/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! A backend server that works, queues, sheds, drains and fails as it is told.
+//! A backend server whose service times, load shedding, draining and faults can be set.
 
 mod behaviour;
 mod record;
--- a/standins/src/backend/record.rs
+++ b/standins/src/backend/record.rs
@@ -1,11 +1,11 @@
-//! What a backend server saw, to compare with what callers were told.
+//! Log of the events of a backend server, to compare with the results of callers.
 
 use std::collections::HashMap;
 
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// One request that was run.
+/// A request that was run, and when.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub request_id: String,
@@ -20,7 +20,7 @@
     crashes: Vec<Instant>,
 }
 
-/// The log of one backend server.
+/// Event log of one backend server.
 #[derive(Debug, Default)]
 pub struct Record {
     rows: Mutex<Rows>,
@@ -40,7 +40,7 @@
         self.rows.lock().rejections.push(Instant::now());
     }
 
-    /// When the server turned a request away and asked for rest.
+    /// Times at which the server refused a request with `Retry-After`.
     #[must_use]
     pub fn rejection_times(&self) -> Vec<Instant> {
         self.rows.lock().rejections.clone()
@@ -50,19 +50,19 @@
         self.rows.lock().crashes.push(Instant::now());
     }
 
-    /// When the server crashed.
+    /// Times of the server's crashes.
     #[must_use]
     pub fn crashes(&self) -> Vec<Instant> {
         self.rows.lock().crashes.clone()
     }
 
-    /// All runs, in the order they began.
+    /// All runs, in the order of their start.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.rows.lock().runs.clone()
     }
 
-    /// How often each request id ran.
+    /// Number of runs by request id.
     #[must_use]
     pub fn counts(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
@@ -72,7 +72,7 @@
         counts
     }
 
-    /// When calls arrived that were made only to measure.
+    /// Arrival times of probes and health checks.
     #[must_use]
     pub fn probe_times(&self) -> Vec<Instant> {
         self.rows.lock().probes.clone()
--- a/standins/src/backend/server.rs
+++ b/standins/src/backend/server.rs
@@ -35,7 +35,7 @@
 use crate::rebind::accept_until;
 use crate::rebind::rebind;
 
-/// How a backend server is set up.
+/// Settings of a backend server.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendSettings {
@@ -43,17 +43,17 @@
     pub listen: SocketAddr,
     pub slots: usize,
     pub connections_max: usize,
-    /// Mean time of a piece of work.
+    /// Mean service time, before the heavy tail.
     pub work_us: u64,
     pub body_bytes: usize,
-    /// For so long after the start, work takes `cold_factor` times as long.
+    /// For this long after the start, service times are `cold_factor` times as long.
     pub cold_ms: u64,
     pub cold_factor: u32,
-    /// Added before a new connection is served.
+    /// Delay before a new connection is served.
     pub connect_us: u64,
-    /// A request whose path begins so crashes it once its work is over; none where empty.
+    /// A request whose path has this prefix crashes the server after its service time; empty for none.
     pub crash_path: String,
-    /// How long nothing listens on its address after a crash.
+    /// How long nothing listens on the server's address after a crash.
     pub down_ms: u64,
     pub seed: u64,
 }
@@ -91,7 +91,7 @@
     started: tokio::time::Instant,
 }
 
-/// A running backend server; dropped, it dies at once, with all its connections.
+/// A running backend server; on drop it stops at once and closes all its connections.
 #[derive(Debug)]
 pub struct Backend {
     address: SocketAddr,
@@ -108,10 +108,10 @@
 }
 
 impl Backend {
-    /// Serves on the address of the settings.
+    /// Starts a server on the address of the settings.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(settings: BackendSettings) -> std::io::Result<Self> {
         let listener = TcpListener::bind(settings.listen).await?;
         let address = listener.local_addr()?;
@@ -133,19 +133,19 @@
         Ok(Self { address, behaviour, record, shared, task })
     }
 
-    /// Where it listens.
+    /// The address that the server listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its name.
+    /// The server id.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.shared.settings.id
     }
 
-    /// The most connections that were open at once.
+    /// Most connections that were open at the same time.
     #[must_use]
     pub fn peak_connections(&self) -> u32 {
         self.shared.peak_connections.load(Ordering::Relaxed)
@@ -157,6 +157,7 @@
     }
 }
 
+/// Increments a counter, and decrements it on drop.
 struct CountGuard<'a>(&'a AtomicU32);
 
 impl<'a> CountGuard<'a> {
@@ -172,7 +173,7 @@
     }
 }
 
-/// Lives, crashes and is back again, on one address.
+/// Serves until a crash, then restarts on the same address, forever.
 async fn run_with_restarts(mut listener: TcpListener, shared: Arc<Shared>) {
     let Ok(address) = listener.local_addr() else {
         return;
@@ -186,7 +187,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, shared: Arc<Shared>) {
-    let (_count, open) = CountGuard::increment(&shared.connections);
+    let (_guard, open) = CountGuard::increment(&shared.connections);
     shared.peak_connections.fetch_max(open, Ordering::AcqRel);
     if open as usize > shared.settings.connections_max {
         return;
@@ -203,27 +204,27 @@
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
 }
 
-/// Time between the first half and the cut, so that the half is on its way. It begins when more is
-/// asked for: begun with the answer, it was over on a full machine before the half had left, and
-/// the cut took that along.
+/// Delay between the first half of the body and the error, so that the half is sent. It starts at the
+/// second poll: started with the response, it could expire on a busy machine before the half was
+/// written, and closing the connection then dropped that half.
 const TRUNCATE_DELAY: Duration = Duration::from_millis(5);
 
-/// A body that says how long it is and ends with an error halfway.
+/// A body that ends with an error halfway.
 #[derive(Debug)]
 pub struct TruncatedBody {
-    first: Option<Bytes>,
-    /// Told beforehand; `None` for chunks.
+    first_half: Option<Bytes>,
+    /// Announced length; `None` for chunked encoding.
     len: Option<u64>,
-    pause: Option<std::pin::Pin<Box<tokio::time::Sleep>>>,
+    delay: Option<std::pin::Pin<Box<tokio::time::Sleep>>>,
 }
 
-/// The fault that ends a connection on purpose.
+/// Error that makes hyper close the connection.
 #[derive(Debug)]
 pub struct TruncatedError;
 
 impl std::fmt::Display for TruncatedError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("cut on purpose")
+        f.write_str("response truncated on purpose")
     }
 }
 
@@ -237,11 +238,11 @@
         mut self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<Result<Frame<Bytes>, TruncatedError>>> {
-        if let Some(bytes) = self.first.take() {
+        if let Some(bytes) = self.first_half.take() {
             return std::task::Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
-        let pause = || Box::pin(tokio::time::sleep(TRUNCATE_DELAY));
-        self.pause.get_or_insert_with(pause).as_mut().poll(cx).map(|()| Some(Err(TruncatedError)))
+        let delay = || Box::pin(tokio::time::sleep(TRUNCATE_DELAY));
+        self.delay.get_or_insert_with(delay).as_mut().poll(cx).map(|()| Some(Err(TruncatedError)))
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -257,12 +258,12 @@
     response
 }
 
-fn try_decrement(left: &std::sync::atomic::AtomicU64) -> bool {
-    let next = |left: u64| left.checked_sub(1);
-    left.fetch_update(Ordering::AcqRel, Ordering::Acquire, next).is_ok()
+fn try_decrement(counter: &std::sync::atomic::AtomicU64) -> bool {
+    let next = |count: u64| count.checked_sub(1);
+    counter.fetch_update(Ordering::AcqRel, Ordering::Acquire, next).is_ok()
 }
 
-/// What `in_flight` looks like in reports.
+/// The load that the server reports: requests in flight, scaled by `report_percent`.
 fn reported_load(shared: &Shared) -> u32 {
     let percent = match shared.behaviour.report_percent.load(Ordering::Relaxed) {
         0 => 100,
@@ -271,11 +272,11 @@
     shared.in_flight.load(Ordering::Acquire) * percent / 100
 }
 
-fn add_state_headers(shared: &Shared, answer: &mut BackendResponse) {
-    answer.headers_mut().insert("x-backend-load", reported_load(shared).into());
+fn add_state_headers(shared: &Shared, response: &mut BackendResponse) {
+    response.headers_mut().insert("x-backend-load", reported_load(shared).into());
     if shared.behaviour.draining.load(Ordering::Acquire) {
         let draining = http::HeaderValue::from_static("draining");
-        answer.headers_mut().insert("x-backend-state", draining);
+        response.headers_mut().insert("x-backend-state", draining);
     }
 }
 
@@ -286,19 +287,19 @@
     let path = request.uri().path();
     if path == "/health" || path == "/load" {
         shared.record.record_probe();
-        let lying = shared.behaviour.always_healthy.load(Ordering::Relaxed);
+        let always_healthy = shared.behaviour.always_healthy.load(Ordering::Relaxed);
         let failing = shared.behaviour.failing.load(Ordering::Relaxed);
-        let ok = lying || !failing;
+        let ok = always_healthy || !failing;
         let status = if ok { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        let mut answer = full_response(status, Bytes::from(reported_load(shared).to_string()));
-        if !lying {
-            add_state_headers(shared, &mut answer);
+        let mut response = full_response(status, Bytes::from(reported_load(shared).to_string()));
+        if !always_healthy {
+            add_state_headers(shared, &mut response);
         }
-        return Ok(answer);
+        return Ok(response);
     }
-    let mut answer = run_request(shared, request).await?;
-    add_state_headers(shared, &mut answer);
-    Ok(answer)
+    let mut response = run_request(shared, request).await?;
+    add_state_headers(shared, &mut response);
+    Ok(response)
 }
 
 fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
@@ -321,11 +322,11 @@
     if behaviour.failing.load(Ordering::Acquire) {
         return Ok(full_response(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new()));
     }
-    let rest_s = behaviour.retry_after_s.load(Ordering::Acquire);
-    if rest_s > 0 {
+    let retry_after_s = behaviour.retry_after_s.load(Ordering::Acquire);
+    if retry_after_s > 0 {
         shared.record.record_rejection();
         let mut response = full_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
-        response.headers_mut().insert(http::header::RETRY_AFTER, rest_s.into());
+        response.headers_mut().insert(http::header::RETRY_AFTER, retry_after_s.into());
         return Ok(response);
     }
     let busy = shared.slots.available_permits() == 0;
@@ -341,7 +342,7 @@
     if request.into_body().collect().await.is_err() {
         return Err(TruncatedError);
     }
-    let (_count, _) = CountGuard::increment(&shared.in_flight);
+    let (_guard, _) = CountGuard::increment(&shared.in_flight);
     let _slot = shared.slots.acquire().await.map_err(|_| TruncatedError)?;
     shared.record.record_run(&id);
     if behaviour.frozen.load(Ordering::Acquire) {
@@ -362,8 +363,9 @@
     if try_decrement(&behaviour.bodies_to_truncate) {
         let chunked = behaviour.truncate_chunked.load(Ordering::Acquire);
         let len = (!chunked).then_some(body.len() as u64);
-        let cut = TruncatedBody { first: Some(body.slice(..body.len() / 2)), len, pause: None };
-        return Ok(Response::new(Either::Right(cut)));
+        let truncated =
+            TruncatedBody { first_half: Some(body.slice(..body.len() / 2)), len, delay: None };
+        return Ok(Response::new(Either::Right(truncated)));
     }
     Ok(full_response(StatusCode::OK, body))
 }
--- a/standins/src/backend/work.rs
+++ b/standins/src/backend/work.rs
@@ -1,4 +1,4 @@
-//! The time that work takes, and the answer it gives.
+//! Service times and response bodies.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// Bytes that only the request with this id may get: the id, repeated.
+/// The response body for a request id: the id, repeated, so that a mixed-up response is noticed.
 #[must_use]
 pub fn body_for(request_id: &str, len: usize) -> Bytes {
     let pattern = format!("[{request_id}]");
@@ -15,7 +15,7 @@
     Bytes::from(bytes)
 }
 
-/// Exponential service times with a heavy tail: one in a hundred takes ten times as long.
+/// Exponentially distributed service times with a heavy tail: one in a hundred is ten times as long.
 #[derive(Debug)]
 pub struct WorkTimes {
     mean_us: f64,
@@ -26,7 +26,7 @@
 const TAIL_FACTOR: f64 = 10.0;
 
 impl WorkTimes {
-    /// Times around `mean_us` microseconds; the seed gives the same times again.
+    /// Service times with mean `mean_us` before the tail; the same seed yields the same times.
     #[must_use]
     pub fn new(mean_us: u64, seed: u64) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "a mean of microseconds")]
@@ -34,7 +34,7 @@
         Self { mean_us, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// The time of the next piece of work.
+    /// Draws the next service time.
     pub fn next_time(&mut self) -> Duration {
         let uniform: f64 = self.rng.random();
         let tail = self.rng.random_bool(TAIL_PROBABILITY);
--- a/standins/src/caller/call_result.rs
+++ b/standins/src/caller/call_result.rs
@@ -1,11 +1,11 @@
-//! What a caller was told.
+//! The result of a call, and the response to an address query.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use serde::Deserialize;
 
-/// One address of an address answer.
+/// One instance of the response to an address query.
 #[derive(Clone, Debug, Deserialize)]
 pub struct InstanceAddress {
     pub address: SocketAddr,
@@ -19,10 +19,10 @@
     pub addresses: Vec<InstanceAddress>,
 }
 
-/// The end of one call, as the caller sees it.
+/// Result of a call, as the caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// A whole answer.
+    /// A complete response.
     Answered {
         status: u16,
         /// `ran`, `not-run` or `unknown`.
@@ -33,12 +33,12 @@
     },
     /// No connection: nothing was sent.
     NotSent,
-    /// The connection broke before the answer was whole.
+    /// The connection was closed before the response was complete.
     Broken,
 }
 
 impl CallResult {
-    /// The outcome that sorrelwick told; empty when it told none.
+    /// The outcome in sorrelwick's header; empty if there is none.
     #[must_use]
     pub fn outcome(&self) -> &str {
         match self {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The result code; 0 when none was told.
+    /// The result code; 0 if there is none.
     #[must_use]
     pub const fn code(&self) -> u16 {
         match self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The body of a whole answer.
+    /// The body of a complete response; empty if there is none.
     #[must_use]
     pub fn body(&self) -> &[u8] {
         match self {
--- a/standins/src/caller/client.rs
+++ b/standins/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! The caller's connections.
+//! The caller: resolves addresses, keeps connections, sends calls.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
     pub method: String,
     /// Path and query.
     pub path_and_query: String,
-    /// Sent as `x-request-id`.
+    /// Request id, sent as `x-request-id`.
     pub id: String,
     pub key: Option<String>,
     pub timeout_ms: Option<u64>,
@@ -39,7 +39,7 @@
 }
 
 impl Call {
-    /// A GET without key.
+    /// A GET without an idempotency key.
     #[must_use]
     pub fn get(target: &str, id: &str) -> Self {
         Self {
@@ -50,20 +50,20 @@
         }
     }
 
-    /// A POST without key.
+    /// A POST without an idempotency key.
     #[must_use]
     pub fn post(target: &str, id: &str) -> Self {
         Self { method: "POST".into(), ..Self::get(target, id) }
     }
 
-    /// The same with an idempotency key.
+    /// Adds an idempotency key.
     #[must_use]
     pub fn with_key(mut self, key: &str) -> Self {
         self.key = Some(key.into());
         self
     }
 
-    /// The same with a deadline.
+    /// Adds a timeout.
     #[must_use]
     pub const fn with_timeout_ms(mut self, timeout_ms: u64) -> Self {
         self.timeout_ms = Some(timeout_ms);
@@ -77,19 +77,19 @@
     addresses: Vec<InstanceAddress>,
 }
 
-/// A caller in one zone, of one service; clones share connections and the kept answer.
+/// A caller of one service in one zone; clones share connections and cached addresses.
 #[derive(Clone, Debug)]
 pub struct Caller {
     service: Arc<str>,
     zone: Arc<str>,
-    /// Instances to ask first, from the caller's own settings.
+    /// Configured instances for the first address query.
     seeds: Arc<[SocketAddr]>,
     cached: Arc<Mutex<Option<CachedAddresses>>>,
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Sender>>>>,
 }
 
 impl Caller {
-    /// A caller that knows these instances.
+    /// Creates a caller with these instances as seeds.
     #[must_use]
     pub fn new(service: &str, zone: &str, known: &[SocketAddr]) -> Self {
         Self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A caller that always uses one address, whatever is there; for comparison.
+    /// Creates a caller that always uses one address, such as that of a backend server.
     #[must_use]
     pub fn fixed(service: &str, address: SocketAddr) -> Self {
         let caller = Self::new(service, "", &[]);
@@ -111,23 +111,24 @@
         caller
     }
 
-    /// The addresses to use, best first; asks anew once the kept answer is over.
+    /// The addresses to use, best first; queries again when the cached ones have expired.
     pub async fn addresses(&self) -> Vec<InstanceAddress> {
         if let Some(kept) = &*self.cached.lock()
             && Instant::now() < kept.until
         {
             return kept.addresses.clone();
         }
-        let mut asked: Vec<SocketAddr> = Vec::new();
+        let mut targets: Vec<SocketAddr> = Vec::new();
         if let Some(kept) = &*self.cached.lock() {
-            asked.extend(kept.addresses.iter().map(|named| named.address));
+            targets.extend(kept.addresses.iter().map(|named| named.address));
         }
-        asked.extend(self.seeds.iter());
-        for address in asked {
-            if let Some(answer) = self.resolve_at(address).await {
-                let until = Instant::now() + Duration::from_millis(answer.keep_ms);
-                let addresses = answer.addresses.clone();
-                *self.cached.lock() = Some(CachedAddresses { until, addresses: answer.addresses });
+        targets.extend(self.seeds.iter());
+        for address in targets {
+            if let Some(response) = self.resolve_at(address).await {
+                let until = Instant::now() + Duration::from_millis(response.keep_ms);
+                let addresses = response.addresses.clone();
+                *self.cached.lock() =
+                    Some(CachedAddresses { until, addresses: response.addresses });
                 return addresses;
             }
         }
@@ -137,30 +138,31 @@
     async fn resolve_at(&self, address: SocketAddr) -> Option<AddressResponse> {
         let (service, zone) = (&self.service, &self.zone);
         let target = format!("/.sorrelwick/v1/addresses?service={service}&zone={zone}");
-        let told = self.call_at(address, &Call::get(&target, "")).await;
-        let answer: AddressResponse = serde_json::from_slice(told.body()).ok()?;
-        (!answer.addresses.is_empty()).then_some(answer)
+        let result = self.call_at(address, &Call::get(&target, "")).await;
+        let response: AddressResponse = serde_json::from_slice(result.body()).ok()?;
+        (!response.addresses.is_empty()).then_some(response)
     }
 
-    /// Sends a call to the best address; tries the next only when nothing was sent.
+    /// Sends a call to the best address; tries the next one only if nothing was sent.
     pub async fn call(&self, call: &Call) -> CallResult {
         for named in self.addresses().await {
-            let told = self.call_at(named.address, call).await;
-            if told != CallResult::NotSent {
-                return told;
+            let result = self.call_at(named.address, call).await;
+            if result != CallResult::NotSent {
+                return result;
             }
         }
         CallResult::NotSent
     }
 
-    /// Sends a call with a fresh key that is bound to the best address, and returns the key.
+    /// Sends a call to the best address with a new idempotency key that has the prefix of that address,
+    /// and returns the key.
     pub async fn call_with_new_key(&self, call: &Call) -> (Option<String>, CallResult) {
         let Some(named) = self.addresses().await.into_iter().next() else {
             return (None, CallResult::NotSent);
         };
         let key = format!("{}-{}", named.key_prefix, call.id);
-        let told = self.call_at(named.address, &call.clone().with_key(&key)).await;
-        (Some(key), told)
+        let result = self.call_at(named.address, &call.clone().with_key(&key)).await;
+        (Some(key), result)
     }
 
     async fn sender(&self, address: SocketAddr) -> Option<Sender> {
@@ -198,8 +200,8 @@
 
     /// Sends a call to one address.
     ///
-    /// A connection that was closed while idle is found so before anything is written on it,
-    /// and the call goes over a new one.
+    /// If a pooled connection turns out to be closed before anything was written, the call is sent on
+    /// another one.
     pub async fn call_at(&self, address: SocketAddr, call: &Call) -> CallResult {
         for _ in 0..3 {
             let (Some(mut sender), Some(request)) =
--- a/standins/src/caller/mod.rs
+++ b/standins/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A caller: asks which address to use, keeps the answer, connects there.
+//! A caller: queries which addresses to use, caches them and sends requests there.
 
 mod call_result;
 mod client;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what surrounds sorrelwick: the platform, backend servers and callers.
+//! Stand-ins for the systems around sorrelwick: the platform, backend servers and callers.
 //!
-//! They are there for tests, examples and measurements; nothing of them runs in production.
+//! Only for tests, examples and measurements; none of this code runs in production.
 
 pub mod backend;
 pub mod bed;
--- a/standins/src/rebind.rs
+++ b/standins/src/rebind.rs
@@ -1,4 +1,4 @@
-//! Servers that crash and come back on their address.
+//! Restart of a simulated server on the same address after a crash.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// Pause before the next try; the address may still be taken for a moment.
+/// Interval between attempts to bind; the address may still be in use for a moment.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Listens on an address again after `down`.
-pub async fn rebind(address: SocketAddr, down: Duration) -> TcpListener {
-    tokio::time::sleep(down).await;
+/// Binds the address again after `downtime`, and retries until that succeeds.
+pub async fn rebind(address: SocketAddr, downtime: Duration) -> TcpListener {
+    tokio::time::sleep(downtime).await;
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Serves each connection until the server crashes; all of its connections end with it.
+/// Accepts and serves connections until `crash` is notified, then closes all of them.
 pub async fn accept_until<S, F>(listener: TcpListener, crash: &Notify, serve: S)
 where
     S: Fn(TcpStream) -> F,
@@ -40,6 +40,7 @@
         while connections.try_join_next().is_some() {}
     }
     drop(listener);
-    // One that is just at work on another thread would otherwise count itself out later.
+    // Waits for the tasks: one that still runs on another thread would otherwise decrement the
+    // connection count after the caller has reset it.
     connections.shutdown().await;
 }
--- a/standins/src/routed/cold_phase.rs
+++ b/standins/src/routed/cold_phase.rs
@@ -1,4 +1,4 @@
-//! A while for which a backend server is cold.
+//! The time during which a backend server is cold.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,32 +7,32 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// When it ends, and what arrived meanwhile.
+/// A period in which a backend server bears only a limited request rate.
 #[derive(Clone, Debug)]
 pub struct ColdPhase {
     until: Instant,
-    /// Requests within a second that the server bears.
+    /// Most requests within a second that the server bears.
     capacity_per_s: usize,
     last_second: VecDeque<Instant>,
     peak_arrivals_per_s: usize,
 }
 
 impl ColdPhase {
-    /// One that begins now.
+    /// Starts a cold phase now.
     #[must_use]
-    pub fn new(lasts: Duration, capacity_per_s: usize) -> Self {
-        let until = Instant::now() + lasts;
+    pub fn new(duration: Duration, capacity_per_s: usize) -> Self {
+        let until = Instant::now() + duration;
         Self { until, capacity_per_s, last_second: VecDeque::new(), peak_arrivals_per_s: 0 }
     }
 
-    /// How long it still lasts; `None` once it is over.
+    /// Remaining time; `None` when the phase is over.
     #[must_use]
     pub fn remaining(&self) -> Option<Duration> {
-        let left = self.until.saturating_duration_since(Instant::now());
-        (!left.is_zero()).then_some(left)
+        let remaining = self.until.saturating_duration_since(Instant::now());
+        (!remaining.is_zero()).then_some(remaining)
     }
 
-    /// Counts a request; whether it is one too many.
+    /// Records a request. Returns `true` if it exceeds the capacity.
     pub fn record_arrival(&mut self) -> bool {
         if self.remaining().is_none() {
             return false;
@@ -46,7 +46,7 @@
         self.last_second.len() > self.capacity_per_s
     }
 
-    /// Most requests that arrived within a second.
+    /// Most requests that arrived within one second of the phase.
     #[must_use]
     pub const fn peak_arrivals_per_s(&self) -> usize {
         self.peak_arrivals_per_s
--- a/standins/src/routed/crash_rule.rs
+++ b/standins/src/routed/crash_rule.rs
@@ -1,14 +1,14 @@
-//! Which requests crash a backend server.
+//! The rule by which requests crash a stand-in backend server.
 
 use std::time::Duration;
 
-/// Requests that crash a server, and how it comes back.
+/// Which requests crash a server, and how.
 #[derive(Clone, Debug)]
 pub struct CrashRule {
-    /// A request whose head contains this crashes the server once its work is over.
+    /// A request whose head contains this text crashes the server after its service time.
     pub head_contains: String,
-    /// How long nothing listens on its address.
+    /// How long nothing listens on the server's address after the crash.
     pub downtime: Duration,
-    /// Whether the answer has begun by then.
+    /// Whether the server sends the first part of a response before the crash.
     pub mid_response: bool,
 }
--- a/standins/src/routed/gateway_fleet.rs
+++ b/standins/src/routed/gateway_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of instances that serve by routes, on one store, in this process.
+//! A fleet of gateway instances in this process, on one in-memory store.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Instances, the store that they share, and each one's view of it.
+/// Gateway instances, their shared store, and each instance's client of it.
 #[derive(Debug)]
 pub struct GatewayFleet {
     pub store: MemoryEventStore,
@@ -31,7 +31,7 @@
     pub instances: Vec<FleetInstance>,
 }
 
-/// An instance with a runtime of its own, so that it can be killed with all its connections.
+/// A gateway instance on its own runtime, so that killing it closes all its connections.
 #[derive(Debug)]
 pub struct FleetInstance {
     runtime: Runtime,
@@ -46,16 +46,16 @@
         Self { gateway: spawned.expect("no panic").expect("the instance starts"), runtime }
     }
 
-    /// Stops it as planned.
+    /// Stops the instance gracefully.
     ///
     /// # Panics
-    /// When the stop does.
+    /// If the stop panics.
     pub async fn stop(self) {
         self.runtime.spawn(self.gateway.stop()).await.expect("no panic");
         self.runtime.shutdown_background();
     }
 
-    /// Ends it with all its tasks and connections.
+    /// Kills the instance with all its tasks and connections.
     pub fn kill(self) {
         let Self { runtime, gateway } = self;
         runtime.shutdown_background();
@@ -63,10 +63,10 @@
     }
 }
 
-/// Settings of an instance of the bed, at ports that the system gives.
+/// Settings of an instance of the fleet, on ports assigned by the system.
 ///
 /// # Panics
-/// Never: they are valid.
+/// Never: the settings are valid.
 #[must_use]
 pub fn fleet_settings(name: &str, zone: &str, zones: &[&str], seeds: &[SocketAddr]) -> Settings {
     let text = serde_json::json!({
@@ -99,10 +99,10 @@
 }
 
 impl GatewayFleet {
-    /// Starts one instance for each zone named, in order.
+    /// Starts one instance per element of `zones`, in order.
     ///
     /// # Panics
-    /// When one does not start.
+    /// If an instance does not start.
     pub async fn start(zones: &[&str]) -> Self {
         let store = MemoryEventStore::default();
         let mut bed = Self { store, store_clients: Vec::new(), instances: Vec::new() };
@@ -112,18 +112,18 @@
         bed
     }
 
-    /// Starts one more instance.
+    /// Starts another instance.
     ///
     /// # Panics
-    /// When it does not start.
+    /// If it does not start.
     pub async fn add(&mut self, name: &str, zone: &str, zones: &[&str]) {
         self.add_with_store_fault(name, zone, zones, StoreFault::None).await;
     }
 
-    /// Starts one more instance, which the store treats badly from its start.
+    /// Starts another instance, whose calls to the store are subject to `fault` from the start.
     ///
     /// # Panics
-    /// When it does not start.
+    /// If it does not start.
     pub async fn add_with_store_fault(
         &mut self,
         name: &str,
@@ -140,19 +140,19 @@
         self.store_clients.push(view);
     }
 
-    /// The state of an instance.
+    /// The blackboard of the instance at index `at`.
     #[must_use]
     pub fn board(&self, at: usize) -> &Arc<Blackboard> {
         self.instances[at].gateway.board()
     }
 
-    /// Sends a request to an instance.
+    /// Sends a request to the instance at index `at`.
     pub async fn call(&self, at: usize, line: &str, id: &str, body: &[u8]) -> RawResponse {
         let to = self.board(at).settings.listen.caller;
         raw_call(to, line, &[("host", "shop.example"), ("request-id", id)], body).await
     }
 
-    /// Sends a request from another address, with one more field.
+    /// Sends a request from the given source address, with an additional header.
     pub async fn call_from(
         &self,
         from: Ipv4Addr,
@@ -166,7 +166,7 @@
         raw_call_from(from.into(), to, line, &fields, &[]).await
     }
 
-    /// Sends a request with more fields, which may come more than once.
+    /// Sends a request with additional headers; a name may occur more than once.
     pub async fn call_with(
         &self,
         at: usize,
@@ -180,15 +180,15 @@
         raw_call(to, line, &all, &[]).await
     }
 
-    /// Asks an instance which addresses a zone's callers should use.
+    /// Queries an instance for the addresses that callers in `zone` should use.
     ///
     /// # Panics
-    /// When the answer cannot be read.
+    /// If the response cannot be parsed.
     pub async fn addresses(&self, at: usize, zone: &str) -> Vec<SocketAddr> {
         let gateway = self.board(at).settings.gateway.clone().expect("a gateway");
         let line = format!("GET /addresses?name=shop.example&zone={zone}");
-        let answer = raw_call(gateway.addresses, &line, &[("host", "x")], &[]).await;
-        let body: serde_json::Value = serde_json::from_slice(&answer.body).expect("JSON");
+        let response = raw_call(gateway.addresses, &line, &[("host", "x")], &[]).await;
+        let body: serde_json::Value = serde_json::from_slice(&response.body).expect("JSON");
         serde_json::from_value(body["addresses"].clone()).expect("addresses")
     }
 
@@ -203,7 +203,7 @@
     /// Waits until all instances know each other and are ready.
     ///
     /// # Panics
-    /// When that takes too long.
+    /// If that takes more than 10 s.
     pub async fn wait_until_ready(&self) {
         let until = tokio::time::Instant::now() + READY_TIMEOUT;
         for at in 0..self.instances.len() {
@@ -218,10 +218,10 @@
     }
 }
 
-/// The two routes with the workspaces that these declare, and a third route that needs no key.
+/// The configuration of [`two_routes`] with these workspaces, and a third route that needs no API key.
 ///
 /// # Panics
-/// Never: the routes are a document.
+/// Never: the configuration is valid JSON.
 #[must_use]
 pub fn routes_with_workspaces(version: u64, workspaces: &serde_json::Value) -> String {
     let mut document: serde_json::Value =
@@ -236,7 +236,7 @@
     document.to_string()
 }
 
-/// A configuration with one idempotent route, one at-most-once route, and a service each.
+/// A configuration with an idempotent and an at-most-once route, each with its own service.
 #[must_use]
 pub fn two_routes(version: u64) -> String {
     serde_json::json!({
--- a/standins/src/routed/member_parts.rs
+++ b/standins/src/routed/member_parts.rs
@@ -1,17 +1,17 @@
-//! What tables of members are tried with, without network.
+//! Member rows for tests of the member table without a network.
 
 use std::net::SocketAddr;
 
 use sorrelwick::member::MemberRow;
 use sorrelwick::member::MemberState;
 
-/// Ports of so many members differ.
+/// Number of distinct ports; members with higher incarnations reuse them.
 const PORT_COUNT: u64 = 1_000;
 
-/// A member that has just started.
+/// Row of an alive member, 5 ms after its start.
 ///
 /// # Panics
-/// Never: the port is within its range.
+/// Never: the port fits into 16 bits.
 #[must_use]
 pub fn member_row(incarnation: u64) -> MemberRow {
     let port = u16::try_from(10_000 + incarnation % PORT_COUNT).expect("a port");
--- a/standins/src/routed/memory_event_store.rs
+++ b/standins/src/routed/memory_event_store.rs
@@ -1,4 +1,4 @@
-//! The store, in memory; clones share.
+//! An in-memory event store with injectable faults; clones share its state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,35 +17,35 @@
 use tokio::sync::watch;
 
 const PAGE_ITEMS: usize = 50;
-/// After this a client gives up a call that is not answered.
+/// Time after which a client abandons a call without a response.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How the store treats one caller.
+/// Fault that the store simulates for one client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
     #[default]
     None,
-    /// Answers that it is busy; nothing is done.
+    /// Refuses each call as busy, without effect.
     Busy,
-    /// Does not answer; calls that wait are cut.
+    /// Does not respond; pending watches fail at once.
     Silent,
-    /// Does not answer, and what was called meanwhile or waits now is never answered, also when it
-    /// is back: the connections are dead.
+    /// Does not respond, and calls made during the fault or pending at its start get no response even
+    /// after it ends, as on dead connections.
     Hung,
 }
 
 #[derive(Debug, Default)]
 struct State {
     items: BTreeMap<String, Item>,
-    /// What readings that may be old bring; the latest where none is set.
+    /// Result of stale reads; the latest items if `None`.
     stale_items: Option<BTreeMap<String, Item>>,
     history: Vec<ItemEvent>,
-    /// Events up to here are forgotten.
+    /// Events up to this revision are no longer available.
     compacted_revision: u64,
     revision: u64,
 }
 
-/// The store as one of its callers sees it.
+/// One client's handle of the store, with its own fault and call counts.
 #[derive(Clone, Debug)]
 pub struct MemoryEventStore {
     state: Arc<Mutex<State>>,
@@ -68,7 +68,7 @@
 }
 
 impl MemoryEventStore {
-    /// The same store as another caller sees it, with faults and a count of calls of its own.
+    /// Creates a handle for another client of the same store, without a fault and with call counts of 0.
     #[must_use]
     pub fn new_client(&self) -> Self {
         Self {
@@ -80,18 +80,18 @@
         }
     }
 
-    /// Treats this caller so from now on; calls that wait are cut.
+    /// Sets the fault for this client; pending watches fail.
     pub fn set_fault(&self, fault: StoreFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Calls of this caller so far.
+    /// Number of calls by this client.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Those of them that cost a tenth: readings that may be old, and looks whether it still answers.
+    /// Number of this client's calls that cost a tenth of a normal one: stale reads and liveness checks.
     #[must_use]
     pub fn cheap_calls(&self) -> u64 {
         self.cheap_calls.load(Ordering::Relaxed)
@@ -120,13 +120,13 @@
         self.changed.send_replace(revision);
     }
 
-    /// Readings that may be old bring what there is now, from now on.
+    /// Makes stale reads return the current items from now on.
     pub fn freeze_stale_reads(&self) {
         let mut state = self.state.lock();
         state.stale_items = Some(state.items.clone());
     }
 
-    /// Forgets all events so far.
+    /// Discards all events so far; a watch from before them reports lost history.
     pub fn compact_history(&self) {
         let mut state = self.state.lock();
         state.compacted_revision = state.revision;
@@ -157,11 +157,12 @@
         if after < state.compacted_revision {
             return Some(WatchResult::HistoryLost);
         }
-        let below = |event: &&ItemEvent| match event {
+        let has_prefix = |event: &&ItemEvent| match event {
             ItemEvent::Written(item) => item.key.starts_with(prefix),
             ItemEvent::Removed { key, .. } => key.starts_with(prefix),
         };
-        let newer = state.history.iter().filter(|event| event.revision() > after).filter(below);
+        let newer =
+            state.history.iter().filter(|event| event.revision() > after).filter(has_prefix);
         let events: Vec<ItemEvent> = newer.cloned().collect();
         let revision = state.revision;
         (!events.is_empty()).then_some(WatchResult::Events { events, revision })
@@ -181,11 +182,12 @@
         self.begin_call().await?;
         let state = self.state.lock();
         let old = state.stale_items.as_ref().filter(|_| freshness == Freshness::Stale);
-        let below =
+        let matching =
             old.unwrap_or(&state.items).values().filter(|item| item.key.starts_with(prefix));
-        let mut left = below.filter(|item| after.is_none_or(|after| item.key.as_str() > after));
-        let items: Vec<Item> = left.by_ref().take(PAGE_ITEMS).cloned().collect();
-        let more = left.next().is_some();
+        let mut remaining =
+            matching.filter(|item| after.is_none_or(|after| item.key.as_str() > after));
+        let items: Vec<Item> = remaining.by_ref().take(PAGE_ITEMS).cloned().collect();
+        let more = remaining.next().is_some();
         Ok(Page { items, has_more: more, revision: state.revision })
     }
 
@@ -205,8 +207,8 @@
         let mut changed = self.changed.subscribe();
         let mut fault = self.fault.subscribe();
         loop {
-            if let Some(watched) = self.events_after(prefix, revision) {
-                return Ok(watched);
+            if let Some(result) = self.events_after(prefix, revision) {
+                return Ok(result);
             }
             tokio::select! {
                 _ = changed.changed() => {}
--- a/standins/src/routed/memory_links.rs
+++ b/standins/src/routed/memory_links.rs
@@ -1,4 +1,4 @@
-//! Hundreds of instances in one process, that call each other in memory.
+//! In-memory network between hundreds of instances in one process.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,46 +19,48 @@
 use sorrelwick::peer::PeerRequest;
 use sorrelwick::peer::encode;
 
-/// One way of a message between two instances of a region.
+/// One-way network latency between two instances of a region.
 const ONE_WAY_LATENCY: Duration = Duration::from_millis(1);
-/// A ping without rumours.
+/// Size of a ping without gossip.
 const PING_BYTES: usize = 120;
 
-/// An instance as others reach it.
+/// An instance on the network.
 struct Endpoint<K> {
     board: Arc<Blackboard>,
     mirror: Option<Arc<Mirror<K>>>,
-    /// Bytes a second that its link carries in each direction.
+    /// Bandwidth of its link, in each direction.
     link_bytes_per_s: u64,
-    /// Until when its link is busy with what was sent before, in microseconds.
+    /// Time at which its link has sent all queued bytes.
     busy_until_us: AtomicU64,
 }
 
 impl<K> Endpoint<K> {
-    /// Sends bytes over the link, after those that wait already.
+    /// Transmits bytes over the link, after those already queued.
     async fn transmit(&self, bytes: usize) {
         let now_us = sorrelwick::clock::now_us();
-        let takes_us = bytes as u64 * 1_000_000 / self.link_bytes_per_s;
-        let begins_us = self.busy_until_us.load(Ordering::Relaxed).max(now_us);
-        self.busy_until_us.store(begins_us + takes_us, Ordering::Relaxed);
-        tokio::time::sleep(Duration::from_micros(begins_us + takes_us - now_us) + ONE_WAY_LATENCY)
-            .await;
+        let transmit_us = bytes as u64 * 1_000_000 / self.link_bytes_per_s;
+        let start_us = self.busy_until_us.load(Ordering::Relaxed).max(now_us);
+        self.busy_until_us.store(start_us + transmit_us, Ordering::Relaxed);
+        tokio::time::sleep(
+            Duration::from_micros(start_us + transmit_us - now_us) + ONE_WAY_LATENCY,
+        )
+        .await;
     }
 }
 
-/// The instances that are there, by their peer addresses, and what they sent.
+/// The network: instances by peer address, and counts of what they sent.
 struct Net<K> {
-    /// `None` for one that was there, and is gone with its machine.
+    /// `None` for an instance whose machine was removed.
     endpoints: Mutex<HashMap<SocketAddr, Option<Arc<Endpoint<K>>>>>,
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// The links of one instance; those of one net reach each other.
+/// Peer client of one instance; clients of the same network reach each other.
 pub struct MemoryLinks<K> {
     net: Arc<Net<K>>,
     own: SocketAddr,
-    /// Calls of this instance.
+    /// Number of calls by this instance.
     calls: Arc<AtomicU64>,
 }
 
@@ -75,7 +77,7 @@
 }
 
 impl<K: Sink> Default for MemoryLinks<K> {
-    /// Links of nobody, on a net of its own; see [`MemoryLinks::add`].
+    /// Creates an empty network; [`MemoryLinks::add`] adds instances to it.
     fn default() -> Self {
         let net = Net { endpoints: Mutex::default(), messages: 0.into(), bytes: 0.into() };
         Self { net: Arc::new(net), own: SocketAddr::from(([0, 0, 0, 0], 0)), calls: Arc::default() }
@@ -83,7 +85,7 @@
 }
 
 impl<K: Sink> MemoryLinks<K> {
-    /// The links of one more instance of the net, which answers from now on.
+    /// Adds an instance, which responds from now on, and returns its peer client.
     #[must_use]
     pub fn add(
         &self,
@@ -98,25 +100,25 @@
         Self { net: Arc::clone(&self.net), own, calls: Arc::default() }
     }
 
-    /// Takes an instance away with its machine: calls to it hang. Where none ever was, they are
-    /// refused.
+    /// Removes an instance with its machine: calls to it hang. Calls to an address where there never
+    /// was an instance are refused.
     pub fn remove(&self, address: SocketAddr) {
         self.net.endpoints.lock().insert(address, None);
     }
 
-    /// Calls that this instance made so far.
+    /// Number of calls that this instance made so far.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Messages that were sent so far, answers included.
+    /// Number of messages sent by all instances so far, including responses.
     #[must_use]
     pub fn messages(&self) -> u64 {
         self.net.messages.load(Ordering::Relaxed)
     }
 
-    /// Bytes of these messages, without what connections add.
+    /// Bytes of these messages, without connection overhead.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.net.bytes.load(Ordering::Relaxed)
@@ -130,7 +132,7 @@
         self.net.endpoints.lock().contains_key(&address)
     }
 
-    /// Sends a message from one end; hangs where the end is not there any more.
+    /// Transmits a message over the sender's link; hangs if its machine was removed.
     async fn send(&self, from: SocketAddr, bytes: usize) {
         self.net.messages.fetch_add(1, Ordering::Relaxed);
         self.net.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
@@ -144,8 +146,8 @@
         let board = &to.board;
         match request {
             PeerRequest::Member(request) => handle_member_request(board, request),
-            PeerRequest::Suspects { records: rows, complete: all } => {
-                PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
+            PeerRequest::Suspects { records, complete } => {
+                PeerReply::Suspects(board.quarantine.merge_and_diff(&records, complete))
             }
             PeerRequest::IndirectPing { target } => self.ping_for(board, target).await,
             PeerRequest::Feed { feed, after, hold_ms } => match &to.mirror {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Reaches another instance in the place of one that could not. Only whether it is there counts.
+    /// Handles an indirect ping. Only whether the target is on the network matters, so no ping is encoded.
     async fn ping_for(&self, board: &Blackboard, target: SocketAddr) -> PeerReply {
         let reached = async {
             self.send(board.settings.listen.peer, PING_BYTES).await;
--- a/standins/src/routed/mod.rs
+++ b/standins/src/routed/mod.rs
@@ -1,5 +1,5 @@
-//! A platform that lists routes and backend servers in a store with events: in memory, with the
-//! faults of a real one, and whole fleets of instances on it.
+//! Test environments for the gateway: an in-memory event store with injectable faults, stand-in backend
+//! servers, and fleets of instances.
 
 mod cold_phase;
 mod crash_rule;
--- a/standins/src/routed/plain_dialect.rs
+++ b/standins/src/routed/plain_dialect.rs
@@ -1,4 +1,4 @@
-//! Plain names for everything that a platform names.
+//! A dialect for tests, with a plain name for each header, key and path.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,20 +11,21 @@
 use sorrelwick::model::LoadReport;
 use sorrelwick::model::ServerRow;
 
-/// Where the operators write, in the stand-in store.
+/// Store key of the configuration.
 pub const CONFIG_KEY: &str = "operators/config";
+/// Prefix of the store keys of zone evacuations.
 pub const EVACUATIONS_PREFIX: &str = "operators/evacuations/";
 
-/// The stand-in's names: fields called what they hold, bodies as the product declares them.
+/// Dialect for tests: headers are named after their content, and bodies are the serialized model types.
 #[derive(Clone, Debug)]
 pub struct PlainDialect {
-    fields: HeaderNames,
+    header_names: HeaderNames,
 }
 
 impl Default for PlainDialect {
     fn default() -> Self {
         let name = HeaderName::from_static;
-        let fields = HeaderNames {
+        let header_names = HeaderNames {
             request_id: name("request-id"),
             api_key: name("api-key"),
             workspace: name("workspace"),
@@ -38,13 +39,13 @@
             rate_limit: name("rate-limit"),
             draining: name("leaving"),
         };
-        Self { fields }
+        Self { header_names }
     }
 }
 
 impl Dialect for PlainDialect {
     fn header_names(&self) -> &HeaderNames {
-        &self.fields
+        &self.header_names
     }
 
     fn store_keys(&self) -> StoreKeys {
@@ -67,18 +68,18 @@
         Ok(ServerRow { id: id.into(), ..row })
     }
 
-    /// Running, waiting, slots and pace.
+    /// Parses `running,waiting,slots,slowdown_percent`.
     fn parse_load(&self, text: &str) -> Option<LoadReport> {
-        let mut figures = text.split(',').map(|figure| figure.parse().ok());
+        let mut numbers = text.split(',').map(|number| number.parse().ok());
         Some(LoadReport {
-            running: figures.next()??,
-            waiting: figures.next()??,
-            slowdown_percent: figures.nth(1)??,
+            running: numbers.next()??,
+            waiting: numbers.next()??,
+            slowdown_percent: numbers.nth(1)??,
         })
     }
 
-    fn encode_addresses(&self, addresses: &[SocketAddr], keep: Duration) -> Vec<u8> {
-        let keep_ms = keep.as_millis();
+    fn encode_addresses(&self, addresses: &[SocketAddr], ttl: Duration) -> Vec<u8> {
+        let keep_ms = ttl.as_millis();
         serde_json::json!({ "addresses": addresses, "keep_ms": keep_ms }).to_string().into_bytes()
     }
 }
--- a/standins/src/routed/pool_parts.rs
+++ b/standins/src/routed/pool_parts.rs
@@ -1,4 +1,4 @@
-//! What pools of backend servers are tried with, without network.
+//! Server rows and request specs for tests of server pools without a network.
 
 use sorrelwick::balance::RequestSpec;
 use sorrelwick::model::ServerRow;
@@ -7,7 +7,7 @@
 const TARGET_MS: f64 = 600.0;
 const DEADLINE_US: u64 = 1_500_000;
 
-/// A server of four slots that is ready and warm.
+/// A ready server with four slots and no warm-up.
 #[must_use]
 pub fn ready_row(id: &str) -> ServerRow {
     ServerRow {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A request that arrives now, to be answered within 600 ms and at most 1.5 s.
+/// A request that arrives at `now_us`, with a target latency of 600 ms and a deadline of 1.5 s.
 #[must_use]
 pub fn spec_now(now_us: u64) -> RequestSpec {
     RequestSpec {
--- a/standins/src/routed/raw_call.rs
+++ b/standins/src/routed/raw_call.rs
@@ -1,4 +1,4 @@
-//! One request over a connection of its own, byte for byte.
+//! A minimal HTTP/1.1 client that sends one request per connection.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 use tokio::net::TcpSocket;
 use tokio::net::TcpStream;
 
-/// What came back before the connection was closed.
+/// Response as received until the connection was closed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RawResponse {
-    /// 0 where no answer came.
+    /// 0 if there was no response.
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
 }
 
 impl RawResponse {
-    /// The value of a field of the head.
+    /// The value of a header, by case-insensitive name.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().skip(1).filter_map(|line| line.split_once(": "));
@@ -26,7 +26,7 @@
     }
 }
 
-/// Sends a request with these fields and a body, and reads until the connection ends.
+/// Sends a request with these headers and this body, and reads until the connection is closed.
 pub async fn raw_call(
     to: SocketAddr,
     line: &str,
@@ -36,7 +36,7 @@
     exchange(TcpStream::connect(to).await, line, fields, body).await
 }
 
-/// The same from one of this machine's loopback addresses, as another caller.
+/// Like [`raw_call`], from the given loopback source address, to act as another caller.
 pub async fn raw_call_from(
     from: IpAddr,
     to: SocketAddr,
@@ -72,7 +72,8 @@
     head.push_str("\r\n");
     let mut sent = head.into_bytes();
     sent.extend_from_slice(body);
-    // A gateway that answers before it has read everything may close; its answer still counts.
+    // The gateway may respond and close before it has read the whole request; the response is still
+    // read, so a write error is ignored.
     let _ = stream.write_all(&sent).await;
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes).await;
--- a/standins/src/routed/raw_server.rs
+++ b/standins/src/routed/raw_server.rs
@@ -1,4 +1,4 @@
-//! A backend server that misbehaves on request, byte for byte.
+//! A stand-in backend server that writes raw HTTP/1.1 and can be told to misbehave.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,47 +25,47 @@
 use crate::rebind::rebind;
 
 const READ_BYTES: usize = 4_096;
-/// Body of a large answer: more than the buffers of all sockets on its way hold together.
+/// Body size of a large response: more than all socket buffers on the path can hold.
 pub const LARGE_BYTES: usize = 64 << 20;
 const LARGE_PIECE_BYTES: usize = 64 << 10;
 
-/// What the server does with a request.
+/// How the server responds to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers with the request's id as body.
+    /// Responds with the request id as body.
     Answer,
-    /// The same in chunks.
+    /// As `Answer`, with chunked encoding.
     AnswerInChunks,
-    /// The same without a length: the connection ends it.
+    /// As `Answer`, without a length: the body ends when the connection closes.
     AnswerByClose,
-    /// Says that it did not run the request.
+    /// Responds 503 with the header that says that the request was not run.
     Shed,
-    /// Answers 503 without saying that it did not run the request.
+    /// Runs the request and responds 503 without that header.
     Unavailable,
-    /// Answers 500.
+    /// Runs the request and responds 500.
     Fail,
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     Close,
-    /// Promises more body than it sends.
+    /// Sends less body than its `Content-Length` says.
     Truncate,
-    /// Sends bytes that are no answer.
+    /// Sends bytes that are not a valid HTTP response.
     Garble,
-    /// Answers, and answers again when the next request on the connection comes.
+    /// Responds, and sends the same response again when the next request arrives on the connection.
     AnswerTwice,
-    /// Runs it and never answers.
+    /// Runs the request and never responds.
     Silent,
-    /// Answers before it has read the body.
+    /// Responds before it has read the request body.
     AnswerEarly,
-    /// Answers with [`LARGE_BYTES`], as fast as they are taken.
+    /// Responds with a body of [`LARGE_BYTES`], as fast as the client reads.
     AnswerLarge,
 }
 
-/// The limit that a server names.
+/// Rate limit that a server advertises.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLimit {
-    /// Requests a second from all instances together.
+    /// Requests per second from all instances together.
     pub per_s: f64,
-    /// Whether answers to health checks name it too.
+    /// Whether responses to health checks also carry the limit.
     pub in_health_checks: bool,
 }
 
@@ -76,7 +76,7 @@
     behaviour: Mutex<Behaviour>,
     crash_rule: Mutex<Option<CrashRule>>,
     crash: Notify,
-    /// When it crashed, in order.
+    /// Times of the crashes, in order.
     crash_times: Mutex<Vec<tokio::time::Instant>>,
     work_time: Mutex<Duration>,
     cold_phase: Mutex<Option<ColdPhase>>,
@@ -84,14 +84,14 @@
     retry_after: Mutex<Option<Duration>>,
     draining: AtomicBool,
     slowdown_percent: AtomicU32,
-    /// Ids of the requests that it ran, in order.
+    /// Ids of the requests that were run, in order.
     ran_ids: Mutex<Vec<String>>,
-    /// Heads of all requests but health checks.
+    /// Heads of all requests except health checks.
     request_heads: Mutex<Vec<String>>,
-    /// When these came, in order.
+    /// Arrival times of these requests, in order.
     arrival_times: Mutex<Vec<tokio::time::Instant>>,
     cancelled: AtomicU32,
-    /// Bytes of large answers that were taken from it.
+    /// Body bytes of large responses that were written to sockets.
     large_bytes: AtomicU64,
     in_flight: AtomicU32,
     peak_in_flight: AtomicU32,
@@ -99,7 +99,7 @@
     peak_connections: AtomicU32,
 }
 
-/// A running server; it stops when dropped.
+/// A running server; it stops on drop.
 #[derive(Debug)]
 pub struct RawServer {
     pub address: SocketAddr,
@@ -108,18 +108,18 @@
 }
 
 impl RawServer {
-    /// Starts a server that knows the stand-in platform's names.
+    /// Starts a server that uses the header names of [`PlainDialect`].
     ///
     /// # Panics
-    /// When no port is free.
+    /// If no port is free.
     pub async fn spawn(id: &str) -> Self {
         Self::spawn_with_headers(id, PlainDialect::default().header_names().clone()).await
     }
 
-    /// Starts a server that knows a platform's names.
+    /// Starts a server that uses these header names.
     ///
     /// # Panics
-    /// When no port is free.
+    /// If no port is free.
     pub async fn spawn_with_headers(id: &str, names: HeaderNames) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -151,96 +151,97 @@
         Self { address, shared, _task: task }
     }
 
-    /// What it does from now on.
+    /// Sets how the server responds from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.shared.behaviour.lock() = behaviour;
     }
 
-    /// Which requests crash it from now on.
+    /// Sets which requests crash the server from now on.
     pub fn set_crash_rule(&self, rule: CrashRule) {
         *self.shared.crash_rule.lock() = Some(rule);
     }
 
-    /// Ends it as a crash would; it is back after the rule's `down`, at once without one.
+    /// Crashes the server now. It restarts after the downtime of the crash rule, or at once without a
+    /// rule.
     pub fn crash(&self) {
         self.shared.crash.notify_one();
     }
 
-    /// When it crashed.
+    /// Times of the crashes.
     #[must_use]
     pub fn crash_times(&self) -> Vec<tokio::time::Instant> {
         self.shared.crash_times.lock().clone()
     }
 
-    /// How long it works on each request.
-    pub fn set_work_time(&self, work: Duration) {
-        *self.shared.work_time.lock() = work;
+    /// Sets the service time of each request.
+    pub fn set_work_time(&self, work_time: Duration) {
+        *self.shared.work_time.lock() = work_time;
     }
 
-    /// It is cold from now on, for so long, and crashes when more requests than that arrive within a
-    /// second meanwhile.
-    pub fn start_cold_phase(&self, lasts: Duration, bears_per_s: usize) {
-        *self.shared.cold_phase.lock() = Some(ColdPhase::new(lasts, bears_per_s));
+    /// Starts a cold phase, during which the server crashes if more than `capacity_per_s` requests
+    /// arrive within a second.
+    pub fn start_cold_phase(&self, duration: Duration, capacity_per_s: usize) {
+        *self.shared.cold_phase.lock() = Some(ColdPhase::new(duration, capacity_per_s));
     }
 
-    /// Most requests that arrived within a second while it was cold.
+    /// Most requests that arrived within a second of the cold phase.
     #[must_use]
     pub fn cold_peak_arrivals_per_s(&self) -> usize {
         self.shared.cold_phase.lock().as_ref().map_or(0, ColdPhase::peak_arrivals_per_s)
     }
 
-    /// What it names as its limit from now on, in requests a second; `None` for none any more.
+    /// Sets the rate limit that the server advertises from now on; `None` for no limit.
     pub fn set_reported_limit(&self, limit: Option<ReportedLimit>) {
         *self.shared.reported_limit.lock() = limit;
     }
 
-    /// It says that it leaves from now on, and goes on serving.
+    /// Announces in each response from now on that the server is draining; it still serves requests.
     pub fn announce_draining(&self) {
         self.shared.draining.store(true, Ordering::Relaxed);
     }
 
-    /// For how long it asks for rest where it says that it did not run a request.
-    pub fn set_retry_after(&self, rest: Option<Duration>) {
-        *self.shared.retry_after.lock() = rest;
+    /// Sets the `Retry-After` of responses that say that the request was not run.
+    pub fn set_retry_after(&self, retry_after: Option<Duration>) {
+        *self.shared.retry_after.lock() = retry_after;
     }
 
-    /// When requests arrived, health checks left out.
+    /// Arrival times of requests, without health checks.
     #[must_use]
     pub fn arrival_times(&self) -> Vec<tokio::time::Instant> {
         self.shared.arrival_times.lock().clone()
     }
 
-    /// What it tells of its pace. With 0 it tells no load at all, and health checks wait like
-    /// requests until it has nothing to do.
+    /// Sets the slowdown that the server reports, in percent. With 0 it reports no load at all, and
+    /// health checks wait until no request is in flight.
     pub fn set_slowdown_percent(&self, percent: u32) {
         self.shared.slowdown_percent.store(percent, Ordering::Relaxed);
     }
 
-    /// Ids of the requests that it ran.
+    /// Ids of the requests that were run.
     #[must_use]
     pub fn ran_ids(&self) -> Vec<String> {
         self.shared.ran_ids.lock().clone()
     }
 
-    /// Heads of the requests that it got.
+    /// Heads of the received requests, without health checks.
     #[must_use]
     pub fn request_heads(&self) -> Vec<String> {
         self.shared.request_heads.lock().clone()
     }
 
-    /// Requests whose connection closed while it worked.
+    /// Number of requests whose connection was closed during their service time.
     #[must_use]
     pub fn cancelled(&self) -> u32 {
         self.shared.cancelled.load(Ordering::Relaxed)
     }
 
-    /// Bytes of large answers that were taken from it so far.
+    /// Body bytes of large responses that were written to sockets so far.
     #[must_use]
     pub fn large_bytes(&self) -> u64 {
         self.shared.large_bytes.load(Ordering::Relaxed)
     }
 
-    /// Most requests that it worked on at the same time.
+    /// Most requests that were in flight at the same time.
     #[must_use]
     pub fn peak_in_flight(&self) -> u32 {
         self.shared.peak_in_flight.load(Ordering::Relaxed)
@@ -252,13 +253,13 @@
         self.shared.peak_connections.load(Ordering::Relaxed)
     }
 
-    /// The entry of this server as the stand-in's store lists it.
+    /// The store entry of this server, as JSON.
     #[must_use]
     pub fn entry(&self, service: &str, zone: &str, slots: u32, state: &str) -> String {
         self.entry_started_at(service, zone, slots, state, 0)
     }
 
-    /// As [`RawServer::entry`], of a process that started at `started_ms`.
+    /// As [`RawServer::entry`], for a process that started at `started_ms` (Unix milliseconds).
     #[must_use]
     pub fn entry_started_at(
         &self,
@@ -277,7 +278,7 @@
     }
 }
 
-/// Lives, crashes and is back again, on one address.
+/// Serves until a crash, then restarts on the same address, forever.
 async fn run_with_restarts(mut listener: TcpListener, shared: Arc<Shared>) {
     let Ok(address) = listener.local_addr() else {
         return;
@@ -293,7 +294,7 @@
     }
 }
 
-/// Serves a connection, and counts it meanwhile.
+/// Serves a connection and counts it while it is open.
 async fn serve_counted(stream: TcpStream, shared: Arc<Shared>) {
     let open = shared.connections.fetch_add(1, Ordering::Relaxed) + 1;
     shared.peak_connections.fetch_max(open, Ordering::Relaxed);
@@ -301,6 +302,7 @@
     shared.connections.fetch_sub(1, Ordering::Relaxed);
 }
 
+/// A request head.
 struct Head {
     text: String,
     id: String,
@@ -316,12 +318,12 @@
         if let Some(end) = input.windows(4).position(|window| window == b"\r\n\r\n") {
             let text = String::from_utf8_lossy(&input[..end]).into_owned();
             input.drain(..end + 4);
-            let field = |name: &str| {
+            let header = |name: &str| {
                 let mut pairs = text.lines().filter_map(|line| line.split_once(": "));
                 pairs.find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, v)| v.to_owned())
             };
-            let id = field(names.request_id.as_str()).unwrap_or_default();
-            let body_bytes = field("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+            let id = header(names.request_id.as_str()).unwrap_or_default();
+            let body_bytes = header("content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
             return Some(Head { text, id, body_bytes });
         }
         let mut bytes = [0; READ_BYTES];
@@ -331,14 +333,15 @@
 }
 
 async fn serve(mut stream: TcpStream, shared: Arc<Shared>) {
-    // Two writes in a row would otherwise wait 40 ms for each other.
+    // Nagle's algorithm and delayed ACKs would otherwise add 40 ms between two writes in a row.
     let _ = stream.set_nodelay(true);
     let mut input = Vec::new();
-    let mut late: Option<String> = None;
+    let mut stale_response: Option<String> = None;
     while let Some(head) = read_head(&mut stream, &mut input, &shared.header_names).await {
-        let checked = head.text.starts_with("GET /health ");
-        let early = !checked && *shared.behaviour.lock() == Behaviour::AnswerEarly;
-        if early && !answer(&mut stream, &shared, &head, &mut late).await {
+        let is_health_check = head.text.starts_with("GET /health ");
+        let respond_early = !is_health_check && *shared.behaviour.lock() == Behaviour::AnswerEarly;
+        if respond_early && !run_and_respond(&mut stream, &shared, &head, &mut stale_response).await
+        {
             return;
         }
         while input.len() < head.body_bytes {
@@ -349,67 +352,68 @@
             }
         }
         input.drain(..head.body_bytes);
-        if early {
+        if respond_early {
             continue;
         }
-        if let Some(late) = late.take()
-            && stream.write_all(late.as_bytes()).await.is_err()
+        if let Some(stale) = stale_response.take()
+            && stream.write_all(stale.as_bytes()).await.is_err()
         {
             return;
         }
-        if checked {
+        if is_health_check {
             if stream.write_all(health_response(&shared).await.as_bytes()).await.is_err() {
                 return;
             }
             continue;
         }
-        if !answer(&mut stream, &shared, &head, &mut late).await {
+        if !run_and_respond(&mut stream, &shared, &head, &mut stale_response).await {
             return;
         }
     }
 }
 
 async fn health_response(shared: &Shared) -> String {
-    let silent = shared.slowdown_percent.load(Ordering::Relaxed) == 0;
-    while silent && shared.in_flight.load(Ordering::Relaxed) > 0 {
+    let no_load = shared.slowdown_percent.load(Ordering::Relaxed) == 0;
+    while no_load && shared.in_flight.load(Ordering::Relaxed) > 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let (id, load) = (&shared.id, load(shared));
-    let HeaderNames { server_id, warmup_left_ms: cold_left_ms, .. } = &shared.header_names;
-    let left = shared.cold_phase.lock().as_ref().and_then(ColdPhase::remaining);
-    let cold =
-        left.map_or_else(String::new, |left| format!("{cold_left_ms}: {}\r\n", left.as_millis()));
-    let limit_and_draining_headers = words(shared, true);
+    let (id, load) = (&shared.id, load_header(shared));
+    let HeaderNames { server_id, warmup_left_ms, .. } = &shared.header_names;
+    let remaining = shared.cold_phase.lock().as_ref().and_then(ColdPhase::remaining);
+    let warmup = remaining
+        .map_or_else(String::new, |left| format!("{warmup_left_ms}: {}\r\n", left.as_millis()));
+    let notices = limit_and_draining_headers(shared, true);
     format!(
-        "HTTP/1.1 200 OK\r\n{server_id}: {id}\r\n{load}{cold}{limit_and_draining_headers}content-length: 0\r\n\r\n"
+        "HTTP/1.1 200 OK\r\n{server_id}: {id}\r\n{load}{warmup}{notices}content-length: 0\r\n\r\n"
     )
 }
 
-/// The fields by which it names a limit and says that it leaves, as far as it does.
-fn words(shared: &Shared, check: bool) -> String {
+/// Header lines with the advertised rate limit and the draining notice, if set.
+fn limit_and_draining_headers(shared: &Shared, is_health_check: bool) -> String {
     let names = &shared.header_names;
-    let limit = shared.reported_limit.lock().filter(|word| !check || word.in_health_checks);
-    let limit = limit.map(|word| format!("{}: {}\r\n", names.rate_limit, word.per_s));
-    let leaves = shared.draining.load(Ordering::Relaxed);
-    let leaving = leaves.then(|| format!("{}: 1\r\n", names.draining));
-    limit.into_iter().chain(leaving).collect()
+    let limit =
+        shared.reported_limit.lock().filter(|limit| !is_health_check || limit.in_health_checks);
+    let limit = limit.map(|limit| format!("{}: {}\r\n", names.rate_limit, limit.per_s));
+    let is_draining = shared.draining.load(Ordering::Relaxed);
+    let draining = is_draining.then(|| format!("{}: 1\r\n", names.draining));
+    limit.into_iter().chain(draining).collect()
 }
 
-/// The field that tells the load; nothing for a server that does not tell.
-fn load(shared: &Shared) -> String {
+/// Header line with the reported load; empty if the server reports none.
+fn load_header(shared: &Shared) -> String {
     let running = shared.in_flight.load(Ordering::Relaxed);
     match shared.slowdown_percent.load(Ordering::Relaxed) {
         0 => String::new(),
-        pace => format!("{}: {running},0,4,{pace}\r\n", shared.header_names.load),
+        percent => format!("{}: {running},0,4,{percent}\r\n", shared.header_names.load),
     }
 }
 
-/// Works on a request and answers; `false` when the connection is to be closed.
-async fn answer(
+/// Runs a request and responds. Returns `false` if the connection must be closed.
+async fn run_and_respond(
     stream: &mut TcpStream,
     shared: &Shared,
     head: &Head,
-    late: &mut Option<String>,
+    stale_response: &mut Option<String>,
 ) -> bool {
     shared.request_heads.lock().push(head.text.clone());
     shared.arrival_times.lock().push(tokio::time::Instant::now());
@@ -421,11 +425,12 @@
     let id = &head.id;
     if behaviour == Behaviour::Shed {
         let not_run = &shared.header_names.not_run;
-        let words = words(shared, false);
-        let rest = *shared.retry_after.lock();
-        let rest = rest.map(|rest| format!("retry-after: {}\r\n", rest.as_secs_f64()));
-        let fields = format!("{not_run}: 1\r\n{words}{}", rest.unwrap_or_default());
-        let text = format!("HTTP/1.1 503 Busy\r\n{fields}content-length: 0\r\n\r\n");
+        let notices = limit_and_draining_headers(shared, false);
+        let retry_after = *shared.retry_after.lock();
+        let retry_after =
+            retry_after.map(|delay| format!("retry-after: {}\r\n", delay.as_secs_f64()));
+        let headers = format!("{not_run}: 1\r\n{notices}{}", retry_after.unwrap_or_default());
+        let text = format!("HTTP/1.1 503 Busy\r\n{headers}content-length: 0\r\n\r\n");
         return stream.write_all(text.as_bytes()).await.is_ok();
     }
     shared.ran_ids.lock().push(id.clone());
@@ -434,43 +439,46 @@
     }
     if let Some(rule) = matching_crash_rule(shared, head) {
         if rule.mid_response {
-            let begun = format!(
+            let partial = format!(
                 "HTTP/1.1 200 OK\r\n{}: {id}\r\ncontent-length: {LARGE_BYTES}\r\n\r\n",
                 shared.header_names.request_id
             );
             let piece = vec![b'x'; LARGE_PIECE_BYTES * 8];
-            let _ = stream.write_all(begun.as_bytes()).await;
+            let _ = stream.write_all(partial.as_bytes()).await;
             let _ = stream.write_all(&piece).await;
         }
         shared.crash.notify_one();
         std::future::pending::<()>().await;
     }
     let HeaderNames { request_id, signature, .. } = &shared.header_names;
-    let (load, words) = (load(shared), words(shared, false));
-    let fields = format!("{request_id}: {id}\r\n{signature}: s-{id}\r\n{load}{words}");
-    let whole = format!("HTTP/1.1 200 OK\r\n{fields}content-length: {}\r\n\r\n{id}", id.len());
-    let (text, stays) = match behaviour {
-        Behaviour::Answer | Behaviour::AnswerEarly => (whole, true),
+    let (load, notices) = (load_header(shared), limit_and_draining_headers(shared, false));
+    let headers = format!("{request_id}: {id}\r\n{signature}: s-{id}\r\n{load}{notices}");
+    let complete = format!("HTTP/1.1 200 OK\r\n{headers}content-length: {}\r\n\r\n{id}", id.len());
+    let (text, keep_alive) = match behaviour {
+        Behaviour::Answer | Behaviour::AnswerEarly => (complete, true),
         Behaviour::AnswerTwice => {
-            *late = Some(whole.clone());
-            (whole, true)
+            *stale_response = Some(complete.clone());
+            (complete, true)
         }
         Behaviour::AnswerInChunks => {
             let chunks = format!("{:x}\r\n{id}\r\n0\r\n\r\n", id.len());
-            (format!("HTTP/1.1 200 OK\r\n{fields}transfer-encoding: chunked\r\n\r\n{chunks}"), true)
+            (
+                format!("HTTP/1.1 200 OK\r\n{headers}transfer-encoding: chunked\r\n\r\n{chunks}"),
+                true,
+            )
         }
-        Behaviour::AnswerByClose => (format!("HTTP/1.1 200 OK\r\n{fields}\r\n{id}"), false),
+        Behaviour::AnswerByClose => (format!("HTTP/1.1 200 OK\r\n{headers}\r\n{id}"), false),
         Behaviour::Unavailable => {
-            (format!("HTTP/1.1 503 Busy\r\n{fields}content-length: 0\r\n\r\n"), true)
+            (format!("HTTP/1.1 503 Busy\r\n{headers}content-length: 0\r\n\r\n"), true)
         }
-        Behaviour::Fail => (format!("HTTP/1.1 500 Oh\r\n{fields}content-length: 0\r\n\r\n"), true),
+        Behaviour::Fail => (format!("HTTP/1.1 500 Oh\r\n{headers}content-length: 0\r\n\r\n"), true),
         Behaviour::Truncate => {
-            (format!("HTTP/1.1 200 OK\r\n{fields}content-length: 1000\r\n\r\n{id}"), false)
+            (format!("HTTP/1.1 200 OK\r\n{headers}content-length: 1000\r\n\r\n{id}"), false)
         }
         Behaviour::Garble => ("what is this?\r\n\r\n".into(), false),
         Behaviour::Close | Behaviour::Shed => (String::new(), false),
         Behaviour::AnswerLarge => {
-            let head = format!("HTTP/1.1 200 OK\r\n{fields}content-length: {LARGE_BYTES}\r\n\r\n");
+            let head = format!("HTTP/1.1 200 OK\r\n{headers}content-length: {LARGE_BYTES}\r\n\r\n");
             return stream.write_all(head.as_bytes()).await.is_ok()
                 && write_large(stream, shared).await;
         }
@@ -479,16 +487,16 @@
             (String::new(), false)
         }
     };
-    stream.write_all(text.as_bytes()).await.is_ok() && stays
+    stream.write_all(text.as_bytes()).await.is_ok() && keep_alive
 }
 
-/// The rule by which a request crashes the server, if it does.
+/// The crash rule, if it matches the request.
 fn matching_crash_rule(shared: &Shared, head: &Head) -> Option<CrashRule> {
     let rule = shared.crash_rule.lock().clone()?;
     head.text.contains(&rule.head_contains).then_some(rule)
 }
 
-/// Writes the body of a large answer; `false` when the connection closed meanwhile.
+/// Writes the body of a large response. Returns `false` if the connection was closed.
 async fn write_large(stream: &mut TcpStream, shared: &Shared) -> bool {
     let piece = vec![b'x'; LARGE_PIECE_BYTES];
     for _ in 0..LARGE_BYTES / LARGE_PIECE_BYTES {
@@ -500,19 +508,19 @@
     true
 }
 
-/// Works; `false` when the connection closed meanwhile.
+/// Waits for the service time. Returns `false` if the connection was closed meanwhile.
 async fn work(stream: &mut TcpStream, shared: &Shared) -> bool {
     let in_flight = shared.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
     shared.peak_in_flight.fetch_max(in_flight, Ordering::Relaxed);
     let work = *shared.work_time.lock();
     let mut byte = [0; 1];
-    let whole = tokio::select! {
+    let completed = tokio::select! {
         () = tokio::time::sleep(work) => true,
         peeked = stream.peek(&mut byte) => !matches!(peeked, Ok(0) | Err(_)),
     };
     shared.in_flight.fetch_sub(1, Ordering::Relaxed);
-    if !whole {
+    if !completed {
         shared.cancelled.fetch_add(1, Ordering::Relaxed);
     }
-    whole
+    completed
 }
--- a/standins/src/routed/relay_fleet.rs
+++ b/standins/src/routed/relay_fleet.rs
@@ -1,4 +1,4 @@
-//! Instances that follow the store and each other, in one process and paused time, and how they fail.
+//! A fleet of config followers with injectable faults, in one process and on paused time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,29 +26,29 @@
 use super::MemoryEventStore;
 use super::StoreFault;
 
-/// How many instances play, in how many zones.
+/// Number of zones and instances of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
     pub zones: usize,
     pub instances: usize,
-    /// For so long a key may be served after it was taken away, where that is bounded.
+    /// Longest time that a revoked API key may still be accepted; `None` for no limit.
     pub key_revocation_ms: Option<u64>,
 }
 
 impl FleetSize {
-    /// Three zones, and a few instances in each.
+    /// 24 instances in three zones.
     pub const SMALL: Self = Self { zones: 3, instances: 24, key_revocation_ms: None };
-    /// Five hundred instances in five zones.
+    /// 500 instances in five zones.
     pub const LARGE: Self = Self { zones: 5, instances: 500, key_revocation_ms: None };
 
-    /// Instances that read the store when nobody is certain: four of each zone, the first ones.
+    /// Number of instances that read the store while membership is uncertain: the first four of each zone.
     #[must_use]
     pub const fn readers(self) -> usize {
         4 * self.zones
     }
 }
 
-/// When the last item was written here.
+/// Sink that keeps the revision and time of the last write that an instance received.
 #[derive(Clone, Debug, Default)]
 pub struct LastWrite(pub Arc<Mutex<Option<(u64, Instant)>>>);
 
@@ -60,42 +60,42 @@
     fn removed(&mut self, _: &str, _: Duration) {}
 }
 
-/// How an instance fails from a moment on.
+/// Fault of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceFault {
     None,
-    /// It answers nobody.
+    /// Responds to no peer.
     Silent,
-    /// It reaches nobody, and nobody reaches it.
+    /// Network partition: it reaches no peer, and no peer reaches it.
     Isolated,
-    /// Its answers to others take so long.
+    /// Delays its responses to peers.
     Slow(Duration),
-    /// The store treats it so.
+    /// Its calls to the store fail in this way.
     Store(StoreFault),
 }
 
-/// The instances as they reach each other.
+/// Network between the instances, with the fault of each.
 #[derive(Debug)]
 pub struct RelayNet {
     pub mirrors: Vec<Arc<Mirror<LastWrite>>>,
     pub faults: Mutex<Vec<InstanceFault>>,
 }
 
-/// An instance's links to the others.
+/// Peer connections of one instance.
 #[derive(Clone, Debug)]
 pub struct RelayPeers {
     net: Arc<RelayNet>,
-    /// The instance that asks.
+    /// Index of the instance that sends the requests.
     own: usize,
 }
 
-/// Where an instance listens for the others.
+/// Peer address of the instance at index `at`.
 ///
 /// # Panics
-/// With thousands of instances.
+/// If the port would not fit into 16 bits.
 #[must_use]
 pub fn peer_address(at: usize) -> SocketAddr {
-    ([127, 0, 0, 1], 1_000 + u16::try_from(at).expect("a few")).into()
+    ([127, 0, 0, 1], 1_000 + u16::try_from(at).expect("the port fits into 16 bits")).into()
 }
 
 impl FeedSource for RelayPeers {
@@ -108,14 +108,14 @@
         within: Duration,
     ) -> Option<FeedAnswer> {
         let at = usize::from(peer.port() - 1_000);
-        let asked_us = boot_us();
+        let requested_us = boot_us();
         if self.net.faults.lock()[self.own] == InstanceFault::Isolated {
             tokio::time::sleep(within).await;
             return None;
         }
-        let answer = async {
-            let loss = self.net.faults.lock()[at];
-            match loss {
+        let response = async {
+            let fault = self.net.faults.lock()[at];
+            match fault {
                 InstanceFault::Silent | InstanceFault::Isolated => {
                     std::future::pending::<()>().await;
                 }
@@ -124,13 +124,13 @@
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             }
-            FeedAnswer::of(self.net.mirrors[at].serve(after, hold).await, asked_us)
+            FeedAnswer::of(self.net.mirrors[at].serve(after, hold).await, requested_us)
         };
-        let answer = tokio::time::timeout(within, answer).await.ok()?;
-        // What began before the loss does not come either.
-        let answers =
+        let response = tokio::time::timeout(within, response).await.ok()?;
+        // A response that was under way when the fault began is lost too.
+        let reachable =
             !matches!(self.net.faults.lock()[at], InstanceFault::Silent | InstanceFault::Isolated);
-        answers.then_some(answer)
+        reachable.then_some(response)
     }
 }
 
@@ -172,9 +172,9 @@
     board
 }
 
-/// Who fails how, drawn.
+/// Draws a random fault for each instance.
 pub fn random_faults(size: FleetSize, random: &mut Pcg64) -> Vec<InstanceFault> {
-    let share = random.random_range(0.0..0.6);
+    let fault_probability = random.random_range(0.0..0.6);
     let kinds = [
         InstanceFault::Silent,
         InstanceFault::Slow(Duration::from_millis(random.random_range(5..=900))),
@@ -183,10 +183,15 @@
     ];
     let kind = kinds[random.random_range(0..kinds.len())];
     let mixed = random.random_bool(0.5);
-    // Faults look for those that act for others.
-    let watchers_share = if random.random_bool(0.5) { 0.9 } else { share };
+    // In half of the runs, the first instance of each zone, which watches the store for the others,
+    // fails with a probability of 0.9.
+    let watcher_fault_probability = if random.random_bool(0.5) { 0.9 } else { fault_probability };
     let draw = |at| {
-        if !random.random_bool(if at < size.zones { watchers_share } else { share }) {
+        if !random.random_bool(if at < size.zones {
+            watcher_fault_probability
+        } else {
+            fault_probability
+        }) {
             return InstanceFault::None;
         }
         if mixed { kinds[random.random_range(0..kinds.len())] } else { kind }
@@ -194,7 +199,7 @@
     (0..size.instances).map(draw).collect()
 }
 
-/// Instances with their followers, running.
+/// Running instances with their followers.
 #[derive(Debug)]
 pub struct RelayFleet {
     size: FleetSize,
@@ -206,13 +211,13 @@
 }
 
 impl RelayFleet {
-    /// Instances that follow the store as ours do.
+    /// Starts instances that follow the store with the production [`Follower`].
     #[must_use]
     pub fn start(store: &MemoryEventStore, size: FleetSize) -> Self {
         Self::start_with(store, size, Self::follow)
     }
 
-    /// Instances that follow the store in a way of their own.
+    /// Starts instances with a custom follower; `follow` starts it for one index.
     pub fn start_with(
         store: &MemoryEventStore,
         size: FleetSize,
@@ -232,13 +237,13 @@
         fleet
     }
 
-    /// The links of an instance.
+    /// Peer connections of the instance at index `own`.
     #[must_use]
     pub fn peers(&self, own: usize) -> RelayPeers {
         RelayPeers { net: Arc::clone(&self.net), own }
     }
 
-    /// Runs something until the fleet is dropped.
+    /// Spawns a task that is aborted when the fleet is dropped.
     pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         self.tasks.spawn(task);
     }
@@ -258,7 +263,7 @@
         self.spawn(run_store_check(view, board, first, second));
     }
 
-    /// How the others see an instance.
+    /// The member row of an instance, as its peers see it.
     #[must_use]
     pub fn member_row(&self, at: usize) -> MemberRow {
         new_member_row(self.size, at, self.boards[0].own_capacity_per_s())
