--- a/examples/added_latency.rs
+++ b/examples/added_latency.rs
@@ -8,8 +8,8 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use standins::backend::BackendSettings;
-use standins::bed::BedPlan;
-use standins::bed::Fleet;
+use standins::bed::ProcessFleet;
+use standins::bed::TestBedPlan;
 use standins::caller::Call;
 use standins::caller::Caller;
 use tokio::task::JoinSet;
@@ -87,11 +87,11 @@
 async fn main() {
     let args = Args::parse();
     let backend = BackendSettings { slots: 64, ..BackendSettings::default() };
-    let plan = BedPlan { backends: 3, backend, ..BedPlan::default() };
-    let fleet = Fleet::start(Path::new(&args.program), plan, 3).await;
-    fleet.create(&fleet.bed.service("orders")).await;
+    let plan = TestBedPlan { backends: 3, backend, ..TestBedPlan::default() };
+    let fleet = ProcessFleet::start(Path::new(&args.program), plan, 3).await;
+    fleet.create_service(&fleet.bed.service("orders")).await;
     let direct_address = fleet.bed.backends[0].address();
-    let through_address = fleet.callers()[0];
+    let through_address = fleet.caller_addresses()[0];
     let caller = Caller::new("orders", "burnaby", &[through_address]);
     let target = format!("/x?bytes=200&work_us={}", args.work_us);
     let relay_address = spawn_relay(direct_address);
--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -33,8 +33,8 @@
 use sorrelwick::peer::PeerRequest;
 use sorrelwick::peer::encode;
 use sorrelwick::route::rebuild_services;
-use standins::bed::BedPlan;
-use standins::bed::Fleet;
+use standins::bed::ProcessFleet;
+use standins::bed::TestBedPlan;
 use standins::caller::Caller;
 use standins::load::LoadPlan;
 use standins::load::run_load;
@@ -241,12 +241,12 @@
     }
 }
 
-fn plan() -> BedPlan {
-    BedPlan { backends: 6, ..BedPlan::default() }
+fn plan() -> TestBedPlan {
+    TestBedPlan { backends: 6, ..TestBedPlan::default() }
 }
 
 /// Per daemon and second: processor time in ms, resident KB; and the platform's calls a second.
-async fn idle_for(fleet: &Fleet, seconds: u64) -> (f64, u64, f64) {
+async fn idle_for(fleet: &ProcessFleet, seconds: u64) -> (f64, u64, f64) {
     let before: u64 = fleet.daemons.iter().map(|daemon| daemon.usage().cpu_ms).sum();
     let calls = fleet.bed.platform().switches.calls();
     tokio::time::sleep(Duration::from_secs(seconds)).await;
@@ -262,8 +262,8 @@
     println!("idle: one daemon's processor time and memory, and calls to the store, by instances");
     println!("  (pings each 100 ms here, 500 ms by default; leases of 3 s here, 10 s by default)");
     for instances in [3, 9, 19, 38] {
-        let fleet = Fleet::start(program, plan(), instances).await;
-        fleet.create(&fleet.bed.service("orders")).await;
+        let fleet = ProcessFleet::start(program, plan(), instances).await;
+        fleet.create_service(&fleet.bed.service("orders")).await;
         let (cpu_ms, resident_kb, calls) = idle_for(&fleet, 5).await;
         println!(
             "  instances {instances:>3}: {cpu_ms:>6.2} ms of processor time a second, {resident_kb} \
@@ -275,7 +275,7 @@
 async fn services_slope(program: &Path) {
     println!("services: one idle daemon of three, by services (7 servers each)");
     for services in [10, 100, 400, 1_200] {
-        let fleet = Fleet::start(program, plan(), 3).await;
+        let fleet = ProcessFleet::start(program, plan(), 3).await;
         let mut operator = fleet.operator(0);
         for number in 0..services {
             let wire = sorrelwick::operator::service_to_wire(&service(number));
@@ -292,11 +292,11 @@
 async fn requests_slope(program: &Path) {
     println!("requests: processor time per request of three daemons together, by rate");
     for rate in [500.0, 1_000.0, 2_000.0, 4_000.0] {
-        let fleet = Fleet::start(program, plan(), 3).await;
-        fleet.create(&fleet.bed.service("orders")).await;
+        let fleet = ProcessFleet::start(program, plan(), 3).await;
+        fleet.create_service(&fleet.bed.service("orders")).await;
         let callers: Vec<Caller> = ["burnaby", "surrey", "richmond"]
             .iter()
-            .map(|zone| Caller::new("orders", zone, &fleet.callers()))
+            .map(|zone| Caller::new("orders", zone, &fleet.caller_addresses()))
             .collect();
         let before: u64 = fleet.daemons.iter().map(|daemon| daemon.usage().cpu_ms).sum();
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a count")]
@@ -324,7 +324,7 @@
         println!(
             "  {rate:>6}/s: {us_a_request:>6.1} us a request, {} of {requests} right, {passed} passed between \
              instances, p99 {:.2} ms",
-            summary.right,
+            summary.correct,
             summary.quantile_ms(0.99),
         );
     }
@@ -333,9 +333,9 @@
 async fn change_slope(program: &Path) {
     println!("change: from 'accepted' until in force on every instance, median and longest of 15");
     for instances in [3, 9, 19] {
-        let fleet = Fleet::start(program, plan(), instances).await;
+        let fleet = ProcessFleet::start(program, plan(), instances).await;
         let mut declared = fleet.bed.service("orders");
-        fleet.create(&declared).await;
+        fleet.create_service(&declared).await;
         let writes = fleet.bed.platform().switches.writes.load(Ordering::Relaxed);
         let mut took = Vec::new();
         for turn in 1..=15_u32 {
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -6,12 +6,12 @@
 use std::process::ExitCode;
 
 use standins::backend::body_for;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
 use standins::caller::Call;
 use standins::caller::Caller;
 use standins::load::LoadPlan;
-use standins::load::Summary;
+use standins::load::LoadSummary;
 use standins::load::run_load;
 
 const LOOKUPS: u64 = 4_000;
@@ -41,13 +41,13 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let bed = Bed::start(BedPlan::default()).await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
     println!("platform on {}, {} backend servers", bed.platform().address(), bed.backends.len());
     for board in bed.boards() {
         let (name, zone) = (&board.settings.instance.name, &board.settings.instance.zone);
         println!("instance {name} in {zone} takes calls on {}", board.settings.listen.caller);
     }
-    bed.create("orders").await;
+    bed.create_service("orders").await;
     println!("service 'orders' is in force on all instances");
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
     let plan = LoadPlan {
@@ -57,14 +57,14 @@
         ..LoadPlan::default()
     };
     let lookups = run_load(&plan, &callers).await;
-    println!("{}", Summary::heading());
-    println!("{}", lookups.line("lookups"));
+    println!("{}", LoadSummary::table_header());
+    println!("{}", lookups.table_row("lookups"));
     let right_orders = send_orders(&callers).await;
     let counts = bed.run_counts();
     let orders = counts.iter().filter(|(id, _)| id.starts_with("order-"));
     let doubled = orders.filter(|(_, count)| **count != 1).count();
     println!("orders: {right_orders} of {} answers right, {doubled} run twice", 2 * ORDERS);
-    let passed = lookups.right == LOOKUPS && right_orders == 2 * ORDERS && doubled == 0;
+    let passed = lookups.correct == LOOKUPS && right_orders == 2 * ORDERS && doubled == 0;
     println!("{}", if passed { "all answers whole and right" } else { "FAILED" });
     if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/examples/scenes.rs
+++ b/examples/scenes.rs
@@ -15,11 +15,11 @@
 use standins::backend::Backend;
 use standins::backend::BackendSettings;
 use standins::backend::Behaviour;
-use standins::bed::BedPlan;
-use standins::bed::Fleet;
+use standins::bed::ProcessFleet;
+use standins::bed::TestBedPlan;
 use standins::caller::Caller;
 use standins::load::LoadPlan;
-use standins::load::Summary;
+use standins::load::LoadSummary;
 use standins::load::run_load;
 use standins::load::write_plot;
 use tokio::task::JoinHandle;
@@ -76,18 +76,18 @@
     })
 }
 
-async fn scene(args: &Args, load: f64, trouble: Trouble, naive: bool) -> Summary {
+async fn scene(args: &Args, load: f64, trouble: Trouble, naive: bool) -> LoadSummary {
     let backend = BackendSettings {
         slots: SLOTS as usize,
         work_us: WORK_US.into(),
         ..BackendSettings::default()
     };
-    let plan = BedPlan { backends: BACKENDS, backend, ..BedPlan::default() };
+    let plan = TestBedPlan { backends: BACKENDS, backend, ..TestBedPlan::default() };
     let instances = if naive { 1 } else { args.instances };
-    let fleet = Fleet::start(&args.program, plan, instances).await;
+    let fleet = ProcessFleet::start(&args.program, plan, instances).await;
     let mut service = fleet.bed.service("catalogue");
     service.preference = Preference::Tail;
-    fleet.create(&service).await;
+    fleet.create_service(&service).await;
     let behaviours: Vec<Arc<Behaviour>> =
         fleet.bed.backends.iter().map(|backend| Arc::clone(&backend.behaviour)).collect();
     let callers: Vec<Caller> = if naive {
@@ -95,7 +95,7 @@
         servers.map(|address| Caller::fixed("catalogue", address)).collect()
     } else {
         let zones = ["burnaby", "surrey", "richmond"];
-        zones.iter().map(|zone| Caller::new("catalogue", zone, &fleet.callers())).collect()
+        zones.iter().map(|zone| Caller::new("catalogue", zone, &fleet.caller_addresses())).collect()
     };
     // The mean of the stand-in's times is a little above its setting, by their heavy tail.
     let mean_us = f64::from(WORK_US) * 1.09;
@@ -116,7 +116,7 @@
         if trouble == Trouble::HomeKilled {
             let named = callers[0].addresses().await;
             let home = named.first().map(|named| named.address);
-            let at = fleet.callers().iter().position(|address| Some(*address) == home);
+            let at = fleet.caller_addresses().iter().position(|address| Some(*address) == home);
             fleet.daemons[at.unwrap_or(0)].kill_now();
         }
     };
@@ -130,7 +130,7 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let args = Args::parse();
-    println!("{}", Summary::heading());
+    println!("{}", LoadSummary::table_header());
     let scenes = [
         ("steady 50%", 0.5, Trouble::None),
         ("steady 80%", 0.8, Trouble::None),
@@ -144,10 +144,10 @@
     let mut runs = Vec::new();
     for (name, load, trouble) in scenes.into_iter().filter(|s| s.0.contains(&args.only)) {
         let ours = scene(&args, load, trouble, false).await;
-        println!("{}", ours.line(name));
+        println!("{}", ours.table_row(name));
         if !matches!(trouble, Trouble::StoreDown | Trouble::HomeKilled) {
             let naive = scene(&args, load, trouble, true).await;
-            println!("{}", naive.line(&format!("  naive, {name}")));
+            println!("{}", naive.table_row(&format!("  naive, {name}")));
         }
         runs.push((name.to_owned(), ours));
     }
--- a/standins/src/bed/process.rs
+++ b/standins/src/bed/daemon_process.rs
@@ -7,7 +7,7 @@
 
 use sorrelwick::conf::Settings;
 
-use super::own_addresses;
+use super::unique_addresses;
 
 /// Positions in /proc/PID/stat behind the command's name.
 const USER_TICKS_AT: usize = 11;
@@ -17,7 +17,7 @@
 
 /// What a process has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Usage {
+pub struct ProcessUsage {
     pub cpu_ms: u64,
     pub resident_kb: u64,
 }
@@ -42,7 +42,7 @@
     /// # Errors
     /// When the file cannot be written or the program not be started.
     pub fn spawn(program: &Path, dir: &Path, mut settings: Settings) -> std::io::Result<Self> {
-        let [caller, operator, peer, status] = own_addresses();
+        let [caller, operator, peer, status] = unique_addresses();
         settings.listen.caller = caller;
         settings.listen.operator = operator;
         settings.listen.peer = peer;
@@ -61,7 +61,7 @@
 
     /// Processor time and memory so far; zeros once it is gone.
     #[must_use]
-    pub fn usage(&self) -> Usage {
+    pub fn usage(&self) -> ProcessUsage {
         let read = |file: &str| {
             let path = format!("/proc/{}/{file}", self.child.id());
             std::fs::read_to_string(path).unwrap_or_default()
@@ -71,7 +71,7 @@
         let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
         let statm = read("statm");
         let pages = statm.split_whitespace().nth(1).and_then(|f| f.parse::<u64>().ok());
-        Usage {
+        ProcessUsage {
             cpu_ms: (ticks(USER_TICKS_AT) + ticks(SYSTEM_TICKS_AT)) * MS_PER_TICK,
             resident_kb: pages.unwrap_or(0) * KB_PER_PAGE,
         }
@@ -89,7 +89,7 @@
     }
 
     /// Lets a frozen process go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// The exit code, once it has ended; `None` while it runs.
-    pub fn exited(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
 }
--- a/standins/src/bed/host.rs
+++ b/standins/src/bed/in_process_daemon.rs
@@ -8,18 +8,18 @@
 use tokio::runtime::Builder;
 use tokio::runtime::Runtime;
 
-const WORKERS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 /// A running instance; dropped, it is killed: every task and connection of it ends at once.
 #[derive(Debug)]
-pub struct Host {
+pub struct InProcessDaemon {
     /// `None` only while it is dropped.
     runtime: Option<Runtime>,
     daemon: Option<Daemon>,
     board: Arc<Blackboard>,
 }
 
-impl Drop for Host {
+impl Drop for InProcessDaemon {
     fn drop(&mut self) {
         self.daemon = None;
         if let Some(runtime) = self.runtime.take() {
@@ -28,13 +28,14 @@
     }
 }
 
-impl Host {
+impl InProcessDaemon {
     /// Starts an instance.
     ///
     /// # Panics
     /// When it does not start.
     pub async fn spawn(settings: Settings) -> Self {
-        let runtime = Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build();
+        let runtime =
+            Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build();
         let runtime = runtime.expect("a runtime");
         let spawned = runtime.spawn(Daemon::spawn(settings)).await.expect("no panic");
         let daemon = spawned.expect("the daemon starts");
--- a/standins/src/bed/mod.rs
+++ b/standins/src/bed/mod.rs
@@ -1,19 +1,19 @@
 //! A whole system on loopback: platform, backend servers and instances, for tests and examples.
 
-mod bed;
-mod fleet;
-mod host;
-mod own_addresses;
-mod plan;
-mod process;
+mod daemon_process;
+mod in_process_daemon;
+mod process_fleet;
+mod test_bed;
+mod test_bed_plan;
+mod unique_addresses;
 mod wait;
 
-pub use bed::Bed;
-pub use fleet::Fleet;
-pub use host::Host;
-pub use own_addresses::own_addresses;
-pub use plan::BedPlan;
-pub use plan::settings_for;
-pub use process::DaemonProcess;
-pub use process::Usage;
-pub use wait::until;
+pub use daemon_process::DaemonProcess;
+pub use daemon_process::ProcessUsage;
+pub use in_process_daemon::InProcessDaemon;
+pub use process_fleet::ProcessFleet;
+pub use test_bed::TestBed;
+pub use test_bed_plan::TestBedPlan;
+pub use test_bed_plan::settings_for;
+pub use unique_addresses::unique_addresses;
+pub use wait::wait_until;
--- a/standins/src/bed/fleet.rs
+++ b/standins/src/bed/process_fleet.rs
@@ -8,28 +8,28 @@
 use sorrelwick::operator::service_to_wire;
 use tempfile::TempDir;
 
-use super::Bed;
-use super::BedPlan;
 use super::DaemonProcess;
+use super::TestBed;
+use super::TestBedPlan;
 use super::settings_for;
-use super::until;
+use super::wait_until;
 use crate::platform::ListedMachine;
 
 /// A running system whose instances are processes.
 #[derive(Debug)]
-pub struct Fleet {
-    pub bed: Bed,
+pub struct ProcessFleet {
+    pub bed: TestBed,
     pub daemons: Vec<DaemonProcess>,
     _dir: TempDir,
 }
 
-impl Fleet {
+impl ProcessFleet {
     /// Starts `daemons` processes of `program`, and waits until each knows all others.
     ///
     /// # Panics
     /// When a part does not start.
-    pub async fn start(program: &Path, plan: BedPlan, daemons: usize) -> Self {
-        let bed = Bed::start(BedPlan { instances: 0, ..plan }).await;
+    pub async fn start(program: &Path, plan: TestBedPlan, daemons: usize) -> Self {
+        let bed = TestBed::start(TestBedPlan { instances: 0, ..plan }).await;
         let dir = tempfile::tempdir().expect("a directory");
         let mut started = Vec::new();
         for at in 0..daemons {
@@ -38,10 +38,10 @@
             started.push(daemon.expect("the daemon starts"));
         }
         let fleet = Self { bed, daemons: started, _dir: dir };
-        fleet.list_daemons();
-        until("all processes joined", async || {
+        fleet.publish_machine_list();
+        wait_until("all processes joined", async || {
             for at in 0..daemons {
-                if fleet.alive_seen_by(at).await != daemons {
+                if fleet.alive_count_at(at).await != daemons {
                     return false;
                 }
             }
@@ -51,7 +51,7 @@
         fleet
     }
 
-    fn list_daemons(&self) {
+    fn publish_machine_list(&self) {
         let listed = self.daemons.iter().map(|daemon| ListedMachine {
             id: daemon.settings.instance.name.clone(),
             ip: daemon.settings.listen.peer.ip().to_string(),
@@ -73,7 +73,7 @@
     }
 
     /// How many instances one process believes to be alive.
-    pub async fn alive_seen_by(&self, at: usize) -> usize {
+    pub async fn alive_count_at(&self, at: usize) -> usize {
         let Ok(status) = self.operator(at).status().await else {
             return 0;
         };
@@ -84,9 +84,9 @@
     ///
     /// # Panics
     /// When the operator refuses it.
-    pub async fn create(&self, service: &Service) {
+    pub async fn create_service(&self, service: &Service) {
         self.operator(0).put(&service_to_wire(service), 0).await.expect("accepted");
-        until("in force on all processes", async || {
+        wait_until("in force on all processes", async || {
             for at in 0..self.daemons.len() {
                 if self.operator(at).get(&service.name).await.is_err() {
                     return false;
@@ -99,7 +99,7 @@
 
     /// Caller addresses of all processes.
     #[must_use]
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.daemons.iter().map(|daemon| daemon.settings.listen.caller).collect()
     }
 }
--- a/standins/src/bed/bed.rs
+++ b/standins/src/bed/test_bed.rs
@@ -13,10 +13,10 @@
 use sorrelwick::model::Service;
 use sorrelwick::operator::service_to_wire;
 
-use super::BedPlan;
-use super::Host;
+use super::InProcessDaemon;
+use super::TestBedPlan;
 use super::settings_for;
-use super::until;
+use super::wait_until;
 use crate::backend::Backend;
 use crate::backend::BackendSettings;
 use crate::caller::Caller;
@@ -26,21 +26,21 @@
 
 /// A running system. Parts that are taken out and dropped end as if killed.
 #[derive(Debug)]
-pub struct Bed {
-    pub plan: BedPlan,
+pub struct TestBed {
+    pub plan: TestBedPlan,
     pub platform: Option<Platform>,
     pub state: PlatformState,
     platform_address: SocketAddr,
     pub backends: Vec<Backend>,
-    pub daemons: Vec<Option<Host>>,
+    pub daemons: Vec<Option<InProcessDaemon>>,
 }
 
-impl Bed {
+impl TestBed {
     /// Starts all parts, and waits until every instance knows every other.
     ///
     /// # Panics
     /// When a part does not start.
-    pub async fn start(plan: BedPlan) -> Self {
+    pub async fn start(plan: TestBedPlan) -> Self {
         let state = PlatformState::default();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let platform = Platform::bind(any, state.clone()).await.expect("platform starts");
@@ -60,7 +60,7 @@
         for _ in 0..bed.plan.instances {
             bed.add_daemon().await;
         }
-        bed.until_joined().await;
+        bed.wait_until_joined().await;
         bed
     }
 
@@ -89,12 +89,12 @@
         let at = self.daemons.len();
         let mut settings = settings_for(&self.plan, at, self.platform_address);
         change(&mut settings);
-        self.daemons.push(Some(Host::spawn(settings).await));
-        self.list_daemons();
+        self.daemons.push(Some(InProcessDaemon::spawn(settings).await));
+        self.publish_machine_list();
         at
     }
 
-    fn list_daemons(&self) {
+    fn publish_machine_list(&self) {
         let machine = |board: &Arc<Blackboard>| ListedMachine {
             id: board.settings.instance.name.clone(),
             ip: "127.0.0.1".into(),
@@ -108,9 +108,9 @@
     }
 
     /// Waits until every running instance knows all the others.
-    pub async fn until_joined(&self) {
+    pub async fn wait_until_joined(&self) {
         let running = self.daemons.iter().flatten().count();
-        until("all instances joined", async || {
+        wait_until("all instances joined", async || {
             self.boards().iter().all(|board| {
                 let view = board.members_view();
                 let alive = view.rows.iter().filter(|row| row.state.accepts_work());
@@ -136,7 +136,7 @@
     /// # Panics
     /// When it was killed.
     #[must_use]
-    pub fn daemon(&self, at: usize) -> &Host {
+    pub fn daemon(&self, at: usize) -> &InProcessDaemon {
         self.daemons[at].as_ref().expect("the instance runs")
     }
 
@@ -147,7 +147,7 @@
 
     /// Brings the platform back on its address.
     pub async fn start_platform(&mut self) {
-        until("the platform's port is free", async || {
+        wait_until("the platform's port is free", async || {
             let bound = Platform::bind(self.platform_address, self.state.clone()).await;
             self.platform = bound.ok();
             self.platform.is_some()
@@ -208,7 +208,7 @@
     ///
     /// # Errors
     /// What the operator told.
-    pub async fn put(
+    pub async fn put_service(
         &self,
         at: usize,
         service: &Service,
@@ -219,8 +219,8 @@
     }
 
     /// Waits until a revision or a later one is in force on all running instances.
-    pub async fn until_in_force(&self, service: &str, revision: u64) -> std::time::Duration {
-        until("the revision is in force everywhere", async || {
+    pub async fn wait_until_applied(&self, service: &str, revision: u64) -> std::time::Duration {
+        wait_until("the revision is in force everywhere", async || {
             self.boards().iter().all(|board| {
                 let services = board.services();
                 services.get(service).is_some_and(|state| state.revision >= revision)
@@ -233,10 +233,10 @@
     ///
     /// # Panics
     /// When the operator refuses it.
-    pub async fn create(&self, name: &str) -> Service {
+    pub async fn create_service(&self, name: &str) -> Service {
         let service = self.service(name);
-        let revision = self.put(0, &service, 0).await.expect("the service is accepted");
-        self.until_in_force(name, revision).await;
+        let revision = self.put_service(0, &service, 0).await.expect("the service is accepted");
+        self.wait_until_applied(name, revision).await;
         service
     }
 
--- a/standins/src/bed/plan.rs
+++ b/standins/src/bed/test_bed_plan.rs
@@ -19,7 +19,7 @@
 
 /// Sizes and settings of a bed.
 #[derive(Clone, Debug)]
-pub struct BedPlan {
+pub struct TestBedPlan {
     /// Instances are spread over these in turn.
     pub zones: Vec<String>,
     pub instances: usize,
@@ -33,7 +33,7 @@
     pub watch_wait_ms: u64,
 }
 
-impl Default for BedPlan {
+impl Default for TestBedPlan {
     fn default() -> Self {
         Self {
             zones: ["burnaby", "surrey", "richmond"].map(String::from).into(),
@@ -49,7 +49,7 @@
     }
 }
 
-impl BedPlan {
+impl TestBedPlan {
     /// The zone of the `at`-th instance or backend server.
     #[must_use]
     pub fn zone(&self, at: usize) -> &str {
@@ -59,7 +59,7 @@
 
 /// Settings of the `at`-th instance; all ports are the system's choice.
 #[must_use]
-pub fn settings_for(plan: &BedPlan, at: usize, platform: SocketAddr) -> Settings {
+pub fn settings_for(plan: &TestBedPlan, at: usize, platform: SocketAddr) -> Settings {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
         instance: InstanceSettings {
--- a/standins/src/bin/standin-load.rs
+++ b/standins/src/bin/standin-load.rs
@@ -6,7 +6,7 @@
 use clap::Parser;
 use standins::caller::Caller;
 use standins::load::LoadPlan;
-use standins::load::Summary;
+use standins::load::LoadSummary;
 use standins::load::run_load;
 use standins::load::write_plot;
 
@@ -44,7 +44,7 @@
     let args = Args::parse();
     let callers: Vec<Caller> =
         args.zones.iter().map(|zone| Caller::new(&args.service, zone, &args.instances)).collect();
-    println!("{}", Summary::heading());
+    println!("{}", LoadSummary::table_header());
     let mut runs = Vec::new();
     for rate_per_s in args.rate {
         let name = format!("{rate_per_s}/s");
@@ -59,7 +59,7 @@
             ..LoadPlan::default()
         };
         let summary = run_load(&plan, &callers).await;
-        println!("{}", summary.line(&name));
+        println!("{}", summary.table_row(&name));
         runs.push((name, summary));
     }
     args.plot.map_or(Ok(()), |path| write_plot(&path, &runs))
--- a/standins/src/bin/standin-trial.rs
+++ b/standins/src/bin/standin-trial.rs
@@ -51,18 +51,18 @@
         slow_third: args.slow_third,
         failing_server: args.failing_server,
         overload_s: args.overload.then_some((10, 20, 1.5)),
-        tell_us: args.tell_ms * 1000,
+        report_interval_us: args.tell_ms * 1000,
         seconds: args.seconds,
         seed: args.seed,
         ..Scene::default()
     };
-    println!("{}", TrialOutcome::heading());
+    println!("{}", TrialOutcome::table_header());
     let policies =
         if args.policies.is_empty() { Policy::value_variants().to_vec() } else { args.policies };
     for policy in policies {
         let outcome = run_trial(&scene, policy);
         let name = policy.to_possible_value().map_or_else(String::new, |v| v.get_name().to_owned());
-        println!("{}", outcome.line(&name));
+        println!("{}", outcome.table_row(&name));
         if args.overload {
             println!("{:<20} recovered {} ms after the overload", "", outcome.recovery_ms);
         }
--- a/standins/src/load/summary.rs
+++ b/standins/src/load/load_summary.rs
@@ -9,14 +9,14 @@
 
 /// Counts and latencies of one run; latencies count from when a request was due.
 #[derive(Clone, Debug)]
-pub struct Summary {
+pub struct LoadSummary {
     /// Of whole, right answers, in microseconds.
     pub latency_us: Histogram<u64>,
     /// Of refusals, in microseconds.
-    pub refusal_us: Histogram<u64>,
-    pub right: u64,
+    pub rejection_us: Histogram<u64>,
+    pub correct: u64,
     /// Whole answers that were not the request's own.
-    pub wrong: u64,
+    pub mismatched: u64,
     pub not_run: u64,
     pub unknown: u64,
     pub failed: u64,
@@ -24,16 +24,16 @@
     pub not_sent: u64,
 }
 
-impl Default for Summary {
+impl Default for LoadSummary {
     /// # Panics
     /// Never: the bounds are valid.
     fn default() -> Self {
         let histogram = || Histogram::new_with_max(MAX_US, DIGITS).expect("valid bounds");
         Self {
             latency_us: histogram(),
-            refusal_us: histogram(),
-            right: 0,
-            wrong: 0,
+            rejection_us: histogram(),
+            correct: 0,
+            mismatched: 0,
             not_run: 0,
             unknown: 0,
             failed: 0,
@@ -43,9 +43,9 @@
     }
 }
 
-impl Summary {
+impl LoadSummary {
     /// Counts one call that took `us` from when it was due.
-    pub fn count(&mut self, told: &CallResult, expected: &[u8], us: u64) {
+    pub fn record(&mut self, told: &CallResult, expected: &[u8], us: u64) {
         match told {
             CallResult::NotSent => self.not_sent += 1,
             CallResult::Broken => self.broken += 1,
@@ -53,26 +53,26 @@
             {
                 ("not-run", _) => {
                     self.not_run += 1;
-                    self.refusal_us.saturating_record(us);
+                    self.rejection_us.saturating_record(us);
                 }
                 ("unknown", _) => self.unknown += 1,
                 (_, 500..) => self.failed += 1,
                 _ if body == expected => {
-                    self.right += 1;
+                    self.correct += 1;
                     self.latency_us.saturating_record(us);
                 }
-                _ => self.wrong += 1,
+                _ => self.mismatched += 1,
             },
         }
     }
 
     /// Adds another run's counts.
-    pub fn add(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         // Both have the same bounds, so that adding cannot fail.
         let _ = self.latency_us.add(&other.latency_us);
-        let _ = self.refusal_us.add(&other.refusal_us);
-        self.right += other.right;
-        self.wrong += other.wrong;
+        let _ = self.rejection_us.add(&other.rejection_us);
+        self.correct += other.correct;
+        self.mismatched += other.mismatched;
         self.not_run += other.not_run;
         self.unknown += other.unknown;
         self.failed += other.failed;
@@ -83,8 +83,8 @@
     /// All calls.
     #[must_use]
     pub const fn calls(&self) -> u64 {
-        self.right
-            + self.wrong
+        self.correct
+            + self.mismatched
             + self.not_run
             + self.unknown
             + self.failed
@@ -102,10 +102,10 @@
 
     /// One line of a table.
     #[must_use]
-    pub fn line(&self, name: &str) -> String {
+    pub fn table_row(&self, name: &str) -> String {
         format!(
             "{name:<28} {:>8} {:>8.2} {:>8.2} {:>8.2} {:>6} {:>6} {:>6} {:>6} {:>6}",
-            self.right,
+            self.correct,
             self.quantile_ms(0.5),
             self.quantile_ms(0.99),
             self.quantile_ms(0.999),
@@ -113,13 +113,13 @@
             self.unknown,
             self.failed,
             self.broken + self.not_sent,
-            self.wrong,
+            self.mismatched,
         )
     }
 
     /// The heading above lines.
     #[must_use]
-    pub fn heading() -> String {
+    pub fn table_header() -> String {
         format!(
             "{:<28} {:>8} {:>8} {:>8} {:>8} {:>6} {:>6} {:>6} {:>6} {:>6}",
             "run", "right", "p50 ms", "p99 ms", "p99.9", "notrun", "unkn", "5xx", "broken", "wrong"
--- a/standins/src/load/plot.rs
+++ b/standins/src/load/plot.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use super::Summary;
+use super::LoadSummary;
 
 const WIDTH: f64 = 720.0;
 const HEIGHT: f64 = 400.0;
@@ -23,7 +23,7 @@
     HEIGHT - MARGIN - (HEIGHT - 2.0 * MARGIN) * share
 }
 
-fn curve(summary: &Summary, max_ms: f64) -> String {
+fn curve(summary: &LoadSummary, max_ms: f64) -> String {
     let mut points = String::new();
     for step in 0..=POINTS {
         let nines = 0.3 + (NINES_MAX - 0.3) * f64::from(step) / f64::from(POINTS);
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 /// When the file cannot be written.
-pub fn write_plot(path: &Path, runs: &[(String, Summary)]) -> std::io::Result<()> {
+pub fn write_plot(path: &Path, runs: &[(String, LoadSummary)]) -> std::io::Result<()> {
     let largest = runs.iter().map(|(_, run)| run.quantile_ms(1.0)).fold(1.0, f64::max);
     let mut svg = format!(
         "<svg xmlns='http://www.w3.org/2000/svg' width='{WIDTH}' height='{HEIGHT}' \
--- a/standins/src/load/runner.rs
+++ b/standins/src/load/runner.rs
@@ -8,7 +8,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::Summary;
+use super::LoadSummary;
 use crate::backend::body_for;
 use crate::caller::Call;
 use crate::caller::Caller;
@@ -48,7 +48,7 @@
     }
 }
 
-fn call_of(plan: &LoadPlan, number: u64, len: usize) -> Call {
+fn build_call(plan: &LoadPlan, number: u64, len: usize) -> Call {
     let id = format!("{}-{number}", plan.name);
     let work = plan.work_us.map(|us| format!("&work_us={us}")).unwrap_or_default();
     let target = format!("{}?bytes={len}{work}", plan.path);
@@ -57,32 +57,32 @@
 }
 
 /// Sends the plan's requests, spread over the callers in turn, and waits for every answer.
-pub async fn run_load(plan: &LoadPlan, callers: &[Caller]) -> Summary {
+pub async fn run_load(plan: &LoadPlan, callers: &[Caller]) -> LoadSummary {
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-    let mut work: JoinSet<Summary> = JoinSet::new();
+    let mut work: JoinSet<LoadSummary> = JoinSet::new();
     let mut due = Instant::now();
-    let mut total = Summary::default();
+    let mut total = LoadSummary::default();
     for number in 0..plan.requests {
         let uniform: f64 = rng.random();
         due += Duration::from_secs_f64(-(1.0 - uniform).ln() / plan.rate_per_s);
         let len = rng.random_range(1..=plan.body_max_bytes);
-        let call = call_of(plan, number, len);
+        let call = build_call(plan, number, len);
         let at = usize::try_from(number).unwrap_or(0) % callers.len();
         let caller = callers[at].clone();
         tokio::time::sleep_until(due).await;
         work.spawn(async move {
             let told = caller.call(&call).await;
             let us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
-            let mut one = Summary::default();
-            one.count(&told, &body_for(&call.id, len), us);
+            let mut one = LoadSummary::default();
+            one.record(&told, &body_for(&call.id, len), us);
             one
         });
         while let Some(Ok(one)) = work.try_join_next() {
-            total.add(&one);
+            total.merge(&one);
         }
     }
     while let Some(Ok(one)) = work.join_next().await {
-        total.add(&one);
+        total.merge(&one);
     }
     total
 }
--- a/standins/src/platform/server.rs
+++ b/standins/src/platform/server.rs
@@ -27,8 +27,8 @@
 use super::ListedMachine;
 use super::PlatformState;
 
-const WAIT_DEFAULT: Duration = Duration::from_mins(5);
-const TTL_DEFAULT: Duration = Duration::from_secs(10);
+const DEFAULT_WATCH_WAIT: Duration = Duration::from_mins(5);
+const DEFAULT_SESSION_TTL: Duration = Duration::from_secs(10);
 
 /// Faults that a test switches on and off, and what it counts.
 #[derive(Debug, Default)]
@@ -36,18 +36,18 @@
     /// Every connection is closed without an answer, before anything takes effect.
     pub down: AtomicBool,
     /// Added to each call.
-    pub slow_ms: AtomicU64,
+    pub delay_ms: AtomicU64,
     /// So many next writes take effect, and their answers are lost.
-    pub lose_answers: AtomicU64,
+    pub responses_to_drop: AtomicU64,
     pub reads: AtomicU64,
     pub writes: AtomicU64,
     pub watches: AtomicU64,
 }
 
 impl Switches {
-    fn lose_one(&self) -> bool {
+    fn try_drop_response(&self) -> bool {
         let next = |left: u64| left.checked_sub(1);
-        self.lose_answers.fetch_update(Ordering::AcqRel, Ordering::Acquire, next).is_ok()
+        self.responses_to_drop.fetch_update(Ordering::AcqRel, Ordering::Acquire, next).is_ok()
     }
 
     /// All calls so far, by the platform's count.
@@ -80,18 +80,18 @@
 }
 
 /// An answer, or the connection's end without one.
-type Answered = Result<Response<Full<Bytes>>, Lost>;
+type ServeResult = Result<Response<Full<Bytes>>, ResponseDropped>;
 
 #[derive(Debug)]
-struct Lost;
+struct ResponseDropped;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for ResponseDropped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("answer lost on purpose")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for ResponseDropped {}
 
 impl Platform {
     /// Serves `state` on `address`.
@@ -146,58 +146,62 @@
     response
 }
 
-fn query(request: &Request<Incoming>, name: &str) -> Option<String> {
+fn query_param(request: &Request<Incoming>, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     let mut named = pairs.map(|pair| pair.split_once('=').unwrap_or((pair, "")));
     named.find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
 }
 
-fn duration(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     if let Some(ms) = text.strip_suffix("ms") {
         return ms.parse().ok().map(Duration::from_millis);
     }
     text.strip_suffix('s')?.parse().ok().map(Duration::from_secs)
 }
 
-async fn serve(shared: &Shared, request: Request<Incoming>) -> Answered {
+async fn serve(shared: &Shared, request: Request<Incoming>) -> ServeResult {
     let switches = &shared.switches;
     let path = request.uri().path().to_owned();
     if let Some(rest) = path.strip_prefix("/admin/") {
-        return Ok(admin(shared, rest, request).await);
+        return Ok(handle_admin(shared, rest, request).await);
     }
     if switches.down.load(Ordering::Acquire) {
-        return Err(Lost);
+        return Err(ResponseDropped);
     }
-    let slow_ms = switches.slow_ms.load(Ordering::Acquire);
+    let slow_ms = switches.delay_ms.load(Ordering::Acquire);
     tokio::time::sleep(Duration::from_millis(slow_ms)).await;
     let is_write = request.method() == http::Method::PUT;
     let answer = match path.strip_prefix("/v1/kv/") {
-        Some(key) if is_write => write(shared, key, request).await,
-        Some(key) => read(shared, key, &request).await,
+        Some(key) if is_write => handle_write(shared, key, request).await,
+        Some(key) => handle_read(shared, key, &request).await,
         None if path.starts_with("/v1/session/") => session(shared, &path, request).await,
-        None => list(shared, &path),
+        None => handle_list(shared, &path),
     };
-    if is_write && switches.lose_one() {
-        return Err(Lost);
+    if is_write && switches.try_drop_response() {
+        return Err(ResponseDropped);
     }
     // A store that went down while a watch waited gives no answer either.
     if switches.down.load(Ordering::Acquire) {
-        return Err(Lost);
+        return Err(ResponseDropped);
     }
     Ok(answer)
 }
 
-async fn read(shared: &Shared, key: &str, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let index = query(request, "index").and_then(|text| text.parse().ok()).unwrap_or(0);
-    let recurse = query(request, "recurse").is_some();
+async fn handle_read(
+    shared: &Shared,
+    key: &str,
+    request: &Request<Incoming>,
+) -> Response<Full<Bytes>> {
+    let index = query_param(request, "index").and_then(|text| text.parse().ok()).unwrap_or(0);
+    let recurse = query_param(request, "recurse").is_some();
     if index > 0 {
         shared.switches.watches.fetch_add(1, Ordering::Relaxed);
-        let wait = query(request, "wait").and_then(|text| duration(&text));
-        shared.state.wait(key, index, wait.unwrap_or(WAIT_DEFAULT)).await;
+        let wait = query_param(request, "wait").and_then(|text| parse_duration(&text));
+        shared.state.wait_for_change(key, index, wait.unwrap_or(DEFAULT_WATCH_WAIT)).await;
     } else {
         shared.switches.reads.fetch_add(1, Ordering::Relaxed);
     }
-    let (index, rows) = shared.state.below(key);
+    let (index, rows) = shared.state.list_prefix(key);
     let rows: Vec<Value> = rows
         .into_iter()
         .filter(|(name, _)| recurse || name == key)
@@ -215,15 +219,19 @@
     reply(status, index, Value::from(rows).to_string())
 }
 
-async fn write(shared: &Shared, key: &str, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle_write(
+    shared: &Shared,
+    key: &str,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
     shared.switches.writes.fetch_add(1, Ordering::Relaxed);
-    let cas = query(&request, "cas").and_then(|text| text.parse().ok());
-    let session = query(&request, "acquire");
+    let cas = query_param(&request, "cas").and_then(|text| text.parse().ok());
+    let handle_session = query_param(&request, "acquire");
     let Ok(body) = request.into_body().collect().await else {
         return reply(400, 0, "body".into());
     };
     let body = body.to_bytes();
-    let written = match session {
+    let written = match handle_session {
         Some(session) => shared.state.acquire(key, &body, &session),
         None => shared.state.put_cas(key, &body, cas),
     };
@@ -247,12 +255,12 @@
         .map(http_body_util::Collected::to_bytes)
         .unwrap_or_default();
     let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-    let ttl = body["TTL"].as_str().and_then(duration).unwrap_or(TTL_DEFAULT);
+    let ttl = body["TTL"].as_str().and_then(parse_duration).unwrap_or(DEFAULT_SESSION_TTL);
     let id = shared.state.open_session(ttl);
     reply(200, 0, json!({ "ID": id }).to_string())
 }
 
-fn list(shared: &Shared, path: &str) -> Response<Full<Bytes>> {
+fn handle_list(shared: &Shared, path: &str) -> Response<Full<Bytes>> {
     shared.switches.reads.fetch_add(1, Ordering::Relaxed);
     let Some(name) = path.strip_prefix("/v1/catalog/service/") else {
         return reply(404, 0, String::new());
@@ -278,16 +286,22 @@
 
 /// Switches from outside the process: `/admin/down?on=true`, `/admin/slow?ms=N`,
 /// `/admin/lose?answers=N`, `/admin/calls`, and `PUT /admin/list/NAME` with a list as body.
-async fn admin(shared: &Shared, path: &str, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle_admin(
+    shared: &Shared,
+    path: &str,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
     let switches = &shared.switches;
-    let number = |name| query(&request, name).and_then(|text| text.parse::<u64>().ok());
+    let number = |name| query_param(&request, name).and_then(|text| text.parse::<u64>().ok());
     match path {
         "down" => {
-            let on = query(&request, "on").as_deref() == Some("true");
+            let on = query_param(&request, "on").as_deref() == Some("true");
             switches.down.store(on, Ordering::Release);
         }
-        "slow" => switches.slow_ms.store(number("ms").unwrap_or(0), Ordering::Release),
-        "lose" => switches.lose_answers.store(number("answers").unwrap_or(0), Ordering::Release),
+        "slow" => switches.delay_ms.store(number("ms").unwrap_or(0), Ordering::Release),
+        "lose" => {
+            switches.responses_to_drop.store(number("answers").unwrap_or(0), Ordering::Release);
+        }
         "calls" => return reply(200, 0, switches.calls().to_string()),
         _ => {
             let Some(name) = path.strip_prefix("list/") else {
--- a/standins/src/platform/state.rs
+++ b/standins/src/platform/state.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Row {
+pub(super) struct KeyRow {
     pub value: Vec<u8>,
     pub create_index: u64,
     pub modify_index: u64,
@@ -31,13 +31,13 @@
 #[derive(Debug)]
 struct Session {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
-struct Rows {
+struct Inner {
     index: u64,
-    kv: BTreeMap<String, Row>,
+    kv: BTreeMap<String, KeyRow>,
     sessions: BTreeMap<String, Session>,
     lists: BTreeMap<String, Vec<ListedMachine>>,
 }
@@ -45,7 +45,7 @@
 /// Keys, sessions and lists; clones share.
 #[derive(Clone, Debug)]
 pub struct PlatformState {
-    rows: Arc<Mutex<Rows>>,
+    rows: Arc<Mutex<Inner>>,
     changed: watch::Sender<u64>,
 }
 
@@ -55,19 +55,19 @@
     }
 }
 
-impl Rows {
+impl Inner {
     fn write(&mut self, key: &str, value: &[u8], session: Option<String>) {
         self.index += 1;
         let index = self.index;
         let create_index = self.kv.get(key).map_or(index, |row| row.create_index);
-        let row = Row { value: value.into(), create_index, modify_index: index, session };
+        let row = KeyRow { value: value.into(), create_index, modify_index: index, session };
         self.kv.insert(key.into(), row);
     }
 
     /// Ends sessions whose time is over, and deletes the keys they held.
-    fn lapse(&mut self) {
+    fn expire_sessions(&mut self) {
         let now = Instant::now();
-        let over = self.sessions.iter().filter(|(_, session)| session.until <= now);
+        let over = self.sessions.iter().filter(|(_, session)| session.expires_at <= now);
         let over: Vec<String> = over.map(|(id, _)| id.clone()).collect();
         for id in over {
             self.end_session(&id);
@@ -94,23 +94,23 @@
         self.rows.lock().lists.get(name).cloned().unwrap_or_default()
     }
 
-    pub(super) fn below(&self, prefix: &str) -> (u64, Vec<(String, Row)>) {
+    pub(super) fn list_prefix(&self, prefix: &str) -> (u64, Vec<(String, KeyRow)>) {
         let mut rows = self.rows.lock();
-        rows.lapse();
+        rows.expire_sessions();
         let below = rows.kv.range(prefix.to_owned()..);
         let below = below.take_while(|(key, _)| key.starts_with(prefix));
-        let found: Vec<(String, Row)> =
+        let found: Vec<(String, KeyRow)> =
             below.map(|(key, row)| (key.clone(), row.clone())).collect();
         let index = found.iter().map(|(_, row)| row.modify_index).max();
         (index.unwrap_or(rows.index).max(1), found)
     }
 
     /// Waits until the index below `prefix` passes `index`.
-    pub(super) async fn wait(&self, prefix: &str, index: u64, wait: Duration) {
+    pub(super) async fn wait_for_change(&self, prefix: &str, index: u64, wait: Duration) {
         let mut changed = self.changed.subscribe();
         let passed = async {
             loop {
-                let (_, rows) = self.below(prefix);
+                let (_, rows) = self.list_prefix(prefix);
                 if rows.iter().any(|(_, row)| row.modify_index > index) {
                     return;
                 }
@@ -122,27 +122,27 @@
         let _ = tokio::time::timeout(wait, passed).await;
     }
 
-    fn tell(&self) {
+    fn notify_watchers(&self) {
         self.changed.send_modify(|turn| *turn += 1);
     }
 
     /// Writes if the key has this index; 0 for a key that must not exist.
     pub(super) fn put_cas(&self, key: &str, value: &[u8], cas: Option<u64>) -> bool {
         let mut rows = self.rows.lock();
-        rows.lapse();
+        rows.expire_sessions();
         let current = rows.kv.get(key).map_or(0, |row| row.modify_index);
         if cas.is_some_and(|cas| cas != current) {
             return false;
         }
         rows.write(key, value, None);
         drop(rows);
-        self.tell();
+        self.notify_watchers();
         true
     }
 
     pub(super) fn acquire(&self, key: &str, value: &[u8], session: &str) -> bool {
         let mut rows = self.rows.lock();
-        rows.lapse();
+        rows.expire_sessions();
         if !rows.sessions.contains_key(session) {
             return false;
         }
@@ -152,7 +152,7 @@
         }
         rows.write(key, value, Some(session.into()));
         drop(rows);
-        self.tell();
+        self.notify_watchers();
         true
     }
 
@@ -160,23 +160,23 @@
         let mut rows = self.rows.lock();
         rows.index += 1;
         let id = format!("session-{}", rows.index);
-        let session = Session { ttl, until: Instant::now() + ttl };
+        let session = Session { ttl, expires_at: Instant::now() + ttl };
         rows.sessions.insert(id.clone(), session);
         id
     }
 
     pub(super) fn renew(&self, id: &str) -> bool {
         let mut rows = self.rows.lock();
-        rows.lapse();
+        rows.expire_sessions();
         let Some(session) = rows.sessions.get_mut(id) else {
             return false;
         };
-        session.until = Instant::now() + session.ttl;
+        session.expires_at = Instant::now() + session.ttl;
         true
     }
 
     pub(super) fn close_session(&self, id: &str) {
         self.rows.lock().end_session(id);
-        self.tell();
+        self.notify_watchers();
     }
 }
--- a/standins/src/trial/model.rs
+++ b/standins/src/trial/model.rs
@@ -29,11 +29,11 @@
 use super::world::servers_of;
 
 const QUEUE_MAX: usize = 1_000;
-const LOCAL_US: u64 = 100;
-const FAIL_US: f64 = 100.0;
+const SAME_ZONE_US: u64 = 100;
+const FAILURE_WORK_US: f64 = 100.0;
 const WARM_UP_US: u64 = 2_000_000;
 /// What a home told of its free slots is not used after this long.
-const TOLD_MAX_US: u64 = 300_000;
+const REPORT_MAX_AGE_US: u64 = 300_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -42,7 +42,7 @@
     AtHome {
         home: usize,
         request: usize,
-        passed: bool,
+        forwarded: bool,
     },
     AtServer {
         attempt: AttemptId,
@@ -64,10 +64,10 @@
         request: usize,
         home: usize,
     },
-    Tell {
+    SendReport {
         home: usize,
     },
-    Told {
+    ReceiveReport {
         to: usize,
         from: usize,
         free: u32,
@@ -78,8 +78,8 @@
     scene: &'a Scene,
     policy: Policy,
     now_us: u64,
-    ends_us: u64,
-    between_us: u64,
+    end_us: u64,
+    cross_zone_us: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     rng: Pcg64Mcg,
@@ -107,8 +107,8 @@
             scene,
             policy,
             now_us: START_US,
-            ends_us: START_US + scene.seconds * SECOND_US,
-            between_us: scene.size.shape().2,
+            end_us: START_US + scene.seconds * SECOND_US,
+            cross_zone_us: scene.size.shape().2,
             events: BinaryHeap::new(),
             sequence: 0,
             rng,
@@ -120,37 +120,39 @@
         }
     }
 
-    fn at(&mut self, us: u64, event: Event) {
+    fn schedule(&mut self, us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((us, self.sequence, event)));
     }
 
-    fn way_us(&self, from: usize, to: usize) -> u64 {
+    fn one_way_us(&self, from: usize, to: usize) -> u64 {
         // The oracle decides at no cost of its own.
         let free = self.policy == Policy::Oracle;
-        if from == to || free { LOCAL_US } else { self.between_us }
+        if from == to || free { SAME_ZONE_US } else { self.cross_zone_us }
     }
 
     fn run(&mut self) {
-        self.at(START_US, Event::Arrive);
-        if self.policy.spills() {
+        self.schedule(START_US, Event::Arrive);
+        if self.policy.forwards_new_requests() {
             for home in 0..self.homes.len() {
-                self.at(START_US + 1 + home as u64, Event::Tell { home });
+                self.schedule(START_US + 1 + home as u64, Event::SendReport { home });
             }
         }
         while let Some(Reverse((us, _, event))) = self.events.pop() {
             self.now_us = us;
             match event {
                 Event::Arrive => self.arrive(),
-                Event::AtHome { home, request, passed } => self.at_home(home, request, passed),
+                Event::AtHome { home, request, forwarded: passed } => {
+                    self.at_home(home, request, passed);
+                }
                 Event::AtServer { attempt } => self.at_server(attempt),
                 Event::Done { attempt } => self.done(attempt),
                 Event::Back { attempt } => self.back(attempt),
                 Event::Cancel { attempt } => self.cancel(attempt),
                 Event::Hedge { request } => self.hedge(request),
                 Event::GiveUp { request, home } => self.give_up(request, home),
-                Event::Tell { home } => self.tell(home),
-                Event::Told { to, from, free } => self.told(to, from, free),
+                Event::SendReport { home } => self.send_reports(home),
+                Event::ReceiveReport { to, from, free } => self.told(to, from, free),
             }
         }
     }
@@ -169,7 +171,7 @@
     }
 
     fn arrive(&mut self) {
-        if self.now_us >= self.ends_us {
+        if self.now_us >= self.end_us {
             return;
         }
         let pick: f64 = self.rng.random();
@@ -188,15 +190,15 @@
             self.outcome.requests += 1;
         }
         let home = self.home_for(zone);
-        let way = self.way_us(zone, self.homes[home].zone);
-        self.at(self.now_us + way, Event::AtHome { home, request, passed: false });
+        let way = self.one_way_us(zone, self.homes[home].zone);
+        self.schedule(self.now_us + way, Event::AtHome { home, request, forwarded: false });
         let slots: usize = self.servers.iter().map(|server| server.slots).sum();
         #[expect(clippy::cast_precision_loss, reason = "a rate")]
         let gap = self.scene.mean_work_us / (slots as f64 * self.load_now());
         let gap = self.exponential(gap);
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a gap")]
         let gap = gap as u64;
-        self.at(self.now_us + gap, Event::Arrive);
+        self.schedule(self.now_us + gap, Event::Arrive);
     }
 
     fn home_for(&mut self, zone: usize) -> usize {
@@ -213,23 +215,23 @@
             self.homes[home].pool.hedge_budget.record_request();
             self.homes[home].pool.retry_budget.record_request();
         }
-        if !self.policy.binds_late() {
-            let server = self.pick_now(home);
-            return self.begin(home, request, server);
+        if !self.policy.queues_at_home() {
+            let server = self.pick_server(home);
+            return self.start_attempt(home, request, server);
         }
         if self.homes[home].queue.is_empty()
-            && let Some(server) = self.take(home, &[])
+            && let Some(server) = self.acquire_slot(home, &[])
         {
-            return self.begin(home, request, server);
+            return self.start_attempt(home, request, server);
         }
-        if self.policy.spills() && !passed && self.pass_on(home, request) {
+        if self.policy.forwards_new_requests() && !passed && self.forward(home, request) {
             return;
         }
         self.enqueue(home, request);
     }
 
     /// The oracle looks at the servers themselves.
-    fn take(&mut self, home: usize, avoid: &[usize]) -> Option<usize> {
+    fn acquire_slot(&mut self, home: usize, avoid: &[usize]) -> Option<usize> {
         if self.policy != Policy::Oracle {
             return self.homes[home].pool.acquire_slot(ServerScope::Own, avoid, self.now_us);
         }
@@ -238,15 +240,17 @@
         let free = (0..self.servers.len()).filter(|at| {
             (in_flight[*at] as usize) < self.servers[*at].slots && !self.servers[*at].fails
         });
-        free.min_by_key(|at| (self.servers[*at].slow_at(now), in_flight[*at]))
+        free.min_by_key(|at| (self.servers[*at].is_slow_at(now), in_flight[*at]))
     }
 
-    fn pick_now(&mut self, home: usize) -> usize {
+    fn pick_server(&mut self, home: usize) -> usize {
         let count = self.servers.len();
         let home = &mut self.homes[home];
-        home.turn += 1;
+        home.round_robin_turn += 1;
         match self.policy {
-            Policy::SprayRoundRobin => baseline::round_robin(home.turn, count).unwrap_or(0),
+            Policy::SprayRoundRobin => {
+                baseline::round_robin(home.round_robin_turn, count).unwrap_or(0)
+            }
             Policy::SprayTwoChoices => {
                 let (a, b) = (self.rng.random_range(0..count), self.rng.random_range(0..count));
                 if home.in_flight[b] < home.in_flight[a] { b } else { a }
@@ -259,18 +263,21 @@
         }
     }
 
-    fn pass_on(&mut self, home: usize, request: usize) -> bool {
+    fn forward(&mut self, home: usize, request: usize) -> bool {
         let now = self.now_us;
-        let told = &mut self.homes[home].told;
-        let fresh = (0..told.len())
-            .find(|at| *at != home && told[*at].0 > 0 && now - told[*at].1 < TOLD_MAX_US);
+        let receive_report = &mut self.homes[home].free_slot_reports;
+        let fresh = (0..receive_report.len()).find(|at| {
+            *at != home
+                && receive_report[*at].0 > 0
+                && now - receive_report[*at].1 < REPORT_MAX_AGE_US
+        });
         let Some(to) = fresh else {
             return false;
         };
-        told[to].0 -= 1;
-        self.outcome.passed += 1;
-        let way = self.way_us(self.homes[home].zone, self.homes[to].zone);
-        self.at(now + way, Event::AtHome { home: to, request, passed: true });
+        receive_report[to].0 -= 1;
+        self.outcome.forwarded += 1;
+        let way = self.one_way_us(self.homes[home].zone, self.homes[to].zone);
+        self.schedule(now + way, Event::AtHome { home: to, request, forwarded: true });
         true
     }
 
@@ -288,23 +295,23 @@
                 self.count_misplaced();
                 self.requests[request].waiting = true;
                 self.homes[home].queue.push_back(request);
-                self.at(self.now_us + at_most_us, Event::GiveUp { request, home });
+                self.schedule(self.now_us + at_most_us, Event::GiveUp { request, home });
             }
-            _ => self.refuse(request),
+            _ => self.reject(request),
         }
     }
 
     fn count_misplaced(&mut self) {
-        let free = self.servers.iter().any(|s| !s.fails && s.working.len() < s.slots);
+        let free = self.servers.iter().any(|s| !s.fails && s.running.len() < s.slots);
         self.outcome.misplaced += u64::from(free);
     }
 
-    fn refuse(&mut self, request: usize) {
+    fn reject(&mut self, request: usize) {
         self.requests[request].open = false;
-        self.outcome.refused += u64::from(self.counted(request));
+        self.outcome.refused += u64::from(self.is_counted(request));
     }
 
-    fn counted(&self, request: usize) -> bool {
+    fn is_counted(&self, request: usize) -> bool {
         self.requests[request].due_us >= START_US + WARM_UP_US
     }
 
@@ -316,13 +323,14 @@
         self.homes[home].queue.retain(|queued| *queued != request);
         if self.homes[home].queue.len() < before {
             self.requests[request].waiting = false;
-            self.refuse(request);
+            self.reject(request);
         }
     }
 
-    fn begin(&mut self, home: usize, request: usize, server: usize) {
+    fn start_attempt(&mut self, home: usize, request: usize, server: usize) {
         let mean = self.scene.mean_work_us;
-        let work_us = if self.servers[server].fails { FAIL_US } else { self.exponential(mean) };
+        let work_us =
+            if self.servers[server].fails { FAILURE_WORK_US } else { self.exponential(mean) };
         let attempt = self.attempts.len();
         self.attempts.push(Attempt {
             request,
@@ -336,8 +344,8 @@
         self.outcome.attempts += 1;
         let first = self.requests[request].attempts.is_empty();
         self.requests[request].attempts.push(attempt);
-        let way = self.way_us(self.homes[home].zone, self.servers[server].zone);
-        self.at(self.now_us + way, Event::AtServer { attempt });
+        let way = self.one_way_us(self.homes[home].zone, self.servers[server].zone);
+        self.schedule(self.now_us + way, Event::AtServer { attempt });
         if first && self.policy.hedges() {
             let pool = &self.homes[home].pool;
             let delay = hedge_delay_us(
@@ -347,7 +355,7 @@
                 pool.high_quantile_us(),
             );
             if let Some(delay) = delay {
-                self.at(self.now_us + delay, Event::Hedge { request });
+                self.schedule(self.now_us + delay, Event::Hedge { request });
             }
         }
     }
@@ -357,17 +365,17 @@
         if !open {
             return;
         }
-        let begun = self.servers[server].arrive(attempt, work_us, self.now_us);
+        let begun = self.servers[server].start_or_queue(attempt, work_us, self.now_us);
         match begun {
-            Some(working) => self.at(working.ends_us, Event::Done { attempt }),
+            Some(working) => self.schedule(working.ends_us, Event::Done { attempt }),
             None => self.count_misplaced(),
         }
     }
 
     fn leave_server(&mut self, attempt: AttemptId) {
         let server = self.attempts[attempt].server;
-        if let Some(next) = self.servers[server].leave(attempt, self.now_us) {
-            self.at(next.ends_us, Event::Done { attempt: next.attempt });
+        if let Some(next) = self.servers[server].remove(attempt, self.now_us) {
+            self.schedule(next.ends_us, Event::Done { attempt: next.attempt });
         }
     }
 
@@ -377,8 +385,8 @@
             return;
         }
         self.leave_server(attempt);
-        let way = self.way_us(self.servers[server].zone, self.homes[home].zone);
-        self.at(self.now_us + way, Event::Back { attempt });
+        let way = self.one_way_us(self.servers[server].zone, self.homes[home].zone);
+        self.schedule(self.now_us + way, Event::Back { attempt });
     }
 
     fn cancel(&mut self, attempt: AttemptId) {
@@ -407,13 +415,13 @@
 
     fn free_slot(&mut self, home: usize, server: usize, finish: AttemptOutcome) {
         self.homes[home].in_flight[server] -= 1;
-        if self.policy.binds_late() && self.policy != Policy::Oracle {
+        if self.policy.queues_at_home() && self.policy != Policy::Oracle {
             self.homes[home].pool.release_slot(server, finish, self.now_us);
         }
     }
 
     fn retry(&mut self, home: usize, request: usize, server: usize) -> bool {
-        if !self.policy.binds_late() || self.requests[request].tries >= 2 {
+        if !self.policy.queues_at_home() || self.requests[request].tries >= 2 {
             return false;
         }
         if !self.homes[home].pool.retry_budget.try_spend() {
@@ -421,18 +429,18 @@
         }
         self.requests[request].tries += 1;
         self.outcome.retries += 1;
-        match self.take(home, &[server]) {
-            Some(next) => self.begin(home, request, next),
+        match self.acquire_slot(home, &[server]) {
+            Some(next) => self.start_attempt(home, request, next),
             None => self.enqueue(home, request),
         }
         true
     }
 
     fn answer(&mut self, request: usize, home: usize, failed: bool) {
-        let way = self.way_us(self.homes[home].zone, self.requests[request].zone);
+        let way = self.one_way_us(self.homes[home].zone, self.requests[request].zone);
         self.requests[request].open = false;
         let us = self.now_us + way - self.requests[request].due_us;
-        if self.counted(request) {
+        if self.is_counted(request) {
             self.outcome.failed += u64::from(failed);
             self.outcome.answered += u64::from(!failed);
             if !failed {
@@ -446,8 +454,8 @@
             }
             self.attempts[other].open = false;
             self.free_slot(home, server, AttemptOutcome::Cancelled);
-            let way = self.way_us(self.homes[home].zone, self.servers[server].zone);
-            self.at(self.now_us + way, Event::Cancel { attempt: other });
+            let way = self.one_way_us(self.homes[home].zone, self.servers[server].zone);
+            self.schedule(self.now_us + way, Event::Cancel { attempt: other });
             self.drain(home);
         }
     }
@@ -455,12 +463,12 @@
     fn drain(&mut self, home: usize) {
         self.drain_overdue(home);
         while let Some(request) = self.homes[home].queue.front().copied() {
-            let Some(server) = self.take(home, &[]) else {
+            let Some(server) = self.acquire_slot(home, &[]) else {
                 return;
             };
             self.homes[home].queue.pop_front();
             self.requests[request].waiting = false;
-            self.begin(home, request, server);
+            self.start_attempt(home, request, server);
         }
         if let Some((_, to, _)) = self.scene.overload_s {
             let after = START_US + to * SECOND_US;
@@ -478,10 +486,10 @@
         {
             return;
         }
-        match self.take(home, &[server]) {
+        match self.acquire_slot(home, &[server]) {
             Some(second) => {
                 self.outcome.hedges += 1;
-                self.begin(home, request, second);
+                self.start_attempt(home, request, second);
             }
             None => self.homes[home].overdue.push_back(request),
         }
@@ -495,35 +503,35 @@
                 self.homes[home].overdue.pop_front();
                 continue;
             }
-            let Some(second) = self.take(home, &[first.server]) else {
+            let Some(second) = self.acquire_slot(home, &[first.server]) else {
                 return;
             };
             self.homes[home].overdue.pop_front();
             self.outcome.hedges += 1;
-            self.begin(home, request, second);
+            self.start_attempt(home, request, second);
         }
     }
 
-    fn tell(&mut self, home: usize) {
-        if self.now_us >= self.ends_us {
+    fn send_reports(&mut self, home: usize) {
+        if self.now_us >= self.end_us {
             return;
         }
         let waiting = u32::try_from(self.homes[home].queue.len()).unwrap_or(u32::MAX);
         let free = self.homes[home].pool.free_slots(self.now_us).saturating_sub(waiting);
         for to in (0..self.homes.len()).filter(|to| *to != home) {
-            let way = self.way_us(self.homes[home].zone, self.homes[to].zone);
-            self.at(self.now_us + way, Event::Told { to, from: home, free });
+            let way = self.one_way_us(self.homes[home].zone, self.homes[to].zone);
+            self.schedule(self.now_us + way, Event::ReceiveReport { to, from: home, free });
         }
-        self.at(self.now_us + self.scene.tell_us, Event::Tell { home });
+        self.schedule(self.now_us + self.scene.report_interval_us, Event::SendReport { home });
     }
 
     fn told(&mut self, to: usize, from: usize, free: u32) {
-        self.homes[to].told[from] = (free, self.now_us);
-        if !self.policy.pulls() {
+        self.homes[to].free_slot_reports[from] = (free, self.now_us);
+        if !self.policy.forwards_queued_requests() {
             return;
         }
         while let Some(request) = self.homes[to].queue.front().copied() {
-            if !self.pass_on(to, request) {
+            if !self.forward(to, request) {
                 return;
             }
             self.homes[to].queue.pop_front();
--- a/standins/src/trial/outcome.rs
+++ b/standins/src/trial/outcome.rs
@@ -14,7 +14,7 @@
     pub attempts: u64,
     pub retries: u64,
     pub hedges: u64,
-    pub passed: u64,
+    pub forwarded: u64,
     /// Attempts bound to a server whose slots were all taken, or that waited while another
     /// server had one free.
     pub misplaced: u64,
@@ -35,7 +35,7 @@
             attempts: 0,
             retries: 0,
             hedges: 0,
-            passed: 0,
+            forwarded: 0,
             misplaced: 0,
             recovery_ms: 0,
         }
@@ -45,7 +45,7 @@
 impl TrialOutcome {
     /// A latency quantile in milliseconds.
     #[must_use]
-    pub fn ms(&self, quantile: f64) -> f64 {
+    pub fn latency_quantile_ms(&self, quantile: f64) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "microseconds to print")]
         let us = self.latency_us.value_at_quantile(quantile) as f64;
         us / 1000.0
@@ -61,7 +61,7 @@
 
     /// The heading above lines.
     #[must_use]
-    pub fn heading() -> String {
+    pub fn table_header() -> String {
         format!(
             "{:<20} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8}",
             "policy",
@@ -79,17 +79,17 @@
 
     /// One line of a table.
     #[must_use]
-    pub fn line(&self, name: &str) -> String {
+    pub fn table_row(&self, name: &str) -> String {
         format!(
             "{name:<20} {:>8.1} {:>8.1} {:>8.1} {:>8} {:>8} {:>8.1} {:>8.1} {:>8.1} {:>8.1}",
-            self.ms(0.5),
-            self.ms(0.99),
-            self.ms(0.999),
+            self.latency_quantile_ms(0.5),
+            self.latency_quantile_ms(0.99),
+            self.latency_quantile_ms(0.999),
             self.answered,
             self.refused,
             self.per_thousand(self.retries),
             self.per_thousand(self.hedges),
-            self.per_thousand(self.passed),
+            self.per_thousand(self.forwarded),
             self.per_thousand(self.misplaced),
         )
     }
--- a/standins/src/trial/policy.rs
+++ b/standins/src/trial/policy.rs
@@ -38,25 +38,25 @@
 
     /// Whether requests wait at the home for a slot.
     #[must_use]
-    pub const fn binds_late(self) -> bool {
+    pub const fn queues_at_home(self) -> bool {
         !self.sprays() && !matches!(self, Self::HomesLeast)
     }
 
     /// Whether one place decides for all servers.
     #[must_use]
-    pub const fn single(self) -> bool {
+    pub const fn has_single_home(self) -> bool {
         matches!(self, Self::OneHome | Self::OneHomeHedge | Self::Oracle)
     }
 
     /// Whether homes pass requests on when they arrive.
     #[must_use]
-    pub const fn spills(self) -> bool {
+    pub const fn forwards_new_requests(self) -> bool {
         matches!(self, Self::KeepersSpill | Self::KeepersPull | Self::KeepersPullHedge)
     }
 
     /// Whether homes pass requests on that wait already.
     #[must_use]
-    pub const fn pulls(self) -> bool {
+    pub const fn forwards_queued_requests(self) -> bool {
         matches!(self, Self::KeepersPull | Self::KeepersPullHedge)
     }
 
--- a/standins/src/trial/scene.rs
+++ b/standins/src/trial/scene.rs
@@ -44,7 +44,7 @@
     /// Servers from this second on that are cold or leave: none.
     pub overload_s: Option<(u64, u64, f64)>,
     /// How often homes tell each other of free slots.
-    pub tell_us: u64,
+    pub report_interval_us: u64,
     pub mean_work_us: f64,
     pub seconds: u64,
     pub deadline_us: u64,
@@ -61,7 +61,7 @@
             slow_third: false,
             failing_server: false,
             overload_s: None,
-            tell_us: 5_000,
+            report_interval_us: 5_000,
             mean_work_us: 10_000.0,
             seconds: 30,
             deadline_us: 10_000_000,
--- a/standins/src/trial/world.rs
+++ b/standins/src/trial/world.rs
@@ -53,8 +53,8 @@
     pub queue: VecDeque<usize>,
     /// Requests whose first attempt takes too long; served before the queue.
     pub overdue: VecDeque<usize>,
-    pub told: Vec<(u32, u64)>,
-    pub turn: u64,
+    pub free_slot_reports: Vec<(u32, u64)>,
+    pub round_robin_turn: u64,
 }
 
 /// The servers of a scene.
@@ -65,8 +65,8 @@
             zone: at % ZONES,
             slots: slots as usize,
             fails: scene.failing_server && at == 0,
-            slow: Vec::new(),
-            working: Vec::new(),
+            slow_periods: Vec::new(),
+            running: Vec::new(),
             queue: VecDeque::new(),
         })
         .collect();
@@ -80,7 +80,7 @@
             order.swap(at, rng.random_range(0..=at));
         }
         for at in &order[..count / 3] {
-            servers[*at].slow.push((from, from + SLOW_US));
+            servers[*at].slow_periods.push((from, from + SLOW_US));
         }
     }
     servers
@@ -90,7 +90,7 @@
 pub fn homes_for(scene: &Scene, policy: Policy, servers: &[Server]) -> Vec<Home> {
     let count = match policy {
         _ if policy.sprays() => INSTANCES,
-        _ if policy.single() => 1,
+        _ if policy.has_single_home() => 1,
         _ => scene.homes,
     };
     let names: Vec<String> = (0..servers.len()).map(|at| format!("b{at}")).collect();
@@ -115,8 +115,8 @@
                 in_flight: vec![0; servers.len()],
                 queue: VecDeque::new(),
                 overdue: VecDeque::new(),
-                told: vec![(0, 0); count],
-                turn: at as u64,
+                free_slot_reports: vec![(0, 0); count],
+                round_robin_turn: at as u64,
             }
         })
         .collect()
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -6,9 +6,9 @@
 
 use standins::backend::BackendSettings;
 use standins::backend::body_for;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 use standins::caller::Call;
 use standins::caller::CallResult;
 use standins::caller::Caller;
@@ -21,7 +21,7 @@
 }
 
 /// Asserts that no id ran twice, and that the last answer to one that ran is not `not-run`.
-fn assert_at_most_once(bed: &Bed, answers_by_id: &HashMap<String, Vec<CallResult>>) {
+fn assert_at_most_once(bed: &TestBed, answers_by_id: &HashMap<String, Vec<CallResult>>) {
     let counts = bed.run_counts();
     for (id, answers) in answers_by_id {
         let runs = counts.get(id).copied().unwrap_or(0);
@@ -41,8 +41,8 @@
 /// runs once, and every copy gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeats_at_any_instance_get_the_first_answer() {
-    let bed = Bed::start(BedPlan { instances: 4, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan { instances: 4, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     let addresses = bed.caller_addresses();
     let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for number in 0..40 {
@@ -68,8 +68,8 @@
 /// that answer, too: otherwise a repeat learns that the order ran, but never gets the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_that_is_no_home_records_the_answer() {
-    let bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan { instances: 5, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     for (at, listed) in caller.addresses().await.into_iter().enumerate() {
         let id = format!("owner-{at}");
@@ -84,15 +84,15 @@
 /// if the answers of the store are lost after the calls took effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_keys_run_once_through_lost_answers_of_the_store() {
-    let bed = Bed::start(BedPlan::default()).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("orders").await;
     let addresses = bed.caller_addresses();
     let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
     for number in 0..30 {
         let id = format!("p-{number}");
         let caller = bed.caller("orders", number);
         if number % 3 == 0 {
-            bed.platform().switches.lose_answers.store(1, Ordering::Release);
+            bed.platform().switches.responses_to_drop.store(1, Ordering::Release);
         }
         let mut work = JoinSet::new();
         for address in addresses.iter().copied() {
@@ -111,8 +111,8 @@
 /// prefix do not need the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn with_the_store_down_plain_keys_are_unknown_and_bound_keys_run() {
-    let mut bed = Bed::start(BedPlan::default()).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let addresses = bed.caller_addresses();
     let first = caller.call_at(addresses[0], &order("ran").with_key("plain-ran")).await;
@@ -140,10 +140,10 @@
 /// that ran may get `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_owner_never_lets_a_key_run_elsewhere() {
-    let mut plan = BedPlan { instances: 4, backends: 4, ..BedPlan::default() };
+    let mut plan = TestBedPlan { instances: 4, backends: 4, ..TestBedPlan::default() };
     plan.backend = BackendSettings { work_us: 15_000, ..plan.backend };
-    let mut bed = Bed::start(plan).await;
-    bed.create("filings").await;
+    let mut bed = TestBed::start(plan).await;
+    bed.create_service("filings").await;
     let addresses = bed.caller_addresses();
     let caller = Caller::new("filings", "burnaby", &addresses);
     let listed = caller.addresses().await;
@@ -183,8 +183,8 @@
 /// instances must get the answers that it gave.
 #[tokio::test(flavor = "multi_thread")]
 async fn outcomes_survive_a_planned_stop() {
-    let mut bed = Bed::start(BedPlan { instances: 4, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan { instances: 4, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     let addresses = bed.caller_addresses();
     let caller = Caller::new("orders", "burnaby", &addresses);
     let listed = caller.addresses().await;
@@ -223,8 +223,8 @@
 /// after two hand-overs still gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn outcomes_survive_two_planned_stops_in_a_row() {
-    let mut bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan { instances: 5, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     let addresses = bed.caller_addresses();
     let caller = Caller::new("orders", "burnaby", &addresses);
     let listed = caller.addresses().await;
@@ -252,13 +252,13 @@
 /// another instance. It cannot know that and must not answer `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_without_the_service_never_reports_not_run_for_a_key() {
-    let bed = Bed::start(BedPlan::default()).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let (key, first) = caller.call_with_new_key(&order("known")).await;
     assert_eq!(first.outcome(), "ran");
     bed.operator(0).delete("orders", 1).await.expect("deleted");
-    until("it is gone", async || bed.boards().iter().all(|b| b.services().is_empty())).await;
+    wait_until("it is gone", async || bed.boards().iter().all(|b| b.services().is_empty())).await;
     let repeat = caller.call(&order("known").with_key(&key.expect("a key"))).await;
     assert_eq!((repeat.outcome(), repeat.code()), ("unknown", 2002));
     let plain = caller.call(&order("never")).await;
@@ -273,8 +273,8 @@
     use sorrelwick::peer::ForwardHead;
     use sorrelwick::peer::ForwardStage;
     use sorrelwick::peer::Links;
-    let bed = Bed::start(BedPlan::default()).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let listed = caller.addresses().await;
     let links = Links::new(&bed.boards()[0].settings.peers.secret);
@@ -309,16 +309,17 @@
 /// `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_older_than_its_record_is_unknown() {
-    let mut plan = BedPlan::default();
+    let mut plan = TestBedPlan::default();
     plan.outcomes.epoch_ms = 100;
     plan.outcomes.window_epochs = 6;
-    let bed = Bed::start(plan).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(plan).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let (key, first) = caller.call_with_new_key(&order("old")).await;
     assert_eq!(first.outcome(), "ran");
     let call = order("old").with_key(&key.expect("a key"));
-    until("the record is gone", async || bed.boards().iter().all(|b| b.outcomes.is_empty())).await;
+    wait_until("the record is gone", async || bed.boards().iter().all(|b| b.outcomes.is_empty()))
+        .await;
     let late = caller.call(&call).await;
     assert_eq!((late.outcome(), late.code()), ("unknown", 2006));
     assert_at_most_once(&bed, &HashMap::from([("old".to_owned(), vec![late])]));
@@ -328,10 +329,10 @@
 /// continues, and the repeat gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_disconnects_gets_its_answer_on_repeat() {
-    let mut plan = BedPlan::default();
+    let mut plan = TestBedPlan::default();
     plan.backend = BackendSettings { work_us: 30_000, ..plan.backend };
-    let bed = Bed::start(plan).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(plan).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let listed = caller.addresses().await;
     let mut answers_by_id: HashMap<String, Vec<CallResult>> = HashMap::new();
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -8,9 +8,9 @@
 use sorrelwick::catalog::Catalog;
 use sorrelwick::errors::Code;
 use sorrelwick::model::VersionedService;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 use uuid::Uuid;
 
 mod common;
@@ -59,14 +59,15 @@
 /// is a conflict.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_concurrent_edits_one_wins_and_the_other_conflicts() {
-    let bed = Bed::start(BedPlan::default()).await;
-    let mut service = bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    let mut service = bed.create_service("orders").await;
     let mut revision = 1;
     for round in 0..10 {
         let (mut one, mut two) = (service.clone(), service.clone());
         one.timeout_ms = 1_000 + round;
         two.timeout_ms = 2_000 + round;
-        let (first, second) = tokio::join!(bed.put(0, &one, revision), bed.put(1, &two, revision));
+        let (first, second) =
+            tokio::join!(bed.put_service(0, &one, revision), bed.put_service(1, &two, revision));
         let (accepted, refused, winner) = match (first, second) {
             (Ok(accepted), Err(refused)) => (accepted, refused, one),
             (Err(refused), Ok(accepted)) => (accepted, refused, two),
@@ -74,7 +75,7 @@
         };
         assert_eq!(refused.code, Code::Conflict);
         assert_eq!(accepted, revision + 1);
-        bed.until_in_force("orders", accepted).await;
+        bed.wait_until_applied("orders", accepted).await;
         for board in bed.boards() {
             let row = board.catalog.lock().get("orders").cloned().expect("in force");
             assert_eq!(row.service.as_ref(), Some(&winner));
@@ -87,16 +88,16 @@
 /// lost; the operator would repeat it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_with_a_lost_response_is_reported_as_accepted() {
-    let bed = Bed::start(BedPlan::default()).await;
-    let mut service = bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    let mut service = bed.create_service("orders").await;
     for round in 1..=5 {
         service.timeout_ms = 1_000 + round;
         // Other calls may lose their response instead, so each round loses two.
-        bed.platform().switches.lose_answers.store(2, Ordering::Release);
-        let committed = bed.put(0, &service, round.into()).await;
+        bed.platform().switches.responses_to_drop.store(2, Ordering::Release);
+        let committed = bed.put_service(0, &service, round.into()).await;
         assert_eq!(committed, Ok(u64::from(round) + 1));
     }
-    let took = bed.until_in_force("orders", 6).await;
+    let took = bed.wait_until_applied("orders", 6).await;
     assert!(took < PROPAGATION_MAX, "{took:?}");
 }
 
@@ -106,14 +107,14 @@
     use sorrelwick::catalog::Committer;
     use sorrelwick::catalog::Edit;
     use sorrelwick::store::AnyStore;
-    let bed = Bed::start(BedPlan { instances: 1, ..BedPlan::default() }).await;
+    let bed = TestBed::start(TestBedPlan { instances: 1, ..TestBedPlan::default() }).await;
     let settings = &bed.boards()[0].settings;
     let committer = Committer::new(AnyStore::open(settings.platform.as_ref()));
     for expected in 0..5 {
         let service = bed.service("resolved");
         // The only other writes, which may lose their response instead, are those of the instance's
         // shard.
-        bed.platform().switches.lose_answers.store(1, Ordering::Release);
+        bed.platform().switches.responses_to_drop.store(1, Ordering::Release);
         let edit = Edit::Put { service, expected };
         let row = committer.commit("resolved", &edit, Uuid::new_v4()).await.expect("resolved");
         assert_eq!(row.revision, expected + 1);
@@ -136,22 +137,25 @@
 /// Changes are accepted again once the store is back, and no revision goes back meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_outage_reverts_nothing_and_new_instances_sync_from_peers() {
-    let mut bed = Bed::start(BedPlan::default()).await;
-    let mut service = bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan::default()).await;
+    let mut service = bed.create_service("orders").await;
     service.timeout_ms = 1_234;
-    bed.put(0, &service, 1).await.expect("accepted");
-    bed.until_in_force("orders", 2).await;
+    bed.put_service(0, &service, 1).await.expect("accepted");
+    bed.wait_until_applied("orders", 2).await;
     bed.stop_platform();
-    let refused = bed.put(1, &service, 2).await.expect_err("the store is down");
+    let refused = bed.put_service(1, &service, 2).await.expect_err("the store is down");
     assert_eq!(refused.code, Code::StoreUnreachable);
     let seeds = bed.boards().iter().map(|board| board.settings.listen.peer).collect();
     bed.add_daemon_with(|settings| settings.peers.seeds = seeds).await;
-    let took = bed.until_in_force("orders", 2).await;
+    let took = bed.wait_until_applied("orders", 2).await;
     assert!(took < PROPAGATION_MAX, "{took:?}");
     bed.start_platform().await;
     service.timeout_ms = 4_321;
-    until("changes are accepted again", async || bed.put(3, &service, 2).await.is_ok()).await;
-    let took = bed.until_in_force("orders", 3).await;
+    wait_until("changes are accepted again", async || {
+        bed.put_service(3, &service, 2).await.is_ok()
+    })
+    .await;
+    let took = bed.wait_until_applied("orders", 3).await;
     assert!(took < PROPAGATION_MAX, "{took:?}");
 }
 
@@ -159,8 +163,8 @@
 /// and loses responses. An observer per instance checks every revision it sees.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_instance_ever_shows_a_lower_revision() {
-    let mut bed = Bed::start(BedPlan { instances: 5, ..BedPlan::default() }).await;
-    let mut service = bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan { instances: 5, ..TestBedPlan::default() }).await;
+    let mut service = bed.create_service("orders").await;
     let mut watching = tokio::task::JoinSet::new();
     for board in bed.boards() {
         watching.spawn(async move {
@@ -176,8 +180,8 @@
     let mut revision = 1;
     for round in 0..30_u32 {
         match round % 10 {
-            3 => bed.platform().switches.slow_ms.store(60, Ordering::Release),
-            5 => bed.platform().switches.lose_answers.store(3, Ordering::Release),
+            3 => bed.platform().switches.delay_ms.store(60, Ordering::Release),
+            5 => bed.platform().switches.responses_to_drop.store(3, Ordering::Release),
             7 => {
                 bed.stop_platform();
                 bed.start_platform().await;
@@ -186,21 +190,23 @@
         }
         service.timeout_ms = 1_000 + round;
         let at = round as usize % 5;
-        until("the change is accepted", async || match bed.put(at, &service, revision).await {
-            Ok(committed) => {
-                revision = committed;
-                true
-            }
-            // After an unknown commit, the next attempt conflicts with our own change.
-            Err(err) if err.code == Code::Conflict => {
-                revision += 1;
-                true
+        wait_until("the change is accepted", async || {
+            match bed.put_service(at, &service, revision).await {
+                Ok(committed) => {
+                    revision = committed;
+                    true
+                }
+                // After an unknown commit, the next attempt conflicts with our own change.
+                Err(err) if err.code == Code::Conflict => {
+                    revision += 1;
+                    true
+                }
+                Err(_) => false,
             }
-            Err(_) => false,
         })
         .await;
     }
-    bed.until_in_force("orders", revision).await;
+    bed.wait_until_applied("orders", revision).await;
     assert!(watching.try_join_next().is_none(), "an observer saw a revision go down");
 }
 
@@ -208,12 +214,12 @@
 /// which a new service of the same name is created.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_rows_do_not_restore_a_deleted_service() {
-    let bed = Bed::start(BedPlan::default()).await;
-    let mut service = bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    let mut service = bed.create_service("orders").await;
     let old = bed.boards()[0].catalog.lock().get("orders").cloned().expect("in force");
     let deleted = bed.operator(1).delete("orders", 1).await.expect("deleted");
     assert_eq!(deleted.revision, 2);
-    until("the service is gone everywhere", async || {
+    wait_until("the service is gone everywhere", async || {
         bed.boards().iter().all(|board| !board.services().contains_key("orders"))
     })
     .await;
@@ -222,6 +228,6 @@
         assert!(updated.is_empty(), "a late row restored the service");
     }
     service.timeout_ms = 777;
-    assert_eq!(bed.put(2, &service, 0).await, Ok(3));
-    bed.until_in_force("orders", 3).await;
+    assert_eq!(bed.put_service(2, &service, 0).await, Ok(3));
+    bed.wait_until_applied("orders", 3).await;
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use standins::backend::BackendSettings;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
 use standins::caller::Call;
 use standins::routed::CONFIG_KEY;
 use standins::routed::CrashRule;
@@ -333,9 +333,9 @@
         work_us: 20_000,
         ..BackendSettings::default()
     };
-    let plan = BedPlan { backends: 9, instances: 4, backend, ..BedPlan::default() };
-    let bed = Bed::start(plan).await;
-    bed.create("parts").await;
+    let plan = TestBedPlan { backends: 9, instances: 4, backend, ..TestBedPlan::default() };
+    let bed = TestBed::start(plan).await;
+    bed.create_service("parts").await;
     let caller = bed.caller("parts", 0);
     let addresses = bed.caller_addresses();
     for (kind, method) in ["GET", "POST", "POST"].into_iter().enumerate() {
@@ -370,7 +370,7 @@
     }
 }
 
-fn crashes(bed: &Bed) -> Vec<Instant> {
+fn crashes(bed: &TestBed) -> Vec<Instant> {
     let mut all: Vec<Instant> = bed.backends.iter().flat_map(|b| b.record.crashes()).collect();
     all.sort();
     all
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -226,7 +226,11 @@
         for load in [0.5, 0.8] {
             let scene = Scene { load, ..scene(size) };
             let (ours, oracle) = pair(&scene, Policy::KeepersPullHedge);
-            assert!(ours.ms(0.99) <= 1.05 * oracle.ms(0.99), "{size:?} {load}: {}", ours.line(""));
+            assert!(
+                ours.latency_quantile_ms(0.99) <= 1.05 * oracle.latency_quantile_ms(0.99),
+                "{size:?} {load}: {}",
+                ours.table_row("")
+            );
             assert_eq!(ours.refused, 0);
             assert!(ours.per_thousand(ours.hedges + ours.retries) <= 50.0);
         }
@@ -244,10 +248,19 @@
         let scene = Scene { slow_third: true, ..scene(size) };
         let (ours, oracle) = pair(&scene, Policy::KeepersPullHedge);
         let baseline_run = run_trial(&scene, Policy::SprayRoundRobin);
-        let line = format!("{size:?}: {}", ours.line(""));
-        assert!(ours.ms(0.99) <= of_baseline * baseline_run.ms(0.99), "{line}");
-        assert!(ours.ms(0.99) <= of_oracle * oracle.ms(0.99), "{line}");
-        assert!(ours.ms(0.999) <= 2.5 * oracle.ms(0.999), "{line}");
+        let line = format!("{size:?}: {}", ours.table_row(""));
+        assert!(
+            ours.latency_quantile_ms(0.99) <= of_baseline * baseline_run.latency_quantile_ms(0.99),
+            "{line}"
+        );
+        assert!(
+            ours.latency_quantile_ms(0.99) <= of_oracle * oracle.latency_quantile_ms(0.99),
+            "{line}"
+        );
+        assert!(
+            ours.latency_quantile_ms(0.999) <= 2.5 * oracle.latency_quantile_ms(0.999),
+            "{line}"
+        );
         assert!(ours.per_thousand(ours.hedges + ours.retries) <= 50.0, "{line}");
     }
 }
@@ -258,7 +271,11 @@
         let even = run_trial(&scene(size), Policy::KeepersPullHedge);
         let zones = [0.60, 0.25, 0.15];
         let uneven = run_trial(&Scene { zones, ..scene(size) }, Policy::KeepersPullHedge);
-        assert!(uneven.ms(0.99) <= 1.1 * even.ms(0.99), "{size:?}: {}", uneven.line(""));
+        assert!(
+            uneven.latency_quantile_ms(0.99) <= 1.1 * even.latency_quantile_ms(0.99),
+            "{size:?}: {}",
+            uneven.table_row("")
+        );
     }
 }
 
--- a/tests/leaving_server.rs
+++ b/tests/leaving_server.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use standins::backend::Backend;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 use standins::caller::Call;
 use standins::caller::Caller;
 use standins::platform::ListedMachine;
@@ -24,7 +24,7 @@
     }
 }
 
-fn start_background_load(bed: &Bed, service: &str) -> BackgroundLoad {
+fn start_background_load(bed: &TestBed, service: &str) -> BackgroundLoad {
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller(service, zone)).collect();
     BackgroundLoad(tokio::spawn(async move {
         for number in 0_usize.. {
@@ -43,14 +43,14 @@
 /// Waits until the draining server receives nothing while the others receive so many requests that
 /// its share would have been dozens. Returns the time from `since` to its last request.
 async fn time_to_last_request(
-    bed: &Bed,
+    bed: &TestBed,
     draining: &Backend,
     since: tokio::time::Instant,
 ) -> Duration {
     let runs = |backend: &Backend| backend.record.runs().len();
     let all = || bed.backends.iter().map(runs).sum::<usize>();
     let mut seen = (runs(draining), all());
-    until("the draining server receives no more requests", async || {
+    wait_until("the draining server receives no more requests", async || {
         if runs(draining) != seen.0 {
             seen = (runs(draining), all());
         }
@@ -64,10 +64,11 @@
 /// An operator drains a server through an instance that is not its keeper.
 #[tokio::test(flavor = "multi_thread")]
 async fn drained_by_operator() {
-    let bed = Bed::start(BedPlan::default()).await;
-    bed.create("catalogue").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("catalogue").await;
     let load = start_background_load(&bed, "catalogue");
-    until("the server receives requests", async || !bed.backends[0].record.runs().is_empty()).await;
+    wait_until("the server receives requests", async || !bed.backends[0].record.runs().is_empty())
+        .await;
     let since = tokio::time::Instant::now();
     bed.operator(2).set_drain("catalogue", "b0", true).await.expect("drained");
     let took = time_to_last_request(&bed, &bed.backends[0], since).await;
@@ -75,7 +76,7 @@
     println!("drained by operator: last new request after {took:?}");
     bed.operator(1).set_drain("catalogue", "b0", false).await.expect("undrained");
     let before = bed.backends[0].record.runs().len();
-    until("the server receives requests again", async || {
+    wait_until("the server receives requests again", async || {
         bed.backends[0].record.runs().len() > before
     })
     .await;
@@ -86,11 +87,12 @@
 /// announcement alone must suffice, and must last.
 #[tokio::test(flavor = "multi_thread")]
 async fn announced_draining_suffices_with_store_down() {
-    let mut bed = Bed::start(BedPlan::default()).await;
-    bed.create("catalogue").await;
+    let mut bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("catalogue").await;
     bed.stop_platform();
     let load = start_background_load(&bed, "catalogue");
-    until("the server receives requests", async || !bed.backends[1].record.runs().is_empty()).await;
+    wait_until("the server receives requests", async || !bed.backends[1].record.runs().is_empty())
+        .await;
     let since = tokio::time::Instant::now();
     bed.backends[1].behaviour.draining.store(true, Ordering::Release);
     let took = time_to_last_request(&bed, &bed.backends[1], since).await;
@@ -103,19 +105,19 @@
 /// that, but not while the server still announces draining.
 #[tokio::test(flavor = "multi_thread")]
 async fn probes_find_a_server_that_is_available_again() {
-    let bed = Bed::start(BedPlan::default()).await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
     let mut service = bed.service("catalogue");
     service.measuring_budget_per_s = 32;
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("catalogue", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("catalogue", revision).await;
     let load = start_background_load(&bed, "catalogue");
     let backend = &bed.backends[2];
-    until("the server receives requests", async || !backend.record.runs().is_empty()).await;
+    wait_until("the server receives requests", async || !backend.record.runs().is_empty()).await;
     backend.behaviour.draining.store(true, Ordering::Release);
     time_to_last_request(&bed, backend, tokio::time::Instant::now()).await;
     let probed = backend.record.probe_times().len();
     let before = backend.record.runs().len();
-    until("the server is probed while it drains", async || {
+    wait_until("the server is probed while it drains", async || {
         backend.record.probe_times().len() > probed + 1
     })
     .await;
@@ -125,7 +127,7 @@
         "the server received requests although its probes report draining"
     );
     backend.behaviour.draining.store(false, Ordering::Release);
-    until("the server receives requests again", async || backend.record.runs().len() > before)
+    wait_until("the server receives requests again", async || backend.record.runs().len() > before)
         .await;
     drop(load);
 }
@@ -133,11 +135,11 @@
 /// The platform's list marks a server as leaving. The list lags, but suffices.
 #[tokio::test(flavor = "multi_thread")]
 async fn listed_as_leaving() {
-    let bed = Bed::start(BedPlan::default()).await;
-    bed.create("catalogue").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("catalogue").await;
     let load = start_background_load(&bed, "catalogue");
     let backend = &bed.backends[3];
-    until("the server receives requests", async || !backend.record.runs().is_empty()).await;
+    wait_until("the server receives requests", async || !backend.record.runs().is_empty()).await;
     let since = tokio::time::Instant::now();
     let listed = |leaving| ListedMachine {
         id: "b3".into(),
@@ -152,7 +154,7 @@
     println!("listed as leaving: last new request after {took:?}");
     let before = backend.record.runs().len();
     bed.state.set_list("backend-servers", vec![listed(false)]);
-    until("the server receives requests again", async || backend.record.runs().len() > before)
+    wait_until("the server receives requests again", async || backend.record.runs().len() > before)
         .await;
     drop(load);
 }
--- a/tests/listeners.rs
+++ b/tests/listeners.rs
@@ -9,8 +9,8 @@
 use sorrelwick::peer::PeerClient;
 use sorrelwick::peer::PeerError;
 use sorrelwick::peer::PeerRequest;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -29,13 +29,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_of_callers_get_result_codes() {
-    let mut plan = BedPlan { instances: 1, ..BedPlan::default() };
+    let mut plan = TestBedPlan { instances: 1, ..TestBedPlan::default() };
     plan.requests.body_limit_bytes = 1_000;
-    let bed = Bed::start(plan).await;
+    let bed = TestBed::start(plan).await;
     let mut service = bed.service("orders");
     service.kinds[1].key_required = true;
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("orders", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("orders", revision).await;
     let address = bed.caller_addresses()[0];
     let long = "k".repeat(201);
     let post = |fields: &str| get_request(fields).replacen("GET", "POST", 1);
@@ -77,12 +77,12 @@
             let _ = stream.write_all(answer.as_bytes()).await;
         }
     });
-    let bed = Bed::start(BedPlan { instances: 1, ..BedPlan::default() }).await;
+    let bed = TestBed::start(TestBedPlan { instances: 1, ..TestBedPlan::default() }).await;
     let mut service = bed.service("orders");
     service.backend_servers.truncate(1);
     service.backend_servers[0].address = backend;
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("orders", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("orders", revision).await;
     let request = get_request("sorrelwick-outcome: not-run\r\nte: trailers\r\nx-caller: 1\r\n");
     let answer = send_raw(bed.caller_addresses()[0], &request).await;
     assert!(
@@ -99,7 +99,7 @@
 /// no response, and each attempt must be counted.
 #[tokio::test(flavor = "multi_thread")]
 async fn unauthenticated_peers_get_no_response() {
-    let bed = Bed::start(BedPlan { instances: 2, ..BedPlan::default() }).await;
+    let bed = TestBed::start(TestBedPlan { instances: 2, ..TestBedPlan::default() }).await;
     let board = &bed.boards()[0];
     let address = board.settings.listen.peer;
     let unauthenticated = Links::new("another secret of enough characters");
@@ -113,14 +113,14 @@
     .await;
     assert!(seen.chars().count() <= 32, "a nonce at most: {seen:?}");
     let refused = sorrelwick::board::Counter::PeersRefused;
-    standins::bed::until("both are counted", async || board.counters.get(refused) >= 2).await;
+    standins::bed::wait_until("both are counted", async || board.counters.get(refused) >= 2).await;
     let peer = Links::new(&board.settings.peers.secret);
     assert!(peer.call(address, &fetch, Duration::from_secs(3)).await.is_ok());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_need_the_token_and_valid_declarations() {
-    let mut bed = Bed::start(BedPlan { instances: 0, ..BedPlan::default() }).await;
+    let mut bed = TestBed::start(TestBedPlan { instances: 0, ..TestBedPlan::default() }).await;
     let at = bed.add_daemon_with(|s| s.operators.token = "a token of sixteen or more".into()).await;
     let address = bed.daemon(at).board().settings.listen.operator.to_string();
     for token in ["", "a wrong token of some length"] {
@@ -153,8 +153,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_status_listener_serves_health_readiness_and_metrics() {
-    let mut bed = Bed::start(BedPlan { instances: 1, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan { instances: 1, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     let board = std::sync::Arc::clone(&bed.boards()[0]);
     send_raw(bed.caller_addresses()[0], &get_request("x-request-id: m\r\n")).await;
     let page = |path: &str| format!("GET {path} HTTP/1.1\r\nhost: s\r\nconnection: close\r\n\r\n");
@@ -167,7 +167,7 @@
         "{metrics}"
     );
     let stopping = tokio::spawn(bed.daemons[0].take().expect("runs").stop());
-    standins::bed::until("the instance reports not ready", async || {
+    standins::bed::wait_until("the instance reports not ready", async || {
         send_raw(status, &page("/ready")).await.contains("503")
     })
     .await;
--- a/tests/measuring_budget.rs
+++ b/tests/measuring_budget.rs
@@ -7,9 +7,9 @@
 use sorrelwick::measure::TokenBuckets;
 use sorrelwick::measure::tokens_of_shard;
 use sorrelwick::model::Preference;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 
 mod common;
 
@@ -111,20 +111,20 @@
     assert!(buckets.try_take("orders", 13_300).is_some());
 }
 
-fn probe_times_ms(bed: &Bed, start: tokio::time::Instant) -> Vec<u64> {
+fn probe_times_ms(bed: &TestBed, start: tokio::time::Instant) -> Vec<u64> {
     let times = bed.backends.iter().flat_map(|backend| backend.record.probe_times());
     times.map(|at| u64::try_from((at - start).as_millis()).unwrap_or(u64::MAX)).collect()
 }
 
-async fn bed_with_budget(budget: u32) -> Bed {
-    let mut plan = BedPlan { instances: 5, ..BedPlan::default() };
+async fn bed_with_budget(budget: u32) -> TestBed {
+    let mut plan = TestBedPlan { instances: 5, ..TestBedPlan::default() };
     plan.measuring.shards = 8;
-    let bed = Bed::start(plan).await;
+    let bed = TestBed::start(plan).await;
     let mut service = bed.service("orders");
     service.measuring_budget_per_s = budget;
     service.preference = Preference::Tail;
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("orders", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("orders", revision).await;
     bed
 }
 
@@ -135,17 +135,17 @@
     const BUDGET: u32 = 6;
     let start = tokio::time::Instant::now();
     let mut bed = bed_with_budget(BUDGET).await;
-    until("probes are sent", async || probe_times_ms(&bed, start).len() > 8).await;
+    wait_until("probes are sent", async || probe_times_ms(&bed, start).len() > 8).await;
     bed.kill(1);
     bed.add_daemon().await;
     let seen = probe_times_ms(&bed, start).len();
-    until("probes go on", async || probe_times_ms(&bed, start).len() > seen + 8).await;
+    wait_until("probes go on", async || probe_times_ms(&bed, start).len() > seen + 8).await;
     bed.stop_platform();
     // The shards end with their leases, and the probes with the shards.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let seen = probe_times_ms(&bed, start).len();
     bed.start_platform().await;
-    until("probes go on again", async || probe_times_ms(&bed, start).len() > seen + 8).await;
+    wait_until("probes go on again", async || probe_times_ms(&bed, start).len() > seen + 8).await;
     let most = max_in_any_second(probe_times_ms(&bed, start));
     println!(
         "budget {BUDGET}, most in a second {most}, in all {}",
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -10,9 +10,9 @@
 use sorrelwick::member::MemberRow;
 use sorrelwick::member::MemberState;
 use sorrelwick::member::MemberTable;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 use standins::routed::member_row;
 
 mod common;
@@ -163,12 +163,13 @@
 /// a live instance dead on the way.
 #[tokio::test(flavor = "multi_thread")]
 async fn nineteen_instances_notice_who_dies_and_who_comes() {
-    let mut bed = Bed::start(BedPlan { instances: 19, backends: 1, ..BedPlan::default() }).await;
+    let mut bed =
+        TestBed::start(TestBedPlan { instances: 19, backends: 1, ..TestBedPlan::default() }).await;
     bed.kill(7);
-    bed.until_joined().await;
+    bed.wait_until_joined().await;
     bed.add_daemon().await;
     bed.add_daemon().await;
-    bed.until_joined().await;
+    bed.wait_until_joined().await;
     let lost = |board: &Arc<Blackboard>| board.counters.get(Counter::MembersLost);
     for board in bed.boards().iter().filter(|board| lost(board) > 1) {
         // Print which members were declared dead, and their changes before and after.
@@ -182,7 +183,8 @@
 /// and the platform's list is empty, then both hear of one common instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_groups_merge() {
-    let mut bed = Bed::start(BedPlan { instances: 2, backends: 1, ..BedPlan::default() }).await;
+    let mut bed =
+        TestBed::start(TestBedPlan { instances: 2, backends: 1, ..TestBedPlan::default() }).await;
     let first = bed.boards()[0].settings.listen.peer;
     bed.stop_platform();
     bed.state.set_list("sorrelwick", Vec::new());
@@ -193,7 +195,7 @@
         settings.peers.seeds = vec![first, alone];
     })
     .await;
-    until("all four know each other", async || {
+    wait_until("all four know each other", async || {
         bed.boards().iter().all(|board| board.members_view().running_count() == 4)
     })
     .await;
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use standins::backend::BackendSettings;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
 use standins::caller::Call;
 use standins::caller::CallResult;
 use standins::caller::Caller;
 use tokio::task::JoinSet;
 
 /// Asserts that no backend server ran a request answered `not-run`; returns how many there were.
-fn assert_not_run(bed: &Bed, results: &[(String, CallResult)]) -> usize {
+fn assert_not_run(bed: &TestBed, results: &[(String, CallResult)]) -> usize {
     let counts = bed.run_counts();
     let not_run = results.iter().filter(|(_, result)| result.outcome() == "not-run");
     let mut checked = 0;
@@ -43,11 +43,11 @@
 /// first byte is sent: a server must not have run an order that is answered `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_and_late_requests_were_not_run() {
-    let mut plan = BedPlan { backends: 2, ..BedPlan::default() };
+    let mut plan = TestBedPlan { backends: 2, ..TestBedPlan::default() };
     plan.backend = BackendSettings { work_us: 20_000, ..plan.backend };
     plan.requests.queue_max = 20;
-    let bed = Bed::start(plan).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(plan).await;
+    bed.create_service("orders").await;
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
     let mut results = Vec::new();
     for (turn, timeout_ms) in [5, 20, 40, 80, 3_000].into_iter().enumerate() {
@@ -71,8 +71,8 @@
 /// All backend servers are down. Every order must be answered `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn with_no_server_to_connect_to_nothing_runs() {
-    let mut bed = Bed::start(BedPlan { backends: 2, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan { backends: 2, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let kept = bed.backends.split_off(0);
     let records: Vec<_> = kept.iter().map(|b| std::sync::Arc::clone(&b.record)).collect();
@@ -88,16 +88,16 @@
 /// and the order may run once at another server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_declared_refusal_is_retried_and_reported_as_not_run() {
-    let mut plan = BedPlan { backends: 3, instances: 1, ..BedPlan::default() };
+    let mut plan = TestBedPlan { backends: 3, instances: 1, ..TestBedPlan::default() };
     plan.backend = BackendSettings { slots: 1, work_us: 5_000, ..plan.backend };
-    let bed = Bed::start(plan).await;
+    let bed = TestBed::start(plan).await;
     let mut service = bed.service("orders");
     for server in &mut service.backend_servers {
         // More slots are declared than the servers have, so that they reject requests.
         server.slots = 3;
     }
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("orders", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("orders", revision).await;
     for backend in &bed.backends {
         backend.behaviour.shedding.store(true, Ordering::Release);
     }
@@ -114,8 +114,8 @@
 /// and the order must not be retried.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_is_unknown_and_not_repeated() {
-    let bed = Bed::start(BedPlan { backends: 3, ..BedPlan::default() }).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(TestBedPlan { backends: 3, ..TestBedPlan::default() }).await;
+    bed.create_service("orders").await;
     for backend in &bed.backends {
         backend.behaviour.responses_to_drop.store(100, Ordering::Release);
     }
@@ -134,16 +134,16 @@
 /// it. The last attempt did not run, but the first one did, so the answer must not be `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_retry_does_not_hide_an_attempt_that_may_have_run() {
-    let mut plan = BedPlan { backends: 2, instances: 1, ..BedPlan::default() };
+    let mut plan = TestBedPlan { backends: 2, instances: 1, ..TestBedPlan::default() };
     plan.backend = BackendSettings { slots: 1, work_us: 3_000, ..plan.backend };
-    let bed = Bed::start(plan).await;
+    let bed = TestBed::start(plan).await;
     let mut service = bed.service("lookups");
     for server in &mut service.backend_servers {
         // More slots are declared than there are, so that the second server rejects requests.
         server.slots = 4;
     }
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("lookups", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("lookups", revision).await;
     bed.backends[0].behaviour.responses_to_drop.store(1_000, Ordering::Release);
     bed.backends[1].behaviour.shedding.store(true, Ordering::Release);
     bed.backends[1].behaviour.slow_factor.store(50, Ordering::Release);
@@ -159,10 +159,10 @@
 /// and no slot is leaked.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelling_around_dispatch_runs_nothing_twice_and_leaks_no_slot() {
-    let mut plan = BedPlan { backends: 1, instances: 1, ..BedPlan::default() };
+    let mut plan = TestBedPlan { backends: 1, instances: 1, ..TestBedPlan::default() };
     plan.backend = BackendSettings { slots: 2, work_us: 3_000, ..plan.backend };
-    let bed = Bed::start(plan).await;
-    bed.create("orders").await;
+    let bed = TestBed::start(plan).await;
+    bed.create_service("orders").await;
     for turn in 0..40 {
         let caller = bed.caller("orders", 0);
         let call = Call {
@@ -175,7 +175,7 @@
     assert_eq!(result.outcome(), "ran");
     let board = &bed.boards()[0];
     let state = board.services().get("orders").cloned().expect("in force");
-    standins::bed::until("all slots are back", async || {
+    standins::bed::wait_until("all slots are back", async || {
         state.runtime.slot_queue.free_slots_and_waiting() == (2, 0)
     })
     .await;
@@ -186,8 +186,9 @@
 /// the lookup must not wait until its deadline for another server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failed_lookup_on_the_only_server_is_answered_at_once() {
-    let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
-    bed.create("lookups").await;
+    let bed =
+        TestBed::start(TestBedPlan { backends: 1, instances: 1, ..TestBedPlan::default() }).await;
+    bed.create_service("lookups").await;
     let caller = bed.caller("lookups", 0);
     bed.backends[0].behaviour.responses_to_drop.store(1, Ordering::Release);
     let since = std::time::Instant::now();
@@ -200,8 +201,9 @@
 /// precedence over the `host` header.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_absolute_target_names_the_service_by_its_own_host() {
-    let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
-    bed.create("lookups").await;
+    let bed =
+        TestBed::start(TestBedPlan { backends: 1, instances: 1, ..TestBedPlan::default() }).await;
+    bed.create_service("lookups").await;
     let to = bed.caller_addresses()[0];
     let line = "GET http://lookups/part?work_us=100";
     let answer = standins::routed::raw_call(to, line, &[("host", "other")], &[]).await;
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use standins::backend::BackendSettings;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
 use standins::caller::Call;
 use standins::caller::CallResult;
 use standins::caller::Caller;
@@ -14,7 +14,7 @@
 
 /// Sends requests at a steady rate from callers that use each address list as long as they may;
 /// returns every result that is not a complete answer.
-fn spawn_steady_load(bed: &Bed, service: &str, requests: usize) -> JoinHandle<Vec<CallResult>> {
+fn spawn_steady_load(bed: &TestBed, service: &str, requests: usize) -> JoinHandle<Vec<CallResult>> {
     let callers: Vec<Caller> = (0..6).map(|at| bed.caller(service, at)).collect();
     tokio::spawn(async move {
         let mut work = JoinSet::new();
@@ -32,17 +32,17 @@
     })
 }
 
-fn plan(instances: usize) -> BedPlan {
+fn plan(instances: usize) -> TestBedPlan {
     let backend = BackendSettings { work_us: 5_000, ..BackendSettings::default() };
-    BedPlan { instances, backend, ..BedPlan::default() }
+    TestBedPlan { instances, backend, ..TestBedPlan::default() }
 }
 
 /// Two instances stop at the same time and then a third, while callers still use the addresses that
 /// they fetched before. Every request gets its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn stopping_instances_cuts_off_and_refuses_nothing() {
-    let mut bed = Bed::start(plan(5)).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(plan(5)).await;
+    bed.create_service("orders").await;
     let load = spawn_steady_load(&bed, "orders", 1_500);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let first = bed.daemons[0].take().expect("runs");
@@ -57,12 +57,12 @@
 /// A backend server is drained, finishes its requests, and is then shut down. No request is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_and_stopping_a_backend_server_loses_nothing() {
-    let mut bed = Bed::start(plan(3)).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(plan(3)).await;
+    bed.create_service("orders").await;
     let load = spawn_steady_load(&bed, "orders", 800);
     tokio::time::sleep(Duration::from_millis(300)).await;
     bed.operator(1).set_drain("orders", "b0", true).await.expect("drained");
-    bed.until_in_force("orders", 2).await;
+    bed.wait_until_applied("orders", 2).await;
     let record = std::sync::Arc::clone(&bed.backends[0].record);
     // Its requests take far less than this; it may be shut down only after they have finished.
     tokio::time::sleep(Duration::from_millis(700)).await;
@@ -76,8 +76,8 @@
 /// The platform restarts under load, and an instance stops while the platform is down.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_of_the_platform_and_a_stop_in_the_middle_of_it_lose_nothing() {
-    let mut bed = Bed::start(plan(4)).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(plan(4)).await;
+    bed.create_service("orders").await;
     let load = spawn_steady_load(&bed, "orders", 1_000);
     tokio::time::sleep(Duration::from_millis(200)).await;
     bed.stop_platform();
@@ -92,8 +92,8 @@
 /// address. Its answer must still arrive complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_outlives_the_address_lifetime_is_finished() {
-    let mut bed = Bed::start(plan(3)).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(plan(3)).await;
+    bed.create_service("orders").await;
     for method in ["GET", "POST"] {
         let at = bed.daemons.iter().position(Option::is_some).expect("one runs");
         let address = bed.daemon(at).board().settings.listen.caller;
@@ -103,7 +103,7 @@
             ..Call::get("/x?bytes=300&work_us=1500000", &format!("long-{method}"))
         };
         let long = tokio::spawn(async move { caller.call_at(address, &call).await });
-        standins::bed::until("it is at a server", async || {
+        standins::bed::wait_until("it is at a server", async || {
             bed.run_counts().contains_key(&format!("long-{method}"))
         })
         .await;
@@ -117,8 +117,8 @@
 /// must finish, and its outcome must be handed over, because the caller repeats the order.
 #[tokio::test(flavor = "multi_thread")]
 async fn work_of_a_disconnected_caller_is_finished_before_the_stop() {
-    let mut bed = Bed::start(plan(4)).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(plan(4)).await;
+    bed.create_service("orders").await;
     let caller = bed.caller("orders", 0);
     let listed = caller.addresses().await;
     let owner = listed[0].address;
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use sorrelwick::operator::service_to_wire;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::Fleet;
-use standins::bed::until;
+use standins::bed::ProcessFleet;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 use standins::caller::Call;
 use standins::caller::CallResult;
 use standins::caller::Caller;
@@ -18,7 +18,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sorrelwickd");
 const BODY_BYTES: usize = 100;
 
-fn assert_no_double_runs(bed: &Bed, replies: &HashMap<String, Vec<CallResult>>) {
+fn assert_no_double_runs(bed: &TestBed, replies: &HashMap<String, Vec<CallResult>>) {
     let counts = bed.run_counts();
     for (id, answers) in replies {
         let runs = counts.get(id).copied().unwrap_or(0);
@@ -30,12 +30,12 @@
 
 /// Sends orders whose keys are owned by the instance at `at`, and repeats each at all others.
 async fn send_and_repeat_orders(
-    fleet: &Fleet,
+    fleet: &ProcessFleet,
     at: usize,
     name: &str,
     count: usize,
 ) -> HashMap<String, Vec<CallResult>> {
-    let addresses = fleet.callers();
+    let addresses = fleet.caller_addresses();
     let caller = Caller::new("orders", "burnaby", &addresses);
     let named = caller.addresses().await;
     let target = addresses[at];
@@ -65,8 +65,8 @@
 /// repeat the requests at the other instances: none may run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_kill_during_a_store_outage_runs_no_request_twice() {
-    let mut fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
-    fleet.create(&fleet.bed.service("orders")).await;
+    let mut fleet = ProcessFleet::start(Path::new(PROGRAM), TestBedPlan::default(), 4).await;
+    fleet.create_service(&fleet.bed.service("orders")).await;
     let replies = {
         let sending = send_and_repeat_orders(&fleet, 1, "k", 60);
         tokio::pin!(sending);
@@ -79,8 +79,8 @@
     assert_no_double_runs(&fleet.bed, &replies);
     let cut = replies.values().filter(|answers| answers[0].outcome() != "ran").count();
     assert!(cut > 0, "the kill must hit orders, or it shows nothing");
-    until("the others notice", async || fleet.alive_seen_by(0).await == 3).await;
-    assert!(fleet.daemons[1].exited().is_some());
+    wait_until("the others notice", async || fleet.alive_count_at(0).await == 3).await;
+    assert!(fleet.daemons[1].exit_code().is_some());
 }
 
 /// An instance is frozen until the others declare it dead, and then resumes. Its requests are
@@ -88,19 +88,19 @@
 /// serve requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_frozen_until_declared_dead_runs_no_request_twice_and_rejoins() {
-    let fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
-    fleet.create(&fleet.bed.service("orders")).await;
+    let fleet = ProcessFleet::start(Path::new(PROGRAM), TestBedPlan::default(), 4).await;
+    fleet.create_service(&fleet.bed.service("orders")).await;
     let sending = send_and_repeat_orders(&fleet, 2, "z", 40);
     tokio::pin!(sending);
     let early = tokio::time::timeout(Duration::from_millis(40), &mut sending).await;
     assert!(early.is_err(), "the freeze must come in the middle");
     fleet.daemons[2].freeze();
-    until("the others declare it dead", async || fleet.alive_seen_by(0).await == 3).await;
-    fleet.daemons[2].thaw();
+    wait_until("the others declare it dead", async || fleet.alive_count_at(0).await == 3).await;
+    fleet.daemons[2].resume();
     let replies = sending.await;
     assert_no_double_runs(&fleet.bed, &replies);
-    until("it is alive again", async || {
-        fleet.alive_seen_by(0).await == 4 && fleet.alive_seen_by(2).await == 4
+    wait_until("it is alive again", async || {
+        fleet.alive_count_at(0).await == 4 && fleet.alive_count_at(2).await == 4
     })
     .await;
     let replies = send_and_repeat_orders(&fleet, 2, "after", 10).await;
@@ -113,11 +113,11 @@
 /// exit with code 0 and cut off no request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_stop_signal_cuts_off_no_request() {
-    let mut fleet = Fleet::start(Path::new(PROGRAM), BedPlan::default(), 4).await;
-    fleet.create(&fleet.bed.service("orders")).await;
+    let mut fleet = ProcessFleet::start(Path::new(PROGRAM), TestBedPlan::default(), 4).await;
+    fleet.create_service(&fleet.bed.service("orders")).await;
     let callers: Vec<Caller> = ["burnaby", "surrey", "richmond"]
         .iter()
-        .map(|zone| Caller::new("orders", zone, &fleet.callers()))
+        .map(|zone| Caller::new("orders", zone, &fleet.caller_addresses()))
         .collect();
     let load = tokio::spawn(async move {
         let mut work = JoinSet::new();
@@ -133,8 +133,8 @@
     fleet.daemons[0].terminate();
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.daemons[0].terminate();
-    until("it has ended", async || fleet.daemons[0].exited().is_some()).await;
-    assert_eq!(fleet.daemons[0].exited(), Some(0));
+    wait_until("it has ended", async || fleet.daemons[0].exit_code().is_some()).await;
+    assert_eq!(fleet.daemons[0].exit_code(), Some(0));
     let replies = load.await.expect("the load ran");
     let faults: Vec<&CallResult> =
         replies.iter().filter(|result| result.outcome() != "ran").collect();
@@ -147,9 +147,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resumed_process_does_not_burst_probes() {
     const BUDGET: u32 = 8;
-    let mut plan = BedPlan::default();
+    let mut plan = TestBedPlan::default();
     plan.measuring.shards = 4;
-    let fleet = Fleet::start(Path::new(PROGRAM), plan, 3).await;
+    let fleet = ProcessFleet::start(Path::new(PROGRAM), plan, 3).await;
     let mut service = fleet.bed.service("orders");
     service.measuring_budget_per_s = BUDGET;
     fleet.operator(0).put(&service_to_wire(&service), 0).await.expect("accepted");
@@ -157,16 +157,16 @@
         let backends = fleet.bed.backends.iter();
         backends.flat_map(|backend| backend.record.probe_times()).collect::<Vec<_>>()
     };
-    until("probes are sent", async || seen().len() > 10).await;
+    wait_until("probes are sent", async || seen().len() > 10).await;
     for daemon in &fleet.daemons {
         daemon.freeze();
     }
     tokio::time::sleep(Duration::from_secs(10)).await;
     let before = seen().len();
     for daemon in &fleet.daemons {
-        daemon.thaw();
+        daemon.resume();
     }
-    until("probes go on", async || seen().len() > before + 16).await;
+    wait_until("probes go on", async || seen().len() > before + 16).await;
     let mut at = seen();
     at.sort_unstable();
     let second = Duration::from_secs(1);
--- a/tests/server_cooldowns.rs
+++ b/tests/server_cooldowns.rs
@@ -9,9 +9,9 @@
 use sorrelwick::balance::server_key;
 use sorrelwick::model::ServerRow;
 use sorrelwick::task::TaskGuard;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 use standins::caller::Call;
 use standins::routed::Behaviour;
 use standins::routed::CONFIG_KEY;
@@ -121,8 +121,8 @@
 /// once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_declared_server_in_cooldown_gets_no_requests_until_it_is_over() {
-    let bed = Bed::start(BedPlan { backends: 2, ..BedPlan::default() }).await;
-    bed.create("catalogue").await;
+    let bed = TestBed::start(TestBedPlan { backends: 2, ..TestBedPlan::default() }).await;
+    bed.create_service("catalogue").await;
     let busy = &bed.backends[0];
     let caller = bed.caller("catalogue", 0);
     let cooldown_s = u32::try_from(COOLDOWN.as_secs()).expect("some seconds");
@@ -133,7 +133,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     });
-    until("it is used", async || !busy.record.rejection_times().is_empty()).await;
+    wait_until("it is used", async || !busy.record.rejection_times().is_empty()).await;
     let asked_at = busy.record.rejection_times()[0];
     tokio::time::sleep_until(asked_at + COOLDOWN).await;
     let turned_away = busy.record.rejection_times();
@@ -142,6 +142,6 @@
     assert!(arrived <= TOLERATED, "{arrived} in {COOLDOWN:?} of cooldown");
     busy.behaviour.retry_after_s.store(0, Ordering::Release);
     let before = busy.record.runs().len();
-    until("it is used again", async || busy.record.runs().len() > before).await;
+    wait_until("it is used again", async || busy.record.runs().len() > before).await;
     calls.abort();
 }
--- a/tests/tool.rs
+++ b/tests/tool.rs
@@ -4,9 +4,9 @@
 use std::process::Command;
 use std::process::Output;
 
-use standins::bed::Bed;
-use standins::bed::BedPlan;
-use standins::bed::until;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
+use standins::bed::wait_until;
 
 const TOOL: &str = env!("CARGO_BIN_EXE_sorrelwick");
 const DAEMON: &str = env!("CARGO_BIN_EXE_sorrelwickd");
@@ -36,7 +36,7 @@
 /// Two services are planned, applied, updated at a stale revision, which must conflict, and pruned.
 #[tokio::test(flavor = "multi_thread")]
 async fn plan_and_apply_commit_declarations_and_report_conflicts() {
-    let bed = Bed::start(BedPlan::default()).await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
     let operator = bed.daemon(0).board().settings.listen.operator.to_string();
     let dir = tempfile::tempdir().expect("a directory");
     let path = dir.path().to_str().expect("a path");
@@ -83,17 +83,17 @@
 /// `status` and `timeline` query every instance, and a killed instance is shown as dead.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_and_timeline_cover_all_instances() {
-    let mut bed = Bed::start(BedPlan::default()).await;
-    bed.create("orders").await;
+    let mut bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("orders").await;
     let operator = bed.daemon(0).board().settings.listen.operator.to_string();
     let status = run(TOOL, &["--address", &operator, "status"]).await;
     let text = stdout_text(&status);
     assert_eq!(text.matches("orders@1").count(), 3, "{text}");
     assert!(text.contains("i2") && text.contains("richmond"));
     bed.operator(0).set_drain("orders", "b0", true).await.expect("drained");
-    bed.until_in_force("orders", 2).await;
+    bed.wait_until_applied("orders", 2).await;
     bed.kill(2);
-    until("the dead instance is on the timeline", async || {
+    wait_until("the dead instance is on the timeline", async || {
         let events = run(TOOL, &["--address", &operator, "timeline"]).await;
         stdout_text(&events).lines().any(|line| line.contains("i2") && line.ends_with("dead"))
     })
--- a/tests/whole_answer.rs
+++ b/tests/whole_answer.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use standins::backend::BackendSettings;
 use standins::backend::body_for;
-use standins::bed::Bed;
-use standins::bed::BedPlan;
+use standins::bed::TestBed;
+use standins::bed::TestBedPlan;
 use standins::caller::Call;
 use standins::caller::CallResult;
 use standins::caller::Caller;
@@ -19,8 +19,8 @@
 /// connections break midway and one server is slow.
 #[tokio::test(flavor = "multi_thread")]
 async fn responses_are_complete_and_reach_their_callers() {
-    let bed = Bed::start(BedPlan::default()).await;
-    bed.create("catalogue").await;
+    let bed = TestBed::start(TestBedPlan::default()).await;
+    bed.create_service("catalogue").await;
     bed.backends[0].behaviour.bodies_to_truncate.store(30, Ordering::Release);
     bed.backends[1].behaviour.responses_to_drop.store(30, Ordering::Release);
     bed.backends[2].behaviour.slow_factor.store(20, Ordering::Release);
@@ -35,21 +35,21 @@
     // A busy machine may not sustain this rate and may refuse requests, but must mix up none.
     let summary = run_load(&crowd, &callers).await;
     assert_eq!(summary.calls(), crowd.requests);
-    assert_eq!(summary.wrong, 0, "a response was truncated or reached the wrong caller");
+    assert_eq!(summary.mismatched, 0, "a response was truncated or reached the wrong caller");
     // At a rate that any machine sustains, nearly all requests succeed.
     let calm = LoadPlan { requests: 600, rate_per_s: 60.0, ..crowd };
     let summary = run_load(&calm, &callers).await;
     assert_eq!(summary.calls(), calm.requests);
-    assert_eq!(summary.wrong, 0, "a response was truncated or reached the wrong caller");
-    assert!(summary.right >= calm.requests * 9 / 10, "right: {}", summary.right);
+    assert_eq!(summary.mismatched, 0, "a response was truncated or reached the wrong caller");
+    assert!(summary.correct >= calm.requests * 9 / 10, "right: {}", summary.correct);
 }
 
 /// Guards against a truncated large response looking complete to the caller, as happens if a proxy
 /// ends its own chunked response normally when the response that it forwards breaks.
 #[tokio::test(flavor = "multi_thread")]
 async fn truncated_large_response_never_looks_complete() {
-    let bed = Bed::start(BedPlan { backends: 1, ..BedPlan::default() }).await;
-    bed.create("portal").await;
+    let bed = TestBed::start(TestBedPlan { backends: 1, ..TestBedPlan::default() }).await;
+    bed.create_service("portal").await;
     let target = format!("/list?bytes={LARGE_BYTES}&work_us=100");
     for (at, chunked) in [(0, false), (1, false), (2, false), (0, true), (1, true), (2, true)] {
         bed.backends[0].behaviour.truncate_chunked.store(chunked, Ordering::Release);
@@ -66,8 +66,8 @@
 /// connection returns to the pool with unread data after the caller has disconnected.
 #[tokio::test(flavor = "multi_thread")]
 async fn disconnected_callers_response_reaches_no_other_caller() {
-    let bed = Bed::start(BedPlan { backends: 1, ..BedPlan::default() }).await;
-    bed.create("portal").await;
+    let bed = TestBed::start(TestBedPlan { backends: 1, ..TestBedPlan::default() }).await;
+    bed.create_service("portal").await;
     let caller = bed.caller("portal", 0);
     for turn in 0..20 {
         let slow =
@@ -90,8 +90,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_hedged_response_reaches_no_caller() {
     let backend = BackendSettings { work_us: 2_000, ..BackendSettings::default() };
-    let bed = Bed::start(BedPlan { backend, ..BedPlan::default() }).await;
-    bed.create("catalogue").await;
+    let bed = TestBed::start(TestBedPlan { backend, ..TestBedPlan::default() }).await;
+    bed.create_service("catalogue").await;
     for backend in &bed.backends[..2] {
         backend.behaviour.slow_factor.store(30, Ordering::Release);
     }
@@ -99,7 +99,7 @@
     let plan =
         LoadPlan { requests: 1_000, rate_per_s: 300.0, timeout_ms: 20_000, ..LoadPlan::default() };
     let summary = run_load(&plan, &callers).await;
-    assert_eq!((summary.right, summary.wrong), (plan.requests, 0));
+    assert_eq!((summary.correct, summary.mismatched), (plan.requests, 0));
     let hedges: u64 =
         bed.boards().iter().map(|b| b.counters.get(sorrelwick::board::Counter::Hedges)).sum();
     assert!(hedges > 0, "no request was hedged, so the test shows nothing");
@@ -120,11 +120,11 @@
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf an answ").await;
         }
     });
-    let bed = Bed::start(BedPlan { backends: 1, ..BedPlan::default() }).await;
+    let bed = TestBed::start(TestBedPlan { backends: 1, ..TestBedPlan::default() }).await;
     let mut service = bed.service("odd");
     service.backend_servers[0].address = address;
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("odd", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("odd", revision).await;
     let told =
         bed.caller("odd", 0).call(&Call { body: Bytes::from("x"), ..Call::post("/", "p") }).await;
     assert_eq!((told.outcome(), told.code()), ("unknown", 2202));
@@ -148,15 +148,16 @@
             held.push(stream);
         }
     });
-    let bed = Bed::start(BedPlan { backends: 1, instances: 1, ..BedPlan::default() }).await;
+    let bed =
+        TestBed::start(TestBedPlan { backends: 1, instances: 1, ..TestBedPlan::default() }).await;
     let mut service = bed.service("odd");
     service.backend_servers[0].address = address;
-    let revision = bed.put(0, &service, 0).await.expect("accepted");
-    bed.until_in_force("odd", revision).await;
+    let revision = bed.put_service(0, &service, 0).await.expect("accepted");
+    bed.wait_until_applied("odd", revision).await;
     let told = bed.caller("odd", 0).call(&Call::post("/", "s").with_timeout_ms(300)).await;
     assert_eq!(told, CallResult::Broken);
     let state = bed.boards()[0].services().get("odd").cloned().expect("in force");
-    standins::bed::until("the slot is released", async || {
+    standins::bed::wait_until("the slot is released", async || {
         state.runtime.slot_queue.free_slots_and_waiting().0 == 4
     })
     .await;
