--- a/examples/added_latency.rs
+++ b/examples/added_latency.rs
@@ -1,5 +1,5 @@
-//! What the path adds: the same calls straight to the backend server and through an instance in
-//! the same zone, and through a relay that only copies bytes, in turn, in the same run. The instance is a process of its own.
+//! Measures the latency that an instance adds. The same calls go in turn directly to a backend server,
+//! through a relay that only copies bytes, and through an instance process in the same zone.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,23 +21,23 @@
     /// The daemon program, built in release mode.
     #[arg(long, default_value = "target/release/sorrelwickd")]
     program: std::path::PathBuf,
-    /// Requests a second of each kind.
+    /// Requests per second on each of the three paths.
     #[arg(long, default_value_t = 300)]
     rate: u64,
     #[arg(long, default_value_t = 6_000)]
     requests: u64,
-    /// Time of work at the backend server. It sleeps on a timer of one millisecond, whose steps
-    /// blur the difference; without work it answers at once.
+    /// Service time of the backend server. It sleeps on a timer with a resolution of one millisecond,
+    /// which blurs the difference; with 0 it responds at once.
     #[arg(long, default_value_t = 0)]
     work_us: u64,
 }
 
 async fn timed(caller: Caller, address: SocketAddr, call: Call) -> Option<u64> {
-    // From when it is sent: both ways share the lateness of this process's own timer.
+    // Measured from the send, so that delays of this process's timer do not count.
     let start = Instant::now();
-    let told = caller.call_at(address, &call).await;
+    let result = caller.call_at(address, &call).await;
     let us = u64::try_from(start.elapsed().as_micros()).ok()?;
-    (told.body().len() == 200).then_some(us)
+    (result.body().len() == 200).then_some(us)
 }
 
 async fn collect(work: JoinSet<Option<u64>>) -> (Histogram<u64>, u64) {
@@ -61,8 +61,8 @@
     );
 }
 
-/// The least that a hop can do, to tell the path's own cost from the machine's: it copies bytes,
-/// on a runtime of its own.
+/// Starts a relay on its own runtime that only copies bytes: the minimal cost of a hop, to separate
+/// the cost of the instance from that of the machine.
 fn spawn_relay(to: SocketAddr) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/examples/capacity.rs
+++ b/examples/capacity.rs
@@ -1,7 +1,7 @@
-//! Measures the slopes from which docs/CAPACITY.md works out the size to design for.
+//! Measures how cost grows with size; docs/CAPACITY.md derives the design size from the results.
 //!
-//! Every table varies one quantity over three or more points. Times are medians of repeated
-//! runs in this process, processor time and memory those of daemon processes.
+//! Each table varies one quantity over three or more points. Times are medians of repeated runs in this
+//! process; CPU time and memory are those of daemon processes.
 
 use std::hint::black_box;
 use std::path::Path;
@@ -45,23 +45,23 @@
 /// What to measure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Slope {
-    /// Choosing a server, by servers of a service.
+    /// Time to choose a server, by servers of a service.
     Choose,
-    /// Configuration: memory and bytes, by services.
+    /// Memory and encoded size of the configuration, by services.
     Catalog,
-    /// Placement of homes and keepers, by services and members.
+    /// Time to place homes and assign servers, by services and members.
     Placement,
-    /// Record of keyed requests, by rows.
+    /// Memory and time per recorded outcome, by rows.
     Outcomes,
-    /// Bytes of the messages between instances.
+    /// Size of the messages between instances.
     Messages,
-    /// Idle daemons: processor time, memory, control bytes and store calls, by instances.
+    /// CPU time, memory and store calls of idle daemons, by instances.
     Idle,
-    /// Idle daemons, by services.
+    /// CPU time, memory and store calls of idle daemons, by services.
     Services,
-    /// Daemons under load: processor time per request, by rate.
+    /// CPU time per request of daemons under load, by rate.
     Requests,
-    /// Time until a change is in force everywhere, by instances.
+    /// Time until all instances have applied a change, by instances.
     Change,
 }
 
@@ -245,7 +245,8 @@
     TestBedPlan { backends: 6, ..TestBedPlan::default() }
 }
 
-/// Per daemon and second: processor time in ms, resident KB; and the platform's calls a second.
+/// Returns the mean CPU time per daemon in ms per second, the largest resident memory of a daemon in
+/// KB, and the store calls per second.
 async fn idle_for(fleet: &ProcessFleet, seconds: u64) -> (f64, u64, f64) {
     let before: u64 = fleet.daemons.iter().map(|daemon| daemon.usage().cpu_ms).sum();
     let calls = fleet.bed.platform().switches.calls();
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,7 +1,7 @@
-//! The whole path on one machine: a platform stand-in, backend servers, three instances in three
-//! availability zones, an operator's call, and some thousand requests, over real sockets.
+//! A complete system on one machine: a platform stand-in, backend servers, three instances in three
+//! availability zones, an operator call and 6,000 requests, over real sockets.
 //!
-//! Exits 0 only if every answer was whole and the request's own, and no order ran twice.
+//! Exits with 0 only if each response was complete and correct and no order ran twice.
 
 use std::process::ExitCode;
 
@@ -19,10 +19,10 @@
 const RATE_PER_S: f64 = 1_000.0;
 const ORDER_BYTES: usize = 300;
 
-/// Each order is sent once, and then once more with its key, as a caller would that did not
-/// hear the answer. Returns how many of all answers were right.
+/// Sends each order twice with the same idempotency key, as a caller does that got no response to the
+/// first call. Returns the number of correct responses.
 async fn send_orders(callers: &[Caller]) -> u64 {
-    let mut right = 0;
+    let mut correct = 0;
     for number in 0..ORDERS {
         let id = format!("order-{number}");
         let caller = &callers[usize::try_from(number).unwrap_or(0) % callers.len()];
@@ -33,22 +33,22 @@
         };
         let again = caller.call(&call.with_key(&key)).await;
         let expected = body_for(&id, ORDER_BYTES);
-        let whole = first.body() == expected && first.outcome() == "ran";
-        right += u64::from(whole) + u64::from(again.body() == expected);
+        let first_is_correct = first.body() == expected && first.outcome() == "ran";
+        correct += u64::from(first_is_correct) + u64::from(again.body() == expected);
     }
-    right
+    correct
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let bed = TestBed::start(TestBedPlan::default()).await;
-    println!("platform on {}, {} backend servers", bed.platform().address(), bed.backends.len());
+    println!("platform at {}, {} backend servers", bed.platform().address(), bed.backends.len());
     for board in bed.boards() {
         let (name, zone) = (&board.settings.instance.name, &board.settings.instance.zone);
-        println!("instance {name} in {zone} takes calls on {}", board.settings.listen.caller);
+        println!("instance {name} in {zone} accepts callers at {}", board.settings.listen.caller);
     }
     bed.create_service("orders").await;
-    println!("service 'orders' is in force on all instances");
+    println!("service 'orders' is active on all instances");
     let callers: Vec<Caller> = (0..3).map(|zone| bed.caller("orders", zone)).collect();
     let plan = LoadPlan {
         rate_per_s: RATE_PER_S,
@@ -59,12 +59,15 @@
     let lookups = run_load(&plan, &callers).await;
     println!("{}", LoadSummary::table_header());
     println!("{}", lookups.table_row("lookups"));
-    let right_orders = send_orders(&callers).await;
+    let correct_orders = send_orders(&callers).await;
     let counts = bed.run_counts();
     let orders = counts.iter().filter(|(id, _)| id.starts_with("order-"));
     let doubled = orders.filter(|(_, count)| **count != 1).count();
-    println!("orders: {right_orders} of {} answers right, {doubled} run twice", 2 * ORDERS);
-    let passed = lookups.correct == LOOKUPS && right_orders == 2 * ORDERS && doubled == 0;
-    println!("{}", if passed { "all answers whole and right" } else { "FAILED" });
+    println!(
+        "orders: {correct_orders} of {} responses correct, {doubled} not run exactly once",
+        2 * ORDERS
+    );
+    let passed = lookups.correct == LOOKUPS && correct_orders == 2 * ORDERS && doubled == 0;
+    println!("{}", if passed { "all responses complete and correct" } else { "FAILED" });
     if passed { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/examples/scenes.rs
+++ b/examples/scenes.rs
@@ -1,6 +1,6 @@
-//! Scenes of load over real sockets: instances as processes, backend servers that queue, slow
-//! down and fail. Each scene also runs with callers that go round the servers themselves, the
-//! naive version, on the same servers.
+//! Load scenarios over real sockets: instance processes, and backend servers that queue, slow down and
+//! fail. Most scenarios also run without instances, with callers that use the servers round-robin, as
+//! the baseline.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -53,11 +53,11 @@
     SlowThird,
     OneFails,
     StoreDown,
-    /// A home of the service.
+    /// One home of the service is killed.
     HomeKilled,
 }
 
-/// A third of the servers, chosen anew each second, is slow for 200 ms.
+/// Each second, makes each server slow for 200 ms with a probability of one third.
 fn slow_thirds(behaviours: Vec<Arc<Behaviour>>) -> JoinHandle<()> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     tokio::spawn(async move {
@@ -76,28 +76,28 @@
     })
 }
 
-async fn scene(args: &Args, load: f64, trouble: Trouble, naive: bool) -> LoadSummary {
+async fn scene(args: &Args, load: f64, trouble: Trouble, baseline: bool) -> LoadSummary {
     let backend = BackendSettings {
         slots: SLOTS as usize,
         work_us: WORK_US.into(),
         ..BackendSettings::default()
     };
     let plan = TestBedPlan { backends: BACKENDS, backend, ..TestBedPlan::default() };
-    let instances = if naive { 1 } else { args.instances };
+    let instances = if baseline { 1 } else { args.instances };
     let fleet = ProcessFleet::start(&args.program, plan, instances).await;
     let mut service = fleet.bed.service("catalogue");
     service.preference = Preference::Tail;
     fleet.create_service(&service).await;
     let behaviours: Vec<Arc<Behaviour>> =
         fleet.bed.backends.iter().map(|backend| Arc::clone(&backend.behaviour)).collect();
-    let callers: Vec<Caller> = if naive {
+    let callers: Vec<Caller> = if baseline {
         let servers = fleet.bed.backends.iter().map(Backend::address);
         servers.map(|address| Caller::fixed("catalogue", address)).collect()
     } else {
         let zones = ["burnaby", "surrey", "richmond"];
         zones.iter().map(|zone| Caller::new("catalogue", zone, &fleet.caller_addresses())).collect()
     };
-    // The mean of the stand-in's times is a little above its setting, by their heavy tail.
+    // The heavy tail raises the mean service time above the setting: 0.99 + 0.01 * 10 = 1.09.
     let mean_us = f64::from(WORK_US) * 1.09;
     #[expect(clippy::cast_precision_loss, reason = "a handful of servers")]
     let rate_per_s = load * BACKENDS as f64 * f64::from(SLOTS) * 1e6 / mean_us;
@@ -143,13 +143,13 @@
     ];
     let mut runs = Vec::new();
     for (name, load, trouble) in scenes.into_iter().filter(|s| s.0.contains(&args.only)) {
-        let ours = scene(&args, load, trouble, false).await;
-        println!("{}", ours.table_row(name));
+        let with_instances = scene(&args, load, trouble, false).await;
+        println!("{}", with_instances.table_row(name));
         if !matches!(trouble, Trouble::StoreDown | Trouble::HomeKilled) {
-            let naive = scene(&args, load, trouble, true).await;
-            println!("{}", naive.table_row(&format!("  naive, {name}")));
+            let baseline = scene(&args, load, trouble, true).await;
+            println!("{}", baseline.table_row(&format!("  naive, {name}")));
         }
-        runs.push((name.to_owned(), ours));
+        runs.push((name.to_owned(), with_instances));
     }
     args.plot.as_ref().map_or(Ok(()), |path| write_plot(path, &runs))
 }
--- a/standins/src/bed/daemon_process.rs
+++ b/standins/src/bed/daemon_process.rs
@@ -1,4 +1,4 @@
-//! A daemon as a process of its own, to be killed, frozen and stopped by signals.
+//! A daemon process that can be killed, frozen and stopped by signals.
 
 use std::path::Path;
 use std::process::Child;
@@ -9,20 +9,21 @@
 
 use super::unique_addresses;
 
-/// Positions in /proc/PID/stat behind the command's name.
+/// Index of the user time among the fields of /proc/PID/stat after the command name.
 const USER_TICKS_AT: usize = 11;
+/// Index of the system time among the same fields.
 const SYSTEM_TICKS_AT: usize = 12;
 const MS_PER_TICK: u64 = 10;
 const KB_PER_PAGE: u64 = 4;
 
-/// What a process has used.
+/// CPU time and memory used by a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
     pub cpu_ms: u64,
     pub resident_kb: u64,
 }
 
-/// A daemon process; killed when dropped.
+/// A daemon process; killed on drop.
 #[derive(Debug)]
 pub struct DaemonProcess {
     child: Child,
@@ -37,10 +38,10 @@
 }
 
 impl DaemonProcess {
-    /// Starts `program` with these settings, on ports of its own, its settings file in `dir`.
+    /// Starts `program` with these settings on unique addresses; the settings file is written to `dir`.
     ///
     /// # Errors
-    /// When the file cannot be written or the program not be started.
+    /// If the file cannot be written or the program cannot be started.
     pub fn spawn(program: &Path, dir: &Path, mut settings: Settings) -> std::io::Result<Self> {
         let [caller, operator, peer, status] = unique_addresses();
         settings.listen.caller = caller;
@@ -59,7 +60,7 @@
         Ok(Self { child, settings })
     }
 
-    /// Processor time and memory so far; zeros once it is gone.
+    /// CPU time and memory used so far; zeros if the process has ended.
     #[must_use]
     pub fn usage(&self) -> ProcessUsage {
         let read = |file: &str| {
@@ -83,27 +84,27 @@
         debug_assert!(sent.is_ok(), "kill can be run");
     }
 
-    /// Stops the process where it is.
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process (SIGCONT).
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// Asks for a planned stop.
+    /// Requests a graceful stop (SIGTERM).
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Kills it at once.
+    /// Kills the process (SIGKILL).
     pub fn kill_now(&self) {
         self.signal("-KILL");
     }
 
-    /// The exit code, once it has ended; `None` while it runs.
+    /// The exit code, -1 if a signal ended the process; `None` while it runs.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
--- a/standins/src/bed/in_process_daemon.rs
+++ b/standins/src/bed/in_process_daemon.rs
@@ -1,4 +1,4 @@
-//! An instance with a runtime of its own, so that it can be killed with all its tasks.
+//! An instance on its own runtime, so that it can be killed with all its tasks.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 
 const WORKER_THREADS: usize = 2;
 
-/// A running instance; dropped, it is killed: every task and connection of it ends at once.
+/// A running instance. Drop kills it: all its tasks and connections end at once.
 #[derive(Debug)]
 pub struct InProcessDaemon {
-    /// `None` only while it is dropped.
+    /// `None` only during drop.
     runtime: Option<Runtime>,
     daemon: Option<Daemon>,
     board: Arc<Blackboard>,
@@ -32,7 +32,7 @@
     /// Starts an instance.
     ///
     /// # Panics
-    /// When it does not start.
+    /// If it does not start.
     pub async fn spawn(settings: Settings) -> Self {
         let runtime =
             Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build();
@@ -43,13 +43,13 @@
         Self { runtime: Some(runtime), daemon: Some(daemon), board }
     }
 
-    /// The shared state of the instance.
+    /// The blackboard of the instance.
     #[must_use]
     pub const fn board(&self) -> &Arc<Blackboard> {
         &self.board
     }
 
-    /// Stops it as planned.
+    /// Stops the instance gracefully.
     pub async fn stop(mut self) {
         if let (Some(daemon), Some(runtime)) = (self.daemon.take(), &self.runtime) {
             let _ = runtime.spawn(daemon.stop()).await;
--- a/standins/src/bed/mod.rs
+++ b/standins/src/bed/mod.rs
@@ -1,4 +1,5 @@
-//! A whole system on loopback: platform, backend servers and instances, for tests and examples.
+//! A complete system on loopback addresses for tests and examples: platform, backend servers and
+//! instances.
 
 mod daemon_process;
 mod in_process_daemon;
--- a/standins/src/bed/process_fleet.rs
+++ b/standins/src/bed/process_fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons in processes of their own, stand-ins in this one.
+//! A test bed whose instances are processes; the stand-ins run in this process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,7 +15,7 @@
 use super::wait_until;
 use crate::platform::ListedMachine;
 
-/// A running system whose instances are processes.
+/// A running system whose instances are daemon processes.
 #[derive(Debug)]
 pub struct ProcessFleet {
     pub bed: TestBed,
@@ -24,10 +24,10 @@
 }
 
 impl ProcessFleet {
-    /// Starts `daemons` processes of `program`, and waits until each knows all others.
+    /// Starts `daemons` processes of `program` and waits until all know each other.
     ///
     /// # Panics
-    /// When a part does not start.
+    /// If a part does not start.
     pub async fn start(program: &Path, plan: TestBedPlan, daemons: usize) -> Self {
         let bed = TestBed::start(TestBedPlan { instances: 0, ..plan }).await;
         let dir = tempfile::tempdir().expect("a directory");
@@ -62,17 +62,17 @@
         self.bed.state.set_list("sorrelwick", listed.collect());
     }
 
-    /// The operators' listener of one process.
+    /// Client of the operator listener of one process.
     ///
     /// # Panics
-    /// Never: the address is one.
+    /// Never: the address is valid.
     #[must_use]
     pub fn operator(&self, at: usize) -> ToolClient {
         let address = self.daemons[at].settings.listen.operator;
         ToolClient::open(&address.to_string(), "").expect("an address")
     }
 
-    /// How many instances one process believes to be alive.
+    /// Number of instances that are alive in the member view of one process; 0 if it does not respond.
     pub async fn alive_count_at(&self, at: usize) -> usize {
         let Ok(status) = self.operator(at).status().await else {
             return 0;
@@ -80,13 +80,13 @@
         status.instances.iter().filter(|row| row.state == "alive").count()
     }
 
-    /// Creates a service and waits until it is in force on all processes.
+    /// Creates a service and waits until all processes have applied it.
     ///
     /// # Panics
-    /// When the operator refuses it.
+    /// If the operator call fails.
     pub async fn create_service(&self, service: &Service) {
         self.operator(0).put(&service_to_wire(service), 0).await.expect("accepted");
-        wait_until("in force on all processes", async || {
+        wait_until("all processes have applied the service", async || {
             for at in 0..self.daemons.len() {
                 if self.operator(at).get(&service.name).await.is_err() {
                     return false;
--- a/standins/src/bed/test_bed.rs
+++ b/standins/src/bed/test_bed.rs
@@ -1,4 +1,4 @@
-//! Starts, changes and stops the parts.
+//! A test bed whose instances run in this process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::platform::Platform;
 use crate::platform::PlatformState;
 
-/// A running system. Parts that are taken out and dropped end as if killed.
+/// A running system. A part that is taken out and dropped ends as if killed.
 #[derive(Debug)]
 pub struct TestBed {
     pub plan: TestBedPlan,
@@ -36,10 +36,10 @@
 }
 
 impl TestBed {
-    /// Starts all parts, and waits until every instance knows every other.
+    /// Starts all parts and waits until all instances know each other.
     ///
     /// # Panics
-    /// When a part does not start.
+    /// If a part does not start.
     pub async fn start(plan: TestBedPlan) -> Self {
         let state = PlatformState::default();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -73,18 +73,18 @@
         self.backends.push(Backend::bind(settings).await.expect("backend starts"));
     }
 
-    /// Starts one more instance and puts it on the platform's list.
+    /// Starts another instance and adds it to the platform's list.
     ///
     /// # Panics
-    /// When it does not start.
+    /// If it does not start.
     pub async fn add_daemon(&mut self) -> usize {
         self.add_daemon_with(|_| {}).await
     }
 
-    /// Starts one more instance whose settings are changed first.
+    /// Starts another instance with settings modified by `change`.
     ///
     /// # Panics
-    /// When it does not start.
+    /// If it does not start.
     pub async fn add_daemon_with(&mut self, change: impl FnOnce(&mut Settings)) -> usize {
         let at = self.daemons.len();
         let mut settings = settings_for(&self.plan, at, self.platform_address);
@@ -107,7 +107,7 @@
         self.state.set_list("sorrelwick", machines);
     }
 
-    /// Waits until every running instance knows all the others.
+    /// Waits until all running instances know each other.
     pub async fn wait_until_joined(&self) {
         let running = self.daemons.iter().flatten().count();
         wait_until("all instances joined", async || {
@@ -120,32 +120,32 @@
         .await;
     }
 
-    /// Ends an instance at once, as a kill would.
+    /// Kills the instance at index `at`.
     pub fn kill(&mut self, at: usize) {
         drop(self.daemons[at].take());
     }
 
-    /// The shared states of the running instances.
+    /// The blackboards of the running instances.
     #[must_use]
     pub fn boards(&self) -> Vec<Arc<Blackboard>> {
         self.daemons.iter().flatten().map(|daemon| Arc::clone(daemon.board())).collect()
     }
 
-    /// A running instance.
+    /// The running instance at index `at`.
     ///
     /// # Panics
-    /// When it was killed.
+    /// If it was killed.
     #[must_use]
     pub fn daemon(&self, at: usize) -> &InProcessDaemon {
         self.daemons[at].as_ref().expect("the instance runs")
     }
 
-    /// Takes the platform down; its state stays.
+    /// Stops the platform; its state is kept.
     pub fn stop_platform(&mut self) {
         self.platform = None;
     }
 
-    /// Brings the platform back on its address.
+    /// Restarts the platform on the same address.
     pub async fn start_platform(&mut self) {
         wait_until("the platform's port is free", async || {
             let bound = Platform::bind(self.platform_address, self.state.clone()).await;
@@ -155,16 +155,16 @@
         .await;
     }
 
-    /// The platform.
+    /// The running platform.
     ///
     /// # Panics
-    /// When it is stopped.
+    /// If it is stopped.
     #[must_use]
     pub fn platform(&self) -> &Platform {
         self.platform.as_ref().expect("the platform runs")
     }
 
-    /// A declaration over all backend servers: GET is idempotent, POST must not repeat.
+    /// A service declaration with all backend servers: GET is idempotent, POST is not.
     #[must_use]
     pub fn service(&self, name: &str) -> Service {
         let servers = self.backends.iter().enumerate().map(|(at, backend)| BackendServer {
@@ -194,20 +194,20 @@
         }
     }
 
-    /// The operators' listener of a running instance.
+    /// Client of the operator listener of a running instance.
     ///
     /// # Panics
-    /// When it was killed.
+    /// If the instance was killed.
     #[must_use]
     pub fn operator(&self, at: usize) -> ToolClient {
         let address = self.daemon(at).board().settings.listen.operator;
         ToolClient::open(&address.to_string(), "").expect("an address")
     }
 
-    /// Commits a service by an operator's call.
+    /// Commits a service through the operator API and returns its revision.
     ///
     /// # Errors
-    /// What the operator told.
+    /// The error of the operator call.
     pub async fn put_service(
         &self,
         at: usize,
@@ -218,9 +218,9 @@
         Ok(row.revision)
     }
 
-    /// Waits until a revision or a later one is in force on all running instances.
+    /// Waits until all running instances have applied this or a later revision; returns the time taken.
     pub async fn wait_until_applied(&self, service: &str, revision: u64) -> std::time::Duration {
-        wait_until("the revision is in force everywhere", async || {
+        wait_until("all instances have applied the revision", async || {
             self.boards().iter().all(|board| {
                 let services = board.services();
                 services.get(service).is_some_and(|state| state.revision >= revision)
@@ -229,10 +229,10 @@
         .await
     }
 
-    /// Creates a service over all backend servers and waits until it is in force.
+    /// Creates a service with all backend servers and waits until all instances have applied it.
     ///
     /// # Panics
-    /// When the operator refuses it.
+    /// If the operator call fails.
     pub async fn create_service(&self, name: &str) -> Service {
         let service = self.service(name);
         let revision = self.put_service(0, &service, 0).await.expect("the service is accepted");
@@ -246,13 +246,13 @@
         self.boards().iter().map(|board| board.settings.listen.caller).collect()
     }
 
-    /// A caller of `service` in the `at`-th zone.
+    /// A caller of `service` in the zone at index `at`.
     #[must_use]
     pub fn caller(&self, service: &str, at: usize) -> Caller {
         Caller::new(service, self.plan.zone(at), &self.caller_addresses())
     }
 
-    /// How often each request id ran, over all backend servers.
+    /// Number of runs by request id, over all backend servers.
     #[must_use]
     pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
         let mut all = std::collections::HashMap::new();
--- a/standins/src/bed/test_bed_plan.rs
+++ b/standins/src/bed/test_bed_plan.rs
@@ -1,4 +1,4 @@
-//! What a bed consists of.
+//! Sizes and settings of a test bed.
 
 use std::net::SocketAddr;
 
@@ -17,14 +17,14 @@
 
 const SECRET: &str = "a secret for test beds only";
 
-/// Sizes and settings of a bed.
+/// Sizes and settings of a test bed.
 #[derive(Clone, Debug)]
 pub struct TestBedPlan {
-    /// Instances are spread over these in turn.
+    /// Zones; instances and backend servers are assigned to them round-robin.
     pub zones: Vec<String>,
     pub instances: usize,
     pub backends: usize,
-    /// Of each backend server; id and seed are set per server.
+    /// Settings of each backend server, except id and seed.
     pub backend: BackendSettings,
     pub requests: RequestSettings,
     pub outcomes: OutcomeSettings,
@@ -50,14 +50,14 @@
 }
 
 impl TestBedPlan {
-    /// The zone of the `at`-th instance or backend server.
+    /// The zone of the instance or backend server at index `at`.
     #[must_use]
     pub fn zone(&self, at: usize) -> &str {
         &self.zones[at % self.zones.len()]
     }
 }
 
-/// Settings of the `at`-th instance; all ports are the system's choice.
+/// Settings of the instance at index `at`, on ports assigned by the system.
 #[must_use]
 pub fn settings_for(plan: &TestBedPlan, at: usize, platform: SocketAddr) -> Settings {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/standins/src/bed/unique_addresses.rs
+++ b/standins/src/bed/unique_addresses.rs
@@ -1,22 +1,22 @@
-//! Addresses for a daemon that is started as a process.
+//! Unique listen addresses for daemon processes.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::Ordering;
 
-/// Below the ports of outgoing connections.
+/// Base of the ports; below the range from which the system assigns ephemeral ports.
 const PORT_BASE: u16 = 7_000;
 
-/// Starts so far in this process, for one of which each address is.
+/// Second octet of the next address; each daemon started by this process has its own.
 static NEXT_NETWORK: AtomicU8 = AtomicU8::new(1);
 
-/// Addresses that nobody else of this machine takes: on a loopback address of the daemon's own, below
-/// the ports that the system gives out.
+/// Returns addresses that no other process on this machine uses: on a separate loopback address for
+/// each daemon, below the ephemeral ports.
 ///
-/// Ports that were bound here and let go were taken before the daemon had them: by callers and servers
-/// of other tests, and by processes that other tests were just starting, which hold a copy of each
-/// socket until they run their own program.
+/// Binding port 0 and releasing it is not enough: before the daemon binds the port, it can be taken by
+/// callers and servers of other tests, or still be held by a child process of another test, which has a
+/// copy of each socket between fork and exec.
 #[must_use]
 pub fn unique_addresses<const COUNT: usize>() -> [SocketAddr; COUNT] {
     let [.., high, low] = std::process::id().to_be_bytes();
--- a/standins/src/bed/wait.rs
+++ b/standins/src/bed/wait.rs
@@ -1,21 +1,21 @@
-//! Waiting on conditions, never on time alone.
+//! Waiting for a condition, by polling.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Generous: a busy machine must not change a verdict.
+/// Long enough that a test does not fail because the machine is busy.
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Waits until `holds`, and returns how long that took.
+/// Waits until `holds` returns `true`, and returns the time taken.
 ///
 /// # Panics
-/// When it does not hold within a minute.
+/// If that does not happen within a minute.
 pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < TIMEOUT, "did not happen: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out: {what}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     start.elapsed()
--- a/standins/src/bin/standin-backend.rs
+++ b/standins/src/bin/standin-backend.rs
@@ -1,4 +1,4 @@
-//! Backend stand-ins as a process of their own.
+//! Runs stand-in backend servers.
 
 use std::path::PathBuf;
 
--- a/standins/src/bin/standin-load.rs
+++ b/standins/src/bin/standin-load.rs
@@ -1,4 +1,4 @@
-//! The load tool.
+//! Load generator.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in as a process of its own.
+//! Runs the platform stand-in.
 
 use std::net::SocketAddr;
 
--- a/standins/src/bin/standin-trial.rs
+++ b/standins/src/bin/standin-trial.rs
@@ -1,4 +1,4 @@
-//! Runs seeded trials of the decisions and prints a table.
+//! Simulates the load-balancing policies and prints a table.
 
 use clap::Parser;
 use clap::ValueEnum;
--- a/standins/src/caller/client.rs
+++ b/standins/src/caller/client.rs
@@ -25,7 +25,7 @@
 
 const FIXED_ADDRESS_TTL: Duration = Duration::from_hours(24);
 
-/// One request to send.
+/// A request to send.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
     pub method: String,
@@ -73,7 +73,7 @@
 
 #[derive(Debug)]
 struct CachedAddresses {
-    until: Instant,
+    expires_at: Instant,
     addresses: Vec<InstanceAddress>,
 }
 
@@ -91,11 +91,11 @@
 impl Caller {
     /// Creates a caller with these instances as seeds.
     #[must_use]
-    pub fn new(service: &str, zone: &str, known: &[SocketAddr]) -> Self {
+    pub fn new(service: &str, zone: &str, seeds: &[SocketAddr]) -> Self {
         Self {
             service: service.into(),
             zone: zone.into(),
-            seeds: known.into(),
+            seeds: seeds.into(),
             cached: Arc::default(),
             idle: Arc::default(),
         }
@@ -105,30 +105,30 @@
     #[must_use]
     pub fn fixed(service: &str, address: SocketAddr) -> Self {
         let caller = Self::new(service, "", &[]);
-        let named = InstanceAddress { address, zone: String::new(), key_prefix: String::new() };
-        let until = Instant::now() + FIXED_ADDRESS_TTL;
-        *caller.cached.lock() = Some(CachedAddresses { until, addresses: vec![named] });
+        let instance = InstanceAddress { address, zone: String::new(), key_prefix: String::new() };
+        let expires_at = Instant::now() + FIXED_ADDRESS_TTL;
+        *caller.cached.lock() = Some(CachedAddresses { expires_at, addresses: vec![instance] });
         caller
     }
 
     /// The addresses to use, best first; queries again when the cached ones have expired.
     pub async fn addresses(&self) -> Vec<InstanceAddress> {
-        if let Some(kept) = &*self.cached.lock()
-            && Instant::now() < kept.until
+        if let Some(cached) = &*self.cached.lock()
+            && Instant::now() < cached.expires_at
         {
-            return kept.addresses.clone();
+            return cached.addresses.clone();
         }
         let mut targets: Vec<SocketAddr> = Vec::new();
-        if let Some(kept) = &*self.cached.lock() {
-            targets.extend(kept.addresses.iter().map(|named| named.address));
+        if let Some(cached) = &*self.cached.lock() {
+            targets.extend(cached.addresses.iter().map(|instance| instance.address));
         }
         targets.extend(self.seeds.iter());
         for address in targets {
             if let Some(response) = self.resolve_at(address).await {
-                let until = Instant::now() + Duration::from_millis(response.keep_ms);
+                let expires_at = Instant::now() + Duration::from_millis(response.keep_ms);
                 let addresses = response.addresses.clone();
                 *self.cached.lock() =
-                    Some(CachedAddresses { until, addresses: response.addresses });
+                    Some(CachedAddresses { expires_at, addresses: response.addresses });
                 return addresses;
             }
         }
@@ -145,8 +145,8 @@
 
     /// Sends a call to the best address; tries the next one only if nothing was sent.
     pub async fn call(&self, call: &Call) -> CallResult {
-        for named in self.addresses().await {
-            let result = self.call_at(named.address, call).await;
+        for instance in self.addresses().await {
+            let result = self.call_at(instance.address, call).await;
             if result != CallResult::NotSent {
                 return result;
             }
@@ -157,11 +157,11 @@
     /// Sends a call to the best address with a new idempotency key that has the prefix of that address,
     /// and returns the key.
     pub async fn call_with_new_key(&self, call: &Call) -> (Option<String>, CallResult) {
-        let Some(named) = self.addresses().await.into_iter().next() else {
+        let Some(instance) = self.addresses().await.into_iter().next() else {
             return (None, CallResult::NotSent);
         };
-        let key = format!("{}-{}", named.key_prefix, call.id);
-        let result = self.call_at(named.address, &call.clone().with_key(&key)).await;
+        let key = format!("{}-{}", instance.key_prefix, call.id);
+        let result = self.call_at(instance.address, &call.clone().with_key(&key)).await;
         (Some(key), result)
     }
 
--- a/standins/src/load/load_summary.rs
+++ b/standins/src/load/load_summary.rs
@@ -1,4 +1,4 @@
-//! What a load run came to.
+//! Results of a load run.
 
 use hdrhistogram::Histogram;
 
@@ -7,15 +7,15 @@
 const MAX_US: u64 = 120_000_000;
 const DIGITS: u8 = 3;
 
-/// Counts and latencies of one run; latencies count from when a request was due.
+/// Counts and latencies of a run. Latencies are measured from the scheduled time of a request.
 #[derive(Clone, Debug)]
 pub struct LoadSummary {
-    /// Of whole, right answers, in microseconds.
+    /// Latencies of correct responses, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Of refusals, in microseconds.
+    /// Latencies of rejections (outcome `not-run`), in microseconds.
     pub rejection_us: Histogram<u64>,
     pub correct: u64,
-    /// Whole answers that were not the request's own.
+    /// Complete responses with another body than expected.
     pub mismatched: u64,
     pub not_run: u64,
     pub unknown: u64,
@@ -26,7 +26,7 @@
 
 impl Default for LoadSummary {
     /// # Panics
-    /// Never: the bounds are valid.
+    /// Never: the histogram bounds are valid.
     fn default() -> Self {
         let histogram = || Histogram::new_with_max(MAX_US, DIGITS).expect("valid bounds");
         Self {
@@ -44,7 +44,7 @@
 }
 
 impl LoadSummary {
-    /// Counts one call that took `us` from when it was due.
+    /// Records the result of a call that completed `us` microseconds after its scheduled time.
     pub fn record(&mut self, told: &CallResult, expected: &[u8], us: u64) {
         match told {
             CallResult::NotSent => self.not_sent += 1,
@@ -66,9 +66,9 @@
         }
     }
 
-    /// Adds another run's counts.
+    /// Adds the counts and latencies of `other`.
     pub fn merge(&mut self, other: &Self) {
-        // Both have the same bounds, so that adding cannot fail.
+        // Cannot fail, because both histograms have the same bounds.
         let _ = self.latency_us.add(&other.latency_us);
         let _ = self.rejection_us.add(&other.rejection_us);
         self.correct += other.correct;
@@ -80,7 +80,7 @@
         self.not_sent += other.not_sent;
     }
 
-    /// All calls.
+    /// Number of all calls.
     #[must_use]
     pub const fn calls(&self) -> u64 {
         self.correct
@@ -92,7 +92,7 @@
             + self.not_sent
     }
 
-    /// The latency that this share of right answers stayed within, in milliseconds.
+    /// Latency quantile of correct responses, in milliseconds.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "microseconds to print")]
@@ -100,7 +100,7 @@
         us / 1000.0
     }
 
-    /// One line of a table.
+    /// Formats a table row.
     #[must_use]
     pub fn table_row(&self, name: &str) -> String {
         format!(
@@ -117,7 +117,7 @@
         )
     }
 
-    /// The heading above lines.
+    /// Formats the table header.
     #[must_use]
     pub fn table_header() -> String {
         format!(
--- a/standins/src/load/mod.rs
+++ b/standins/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: requests start when they are due, whether or not earlier ones have ended.
+//! Open-loop load generator: requests start at their scheduled times, whether or not earlier ones have
+//! completed.
 
 mod load_summary;
 mod plot;
--- a/standins/src/load/plot.rs
+++ b/standins/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of latency quantiles, as SVG.
+//! Plot of latency quantiles as SVG.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,7 +8,7 @@
 const WIDTH: f64 = 720.0;
 const HEIGHT: f64 = 400.0;
 const MARGIN: f64 = 60.0;
-/// Nines of the quantiles drawn: from the median to 99.99%.
+/// Number of nines of the highest quantile in the plot, 99.99%; the lowest is the median.
 const NINES_MAX: f64 = 4.0;
 const POINTS: u32 = 80;
 const COLOURS: [&str; 6] = ["#1b6", "#c33", "#36c", "#b80", "#83b", "#555"];
@@ -19,8 +19,8 @@
 }
 
 fn y_of(ms: f64, max_ms: f64) -> f64 {
-    let share = (ms.max(0.01) / 0.01).log10() / (max_ms / 0.01).log10();
-    HEIGHT - MARGIN - (HEIGHT - 2.0 * MARGIN) * share
+    let fraction = (ms.max(0.01) / 0.01).log10() / (max_ms / 0.01).log10();
+    HEIGHT - MARGIN - (HEIGHT - 2.0 * MARGIN) * fraction
 }
 
 fn curve(summary: &LoadSummary, max_ms: f64) -> String {
@@ -34,10 +34,10 @@
     points
 }
 
-/// Draws one curve per run, logarithmic in both directions.
+/// Draws one curve per run, with both axes logarithmic.
 ///
 /// # Errors
-/// When the file cannot be written.
+/// If the file cannot be written.
 pub fn write_plot(path: &Path, runs: &[(String, LoadSummary)]) -> std::io::Result<()> {
     let largest = runs.iter().map(|(_, run)| run.quantile_ms(1.0)).fold(1.0, f64::max);
     let mut svg = format!(
--- a/standins/src/load/runner.rs
+++ b/standins/src/load/runner.rs
@@ -1,4 +1,4 @@
-//! Sends the load.
+//! Load plans and their execution.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use crate::caller::Call;
 use crate::caller::Caller;
 
-/// One run.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Requests a second, with exponential gaps.
+    /// Mean request rate; gaps are exponentially distributed.
     pub rate_per_s: f64,
     pub requests: u64,
     /// Path without query.
     pub path: String,
     pub method: String,
-    /// Begins every request id, so that runs do not mix.
+    /// Prefix of all request ids, so that ids of different runs differ.
     pub name: String,
-    /// Answers have 1 to this many bytes, different for each request.
+    /// Response sizes are drawn uniformly from 1 to this many bytes.
     pub body_max_bytes: usize,
-    /// Time of work asked of the backend server; `None` leaves it to the server.
+    /// Service time requested from the backend server; `None` leaves it to the server.
     pub work_us: Option<u64>,
     pub timeout_ms: u64,
     pub seed: u64,
@@ -56,7 +56,7 @@
         .with_timeout_ms(plan.timeout_ms)
 }
 
-/// Sends the plan's requests, spread over the callers in turn, and waits for every answer.
+/// Sends the requests of the plan, round-robin over the callers, and waits for all responses.
 pub async fn run_load(plan: &LoadPlan, callers: &[Caller]) -> LoadSummary {
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut work: JoinSet<LoadSummary> = JoinSet::new();
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service, by Consul's HTTP interface, with switches for its faults.
+//! A key-value service with Consul's HTTP API and switchable faults.
 
 mod server;
 mod state;
--- a/standins/src/platform/server.rs
+++ b/standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the platform stand-in.
+//! HTTP server of the platform stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,14 +30,14 @@
 const DEFAULT_WATCH_WAIT: Duration = Duration::from_mins(5);
 const DEFAULT_SESSION_TTL: Duration = Duration::from_secs(10);
 
-/// Faults that a test switches on and off, and what it counts.
+/// Fault switches and call counts.
 #[derive(Debug, Default)]
 pub struct Switches {
-    /// Every connection is closed without an answer, before anything takes effect.
+    /// Closes each connection without a response and without executing the call.
     pub down: AtomicBool,
-    /// Added to each call.
+    /// Delay of each call, in milliseconds.
     pub delay_ms: AtomicU64,
-    /// So many next writes take effect, and their answers are lost.
+    /// Number of next writes that are executed without a response.
     pub responses_to_drop: AtomicU64,
     pub reads: AtomicU64,
     pub writes: AtomicU64,
@@ -50,7 +50,7 @@
         self.responses_to_drop.fetch_update(Ordering::AcqRel, Ordering::Acquire, next).is_ok()
     }
 
-    /// All calls so far, by the platform's count.
+    /// Number of all calls so far.
     #[must_use]
     pub fn calls(&self) -> u64 {
         let counts = [&self.reads, &self.writes, &self.watches];
@@ -58,7 +58,7 @@
     }
 }
 
-/// A running platform; dropped, it is down until it is bound again with the same state.
+/// A running platform. Drop stops it; it can be restarted by binding the same state again.
 #[derive(Debug)]
 pub struct Platform {
     address: SocketAddr,
@@ -79,7 +79,7 @@
     state: PlatformState,
 }
 
-/// An answer, or the connection's end without one.
+/// A response, or an error that makes hyper close the connection.
 type ServeResult = Result<Response<Full<Bytes>>, ResponseDropped>;
 
 #[derive(Debug)]
@@ -87,17 +87,17 @@
 
 impl std::fmt::Display for ResponseDropped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("answer lost on purpose")
+        f.write_str("response dropped on purpose")
     }
 }
 
 impl std::error::Error for ResponseDropped {}
 
 impl Platform {
-    /// Serves `state` on `address`.
+    /// Starts to serve `state` on `address`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub async fn bind(address: SocketAddr, state: PlatformState) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -107,7 +107,7 @@
         Ok(Self { address, switches, state, task })
     }
 
-    /// Where it listens.
+    /// The address that the platform listens on.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
@@ -180,7 +180,7 @@
     if is_write && switches.try_drop_response() {
         return Err(ResponseDropped);
     }
-    // A store that went down while a watch waited gives no answer either.
+    // No response either if the store went down while a watch was pending.
     if switches.down.load(Ordering::Acquire) {
         return Err(ResponseDropped);
     }
@@ -284,8 +284,8 @@
     reply(200, 1, Value::from(rows).to_string())
 }
 
-/// Switches from outside the process: `/admin/down?on=true`, `/admin/slow?ms=N`,
-/// `/admin/lose?answers=N`, `/admin/calls`, and `PUT /admin/list/NAME` with a list as body.
+/// Handles the switches for other processes: `/admin/down?on=true`, `/admin/slow?ms=N`,
+/// `/admin/lose?answers=N`, `/admin/calls`, and `PUT /admin/list/NAME` with a list of machines as body.
 async fn handle_admin(
     shared: &Shared,
     path: &str,
--- a/standins/src/platform/state.rs
+++ b/standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps; it outlives a restart of the server.
+//! State of the platform, which survives a restart of its server.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A machine in the platform's lists.
+/// A machine in one of the platform's lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedMachine {
     pub id: String,
@@ -42,7 +42,7 @@
     lists: BTreeMap<String, Vec<ListedMachine>>,
 }
 
-/// Keys, sessions and lists; clones share.
+/// Keys, sessions and machine lists; clones share the state.
 #[derive(Clone, Debug)]
 pub struct PlatformState {
     rows: Arc<Mutex<Inner>>,
@@ -64,7 +64,7 @@
         self.kv.insert(key.into(), row);
     }
 
-    /// Ends sessions whose time is over, and deletes the keys they held.
+    /// Ends expired sessions and deletes the keys that they hold.
     fn expire_sessions(&mut self) {
         let now = Instant::now();
         let over = self.sessions.iter().filter(|(_, session)| session.expires_at <= now);
@@ -85,7 +85,7 @@
 }
 
 impl PlatformState {
-    /// Sets one of the lists of machines.
+    /// Replaces a list of machines.
     pub fn set_list(&self, name: &str, machines: Vec<ListedMachine>) {
         self.rows.lock().lists.insert(name.into(), machines);
     }
@@ -105,7 +105,7 @@
         (index.unwrap_or(rows.index).max(1), found)
     }
 
-    /// Waits until the index below `prefix` passes `index`.
+    /// Waits until a key with this prefix has a modify index above `index`, for at most `wait`.
     pub(super) async fn wait_for_change(&self, prefix: &str, index: u64, wait: Duration) {
         let mut changed = self.changed.subscribe();
         let passed = async {
@@ -126,7 +126,8 @@
         self.changed.send_modify(|turn| *turn += 1);
     }
 
-    /// Writes if the key has this index; 0 for a key that must not exist.
+    /// Writes if the key has the modify index `cas`; 0 means that the key must not exist, `None` that
+    /// the write is unconditional.
     pub(super) fn put_cas(&self, key: &str, value: &[u8], cas: Option<u64>) -> bool {
         let mut rows = self.rows.lock();
         rows.expire_sessions();
--- a/standins/src/routed/gateway_fleet.rs
+++ b/standins/src/routed/gateway_fleet.rs
@@ -39,10 +39,10 @@
 }
 
 impl FleetInstance {
-    async fn spawn(settings: Settings, view: MemoryEventStore) -> Self {
+    async fn spawn(settings: Settings, store: MemoryEventStore) -> Self {
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build();
         let runtime = runtime.expect("a runtime");
-        let spawned = runtime.spawn(Gateway::spawn(settings, PlainDialect::default(), view)).await;
+        let spawned = runtime.spawn(Gateway::spawn(settings, PlainDialect::default(), store)).await;
         Self { gateway: spawned.expect("no panic").expect("the instance starts"), runtime }
     }
 
@@ -87,7 +87,7 @@
             "zones": zones,
         },
     });
-    parse_settings("bed", &text.to_string()).expect("the bed's settings are valid")
+    parse_settings("bed", &text.to_string()).expect("the settings are valid")
 }
 
 impl Drop for GatewayFleet {
@@ -105,11 +105,11 @@
     /// If an instance does not start.
     pub async fn start(zones: &[&str]) -> Self {
         let store = MemoryEventStore::default();
-        let mut bed = Self { store, store_clients: Vec::new(), instances: Vec::new() };
+        let mut fleet = Self { store, store_clients: Vec::new(), instances: Vec::new() };
         for (number, zone) in zones.iter().enumerate() {
-            bed.add(&format!("i{number}"), zone, zones).await;
+            fleet.add(&format!("i{number}"), zone, zones).await;
         }
-        bed
+        fleet
     }
 
     /// Starts another instance.
@@ -133,11 +133,11 @@
     ) {
         let peers = self.instances.iter().map(|host| host.gateway.board().settings.listen.peer);
         let seeds: Vec<SocketAddr> = peers.take(3).collect();
-        let view = self.store.new_client();
-        view.set_fault(fault);
+        let client = self.store.new_client();
+        client.set_fault(fault);
         let settings = fleet_settings(name, zone, zones, &seeds);
-        self.instances.push(FleetInstance::spawn(settings, view.clone()).await);
-        self.store_clients.push(view);
+        self.instances.push(FleetInstance::spawn(settings, client.clone()).await);
+        self.store_clients.push(client);
     }
 
     /// The blackboard of the instance at index `at`.
--- a/standins/src/trial/mod.rs
+++ b/standins/src/trial/mod.rs
@@ -1,5 +1,5 @@
-//! Seeded trials of the decisions: the daemon's own functions against modelled servers, in
-//! virtual time. No sockets, no threads: the same seed gives the same counts on every run.
+//! Discrete-event simulation of load-balancing policies: the daemon's decision functions against
+//! modelled servers, in virtual time, without sockets or threads. The same seed yields the same counts.
 
 mod model;
 mod outcome;
--- a/standins/src/trial/model.rs
+++ b/standins/src/trial/model.rs
@@ -1,4 +1,4 @@
-//! The event loop of a trial.
+//! Event loop of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -29,16 +29,17 @@
 use super::world::servers_of;
 
 const QUEUE_MAX: usize = 1_000;
+/// One-way latency within a zone.
 const SAME_ZONE_US: u64 = 100;
 const FAILURE_WORK_US: f64 = 100.0;
 const WARM_UP_US: u64 = 2_000_000;
-/// What a home told of its free slots is not used after this long.
+/// Reports of free slots older than this are ignored.
 const REPORT_MAX_AGE_US: u64 = 300_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    /// A request is at a home; `true` when another home passed it.
+    /// A request arrives at a home, from a caller or forwarded by another home.
     AtHome {
         home: usize,
         request: usize,
@@ -50,7 +51,7 @@
     Done {
         attempt: AttemptId,
     },
-    /// The answer is back at the home.
+    /// The response arrives at the home.
     Back {
         attempt: AttemptId,
     },
@@ -90,7 +91,7 @@
     outcome: TrialOutcome,
 }
 
-/// Runs one trial.
+/// Simulates a scene with one policy.
 #[must_use]
 pub fn run_trial(scene: &Scene, policy: Policy) -> TrialOutcome {
     let mut model = Model::new(scene, policy);
@@ -126,7 +127,7 @@
     }
 
     fn one_way_us(&self, from: usize, to: usize) -> u64 {
-        // The oracle decides at no cost of its own.
+        // The oracle policy has no network latency of its own.
         let free = self.policy == Policy::Oracle;
         if from == to || free { SAME_ZONE_US } else { self.cross_zone_us }
     }
@@ -230,7 +231,7 @@
         self.enqueue(home, request);
     }
 
-    /// The oracle looks at the servers themselves.
+    /// Takes a free slot, if there is one. The oracle policy reads the state of the servers directly.
     fn acquire_slot(&mut self, home: usize, avoid: &[usize]) -> Option<usize> {
         if self.policy != Policy::Oracle {
             return self.homes[home].pool.acquire_slot(ServerScope::Own, avoid, self.now_us);
@@ -495,7 +496,7 @@
         }
     }
 
-    /// Second attempts that wait for a slot.
+    /// Starts hedged attempts that wait for a slot.
     fn drain_overdue(&mut self, home: usize) {
         while let Some(request) = self.homes[home].overdue.front().copied() {
             let first = self.attempts[self.requests[request].attempts[0]];
--- a/standins/src/trial/outcome.rs
+++ b/standins/src/trial/outcome.rs
@@ -1,30 +1,29 @@
-//! What a trial came to.
+//! Results of a simulation.
 
 use hdrhistogram::Histogram;
 
-/// Counts and latencies of one trial.
+/// Counts and latencies of a simulation.
 #[derive(Clone, Debug)]
 pub struct TrialOutcome {
     pub latency_us: Histogram<u64>,
     pub requests: u64,
     pub answered: u64,
     pub refused: u64,
-    /// Failed answers that reached a caller.
+    /// Failed responses that reached a caller.
     pub failed: u64,
     pub attempts: u64,
     pub retries: u64,
     pub hedges: u64,
     pub forwarded: u64,
-    /// Attempts bound to a server whose slots were all taken, or that waited while another
-    /// server had one free.
+    /// Requests that had to wait, at a home or at a server, while another server had a free slot.
     pub misplaced: u64,
-    /// Seconds from the end of an overload until nobody waits any more.
+    /// Milliseconds from the end of an overload until all queues are empty.
     pub recovery_ms: u64,
 }
 
 impl Default for TrialOutcome {
     /// # Panics
-    /// Never: the bounds are valid.
+    /// Never: the histogram bounds are valid.
     fn default() -> Self {
         Self {
             latency_us: Histogram::new_with_max(60_000_000, 3).expect("valid bounds"),
@@ -43,7 +42,7 @@
 }
 
 impl TrialOutcome {
-    /// A latency quantile in milliseconds.
+    /// Latency quantile of answered requests, in milliseconds.
     #[must_use]
     pub fn latency_quantile_ms(&self, quantile: f64) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "microseconds to print")]
@@ -51,15 +50,15 @@
         us / 1000.0
     }
 
-    /// A count per thousand requests.
+    /// `count` per thousand requests.
     #[must_use]
     pub fn per_thousand(&self, count: u64) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "counts to print")]
-        let share = count as f64 / self.requests.max(1) as f64;
-        share * 1000.0
+        let ratio = count as f64 / self.requests.max(1) as f64;
+        ratio * 1000.0
     }
 
-    /// The heading above lines.
+    /// Formats the table header.
     #[must_use]
     pub fn table_header() -> String {
         format!(
@@ -77,7 +76,7 @@
         )
     }
 
-    /// One line of a table.
+    /// Formats a table row.
     #[must_use]
     pub fn table_row(&self, name: &str) -> String {
         format!(
--- a/standins/src/trial/policy.rs
+++ b/standins/src/trial/policy.rs
@@ -1,4 +1,4 @@
-//! The ways of deciding that a trial compares.
+//! The load-balancing policies that a simulation compares.
 
 use clap::ValueEnum;
 
--- a/standins/src/trial/scene.rs
+++ b/standins/src/trial/scene.rs
@@ -1,8 +1,8 @@
-//! What happens during a trial.
+//! Parameters of a simulation.
 
 use clap::ValueEnum;
 
-/// One of the associations' services, or one at the size to design for.
+/// Size of the simulated service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ServiceSize {
     /// 30 servers of 4 slots.
@@ -16,7 +16,7 @@
 }
 
 impl ServiceSize {
-    /// Servers, slots of each, and the one-way time between zones in microseconds.
+    /// Number of servers, slots per server, and one-way latency between zones in microseconds.
     #[must_use]
     pub const fn shape(self) -> (usize, u32, u64) {
         match self {
@@ -28,22 +28,22 @@
     }
 }
 
-/// One trial.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Scene {
     pub size: ServiceSize,
-    /// Arrivals as a share of what all slots can do.
+    /// Arrival rate as a fraction of the capacity of all slots.
     pub load: f64,
-    /// Share of the callers in each of three zones.
+    /// Fraction of the callers in each of the three zones.
     pub zones: [f64; 3],
     pub homes: usize,
-    /// A third of the servers, chosen anew each second, is ten times slower for 200 ms.
+    /// Each second, a random third of the servers is ten times slower for 200 ms.
     pub slow_third: bool,
-    /// The first server answers everything with an error at once.
+    /// The first server responds to each request with an error at once.
     pub failing_server: bool,
-    /// Servers from this second on that are cold or leave: none.
+    /// Overload: first second, end second, and the load in between; `None` for no overload.
     pub overload_s: Option<(u64, u64, f64)>,
-    /// How often homes tell each other of free slots.
+    /// Interval at which homes report their free slots to each other.
     pub report_interval_us: u64,
     pub mean_work_us: f64,
     pub seconds: u64,
--- a/standins/src/trial/server.rs
+++ b/standins/src/trial/server.rs
@@ -1,45 +1,45 @@
-//! A modelled backend server: slots, a queue, and times when it is slow.
+//! Model of a backend server: slots, a queue, and periods in which it is slow.
 
 use std::collections::VecDeque;
 
 const SLOW_FACTOR: f64 = 10.0;
 
-/// One attempt, by its number.
+/// Index of an attempt.
 pub type AttemptId = usize;
 
-/// Work that a slot does.
+/// An attempt that occupies a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningAttempt {
     pub attempt: AttemptId,
     pub ends_us: u64,
 }
 
-/// Slots and queue; time is given from outside.
+/// Model of a backend server; the time is passed in by the caller.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub zone: usize,
     pub slots: usize,
     pub fails: bool,
-    /// When it is slow: sorted, apart from each other.
+    /// Periods in which the server is slow: start and end, sorted and disjoint.
     pub slow_periods: Vec<(u64, u64)>,
     pub running: Vec<RunningAttempt>,
     pub queue: VecDeque<(AttemptId, f64)>,
 }
 
 impl Server {
-    /// Whether it is slow at that time.
+    /// Whether the server is slow at time `us`.
     #[must_use]
     pub fn is_slow_at(&self, us: u64) -> bool {
         self.slow_periods.iter().any(|(from, to)| (*from..*to).contains(&us))
     }
 
-    /// When work of `work_us` that begins now is done, slow times taken into account.
+    /// End time of an attempt with service time `work_us` that starts now, including slow periods.
     fn end_time_us(&self, now_us: u64, work_us: f64) -> u64 {
-        #[expect(clippy::cast_precision_loss, reason = "microseconds of a trial")]
+        #[expect(clippy::cast_precision_loss, reason = "microseconds of simulated time")]
         let mut at = now_us as f64;
         let mut left = work_us;
         for (from, to) in &self.slow_periods {
-            #[expect(clippy::cast_precision_loss, reason = "microseconds of a trial")]
+            #[expect(clippy::cast_precision_loss, reason = "microseconds of simulated time")]
             let (from, to) = (*from as f64, *to as f64);
             if to <= at {
                 continue;
@@ -62,13 +62,13 @@
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
-            reason = "microseconds of a trial"
+            reason = "microseconds of simulated time"
         )]
         let ends = (at + left) as u64;
         ends.max(now_us + 1)
     }
 
-    /// Takes an attempt in; tells when it ends if it begins at once.
+    /// Starts an attempt, or queues it if no slot is free. Returns it with its end time if started.
     pub fn start_or_queue(
         &mut self,
         attempt: AttemptId,
@@ -88,7 +88,7 @@
         working
     }
 
-    /// Takes an attempt out, done or cancelled; tells which one begins in its place.
+    /// Removes a completed or cancelled attempt. Returns the queued attempt that starts in its place.
     pub fn remove(&mut self, attempt: AttemptId, now_us: u64) -> Option<RunningAttempt> {
         self.queue.retain(|(queued, _)| *queued != attempt);
         let before = self.running.len();
--- a/standins/src/trial/world.rs
+++ b/standins/src/trial/world.rs
@@ -1,4 +1,4 @@
-//! What a trial begins with: servers with their slow times, and homes with their pools.
+//! Initial state of a simulation: servers with their slow periods, and homes with their slot pools.
 
 use std::collections::VecDeque;
 
@@ -19,10 +19,10 @@
 pub const SECOND_US: u64 = 1_000_000;
 const INSTANCES: usize = 19;
 const SLOW_US: u64 = 200_000;
-/// Into each second, so that the first is not cut.
+/// Offset of the slow period within each second, so that the first one is not cut off.
 const SLOW_FROM_US: u64 = 300_000;
 
-/// One request of a caller.
+/// A request of a caller.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub zone: usize,
@@ -33,7 +33,7 @@
     pub attempts: Vec<AttemptId>,
 }
 
-/// One try on one server.
+/// An attempt of a request on a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     pub request: usize,
@@ -44,20 +44,20 @@
     pub open: bool,
 }
 
-/// An instance that decides.
+/// An instance that dispatches requests to servers.
 #[derive(Clone, Debug)]
 pub struct Home {
     pub zone: usize,
     pub pool: SlotPool,
     pub in_flight: Vec<u32>,
     pub queue: VecDeque<usize>,
-    /// Requests whose first attempt takes too long; served before the queue.
+    /// Requests that wait for a slot for a hedged attempt; served before the queue.
     pub overdue: VecDeque<usize>,
     pub free_slot_reports: Vec<(u32, u64)>,
     pub round_robin_turn: u64,
 }
 
-/// The servers of a scene.
+/// Creates the servers of a scene.
 pub fn servers_of(scene: &Scene, rng: &mut Pcg64Mcg) -> Vec<Server> {
     let (count, slots, _) = scene.size.shape();
     let mut servers: Vec<Server> = (0..count)
@@ -86,7 +86,7 @@
     servers
 }
 
-/// The homes of a scene, or, where callers spray, all instances.
+/// Creates the homes of a scene; all instances if the policy sprays requests.
 pub fn homes_for(scene: &Scene, policy: Policy, servers: &[Server]) -> Vec<Home> {
     let count = match policy {
         _ if policy.sprays() => INSTANCES,
--- a/tools/protogen/src/main.rs
+++ b/tools/protogen/src/main.rs
@@ -1,4 +1,4 @@
-//! Writes `src/gen/` from `proto/`; run by hand when the schema changes: `cargo run` in this folder.
+//! Generates `src/gen/` from `proto/`. Run it with `cargo run` in this directory after a schema change.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../proto");
