--- a/src/gateway/forward_request.rs
+++ b/src/gateway/forward_request.rs
@@ -61,9 +61,9 @@
         self.deadline_us.saturating_sub(now_us()) / 1000
     }
 
-    /// Whether the caller can retry if this instance does not. Callers retry once, after a refusal
-    /// or if the request is idempotent; time spent on earlier attempts shows that this is that
-    /// retry.
+    /// Whether the caller can still retry if this instance does not. Callers retry once, after a
+    /// refusal or if the request is idempotent; time spent on earlier attempts shows that this is
+    /// that retry.
     #[must_use]
     pub const fn retry_need(&self) -> RetryNeed {
         if self.spent_before_us == 0 { RetryNeed::CallerCanRetry } else { RetryNeed::LastChance }
--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Sends health checks to the servers of the own zone while this instance is one of its homes.
+/// Sends health checks to this home's subset of the servers of its zone; none while this instance
+/// is not a home.
 #[derive(Clone, Debug)]
 pub struct Prober<D> {
     pub dialect: D,
--- a/src/measure/roster.rs
+++ b/src/measure/roster.rs
@@ -18,7 +18,9 @@
 use crate::route::CloseReason;
 use crate::store::Roster;
 
+/// Interval between two polls of the platform's list.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Timeout of sending the leaving servers to another instance.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 /// An unchanged list is sent again after this many polls, for the instances that missed it.
 const RESEND_POLLS: u32 = 5;
--- a/src/outcome/table.rs
+++ b/src/outcome/table.rs
@@ -314,8 +314,8 @@
         self.end(None);
     }
 
-    /// Waiting repeats get a result exactly if the request may have run; a channel that closes
-    /// without one means that it did not run.
+    /// Ends the run. Waiting repeats get a result exactly if the request may have run; a channel
+    /// that closes without one means that it did not run.
     fn end(&mut self, outcome: Option<RecordedOutcome>) {
         self.ended = true;
         let stored = self.table.finish(self.incarnation, &self.key, outcome.clone());
--- a/src/route/slot_queue_state.rs
+++ b/src/route/slot_queue_state.rs
@@ -20,7 +20,8 @@
 pub enum CloseReason {
     /// An operator drained it.
     Drained,
-    /// The server announced that it is leaving, to this instance or to a peer.
+    /// The server announced that it is leaving, or its health check reported a failure, to this
+    /// instance or to a peer.
     SelfReported,
     /// The platform lists it as leaving.
     PlatformReported,
--- a/src/route/upstream.rs
+++ b/src/route/upstream.rs
@@ -17,6 +17,7 @@
 
 use crate::clock::now_ms;
 
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Idle time after which a connection is not used for requests that are not idempotent: the idle
 /// timeout of the server may close it while the request is written, which leaves the outcome
