--- a/src/gateway/prober.rs
+++ b/src/gateway/prober.rs
@@ -162,8 +162,9 @@
     /// Sends one health check and records a missing answer.
     async fn probe(self, server: Arc<Server>) {
         let table = self.table.load_full();
-        let rule = table.as_ref().and_then(|table| table.services.get(&server.row.service));
-        let Some(path) = rule.map(|rule| rule.health_path.as_str()) else {
+        let service_config =
+            table.as_ref().and_then(|table| table.services.get(&server.row.service));
+        let Some(path) = service_config.map(|rule| rule.health_path.as_str()) else {
             return;
         };
         self.board.counters.add(Counter::Probes);
--- a/src/gateway/sinks.rs
+++ b/src/gateway/sinks.rs
@@ -98,7 +98,7 @@
     fn cold_policies(&self, table: &RouteTable) -> HashMap<Arc<str>, ColdPolicy> {
         let gateway = self.board.settings.gateway.as_ref();
         let (overage, slack) = gateway.map_or((1.0, 0.0), |one| (one.cold_overage, one.cold_slack));
-        let rule = |service: &ServiceConfig| ColdPolicy {
+        let policy = |service: &ServiceConfig| ColdPolicy {
             limit: service.cold_per_s.map(|per_s| ColdLimit {
                 per_s,
                 overage_factor: overage,
@@ -106,7 +106,7 @@
             }),
             warmup_us: u64::try_from(service.warmup().as_micros()).unwrap_or(0),
         };
-        table.services.iter().map(|(name, service)| (Arc::clone(name), rule(service))).collect()
+        table.services.iter().map(|(name, service)| (Arc::clone(name), policy(service))).collect()
     }
 
     /// Parses a version of the configuration and puts it into use if it is the newest.
--- a/tests/evacuation.rs
+++ b/tests/evacuation.rs
@@ -50,7 +50,7 @@
     }
 }
 
-fn ask() -> RequestSpec {
+fn request_spec() -> RequestSpec {
     let now_us = sorrelwick::clock::now_us();
     RequestSpec {
         route: "look".into(),
@@ -93,12 +93,14 @@
     let service = "parts".into();
     let mut grants = Vec::new();
     for _ in 0..4 {
-        grants.push(dispatcher.acquire(&service, ask()).await.expect("a slot in another zone"));
-        grants.extend(dispatcher.try_acquire_spare("parts", &ask()));
+        grants.push(
+            dispatcher.acquire(&service, request_spec()).await.expect("a slot in another zone"),
+        );
+        grants.extend(dispatcher.try_acquire_spare("parts", &request_spec()));
     }
     assert!(grants.iter().all(|grant| *grant.server.row.zone != *"a"));
     assert!(dispatcher.readmit("a").is_some_and(|change| change.servers == 3));
-    let back = dispatcher.acquire(&service, ask()).await.expect("a slot is free");
+    let back = dispatcher.acquire(&service, request_spec()).await.expect("a slot is free");
     assert_eq!(&*back.server.row.zone, "a");
 }
 
@@ -109,13 +111,14 @@
     let running = tokio::spawn(dispatcher.clone().run());
     let service: Arc<str> = "parts".into();
     let mut grants = Vec::new();
-    while let Some(grant) = dispatcher.try_acquire_spare("parts", &ask()) {
+    while let Some(grant) = dispatcher.try_acquire_spare("parts", &request_spec()) {
         grants.push(grant);
     }
     // A server may briefly offer its last slot, so that the request is granted and not queued.
     let waits = loop {
         let waiter = dispatcher.clone();
-        let waits = tokio::spawn(async move { waiter.acquire(&"parts".into(), ask()).await });
+        let waits =
+            tokio::spawn(async move { waiter.acquire(&"parts".into(), request_spec()).await });
         while !dispatcher.has_queue() && !waits.is_finished() {
             tokio::task::yield_now().await;
         }
@@ -131,7 +134,8 @@
     let waited =
         waits.await.expect("the task does not panic").expect_err("all zones are evacuated");
     assert!(waited.no_server && waited.retry_after_ms > 0, "{waited:?}");
-    let came = dispatcher.acquire(&service, ask()).await.expect_err("all zones are evacuated");
+    let came =
+        dispatcher.acquire(&service, request_spec()).await.expect_err("all zones are evacuated");
     assert!(came.no_server && came.retry_after_ms > 0, "{came:?}");
     assert!(began.elapsed() < Duration::from_millis(100), "{:?}", began.elapsed());
     running.abort();
@@ -201,7 +205,7 @@
         for dispatcher in [&first, &second] {
             let in_force = dispatcher.evacuated_zones();
             assert!(in_force.iter().map(|zone| &**zone).eq(written.iter().copied()));
-            while let Some(grant) = dispatcher.try_acquire_spare("parts", &ask()) {
+            while let Some(grant) = dispatcher.try_acquire_spare("parts", &request_spec()) {
                 assert!(!written.contains(&*grant.server.row.zone));
                 std::mem::forget(grant);
             }
