--- a/src/app/daemon_peer_service.rs
+++ b/src/app/daemon_peer_service.rs
@@ -117,8 +117,8 @@
             PeerRequest::Grant(request) => {
                 PeerReply::Granted(grant_tokens(board, &self.shard, &self.buckets, &request))
             }
-            PeerRequest::Suspects { records: rows, complete: all } => {
-                PeerReply::Suspects(board.quarantine.merge_and_diff(&rows, all))
+            PeerRequest::Suspects { records, complete } => {
+                PeerReply::Suspects(board.quarantine.merge_and_diff(&records, complete))
             }
             PeerRequest::HandOver { part, last } => self.adopt(part, last),
             // Only gateways exchange these.
--- a/src/app/gateway_peer_service.rs
+++ b/src/app/gateway_peer_service.rs
@@ -67,8 +67,8 @@
                 self.dispatcher.record_peer_loads(&loads);
                 PeerReply::Done
             }
-            PeerRequest::Suspects { records: rows, complete: all } => {
-                PeerReply::Suspects(self.board.quarantine.merge_and_diff(&rows, all))
+            PeerRequest::Suspects { records, complete } => {
+                PeerReply::Suspects(self.board.quarantine.merge_and_diff(&records, complete))
             }
             PeerRequest::Feed { feed, after, hold_ms } => {
                 let hold = Duration::from_millis(hold_ms).min(LONG_POLL_MAX);
@@ -82,8 +82,8 @@
                 let zone_demand_per_s = self.board.zone_demand_per_s();
                 PeerReply::Feed(FeedResponse { zone_demand_per_s, ..reply })
             }
-            PeerRequest::QuotaTokens { workspace, wanted_millitokens: wanted_milli } => {
-                PeerReply::QuotaTokens(self.quota_limiter.lend(&workspace, wanted_milli))
+            PeerRequest::QuotaTokens { workspace, wanted_millitokens } => {
+                PeerReply::QuotaTokens(self.quota_limiter.lend(&workspace, wanted_millitokens))
             }
             _ => PeerReply::Failed(Code::PeerFrame.number()),
         }
--- a/src/conf/settings.rs
+++ b/src/conf/settings.rs
@@ -80,7 +80,7 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "validated settings; a float out of range saturates"
+        reason = "validated settings, some thousand requests per second"
     )]
     pub fn capacity_per_s(&self) -> u32 {
         let by_processor = self.cpu_share * self.cores * REQUESTS_PER_CORE;
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -175,5 +175,5 @@
         .max()
         .unwrap_or(0);
     println!("budget {BUDGET}, most in a second {most}, in all {}", at.len());
-    assert!(most <= BUDGET as usize, "{most} measuring calls in a second");
+    assert!(most <= BUDGET as usize, "{most} probes in a second");
 }
