--- a/standins/src/bin/standin-backend.rs
+++ b/standins/src/bin/standin-backend.rs
@@ -6,7 +6,7 @@
 use standins::backend::Backend;
 use standins::backend::BackendSettings;
 
-/// Serves one or more backend servers, each by its entry in the settings file.
+/// Runs one backend server per entry of the settings file.
 #[derive(Debug, Parser)]
 struct Args {
     /// JSON with comments: a list of settings, one per backend server.
--- a/standins/src/bin/standin-load.rs
+++ b/standins/src/bin/standin-load.rs
@@ -13,7 +13,7 @@
 /// Sends open-loop load through sorrelwick and prints a table.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Caller addresses of instances, to ask which to use.
+    /// Caller addresses of instances, for address queries.
     #[arg(long, required = true, value_delimiter = ',')]
     instances: Vec<SocketAddr>,
     #[arg(long)]
--- a/standins/src/bin/standin-trial.rs
+++ b/standins/src/bin/standin-trial.rs
@@ -8,17 +8,17 @@
 use standins::trial::TrialOutcome;
 use standins::trial::run_trial;
 
-/// Compares ways of deciding on one scene, in virtual time.
+/// Compares load-balancing policies on one scene, in virtual time.
 #[derive(Debug, Parser)]
 struct Args {
     #[arg(long, value_enum, default_value = "catalogue")]
     service: ServiceSize,
-    /// Arrivals as a share of what all slots can do.
+    /// Arrival rate as a fraction of the capacity of all slots.
     #[arg(long, default_value_t = 0.8)]
     load: f64,
     #[arg(long, default_value_t = 3)]
     homes: usize,
-    /// Shares of the callers in the three zones.
+    /// Relative numbers of callers in the three zones.
     #[arg(long, value_delimiter = ',', default_value = "1,1,1")]
     zones: Vec<f64>,
     #[arg(long)]
--- a/standins/src/routed/raw_server.rs
+++ b/standins/src/routed/raw_server.rs
@@ -1,4 +1,4 @@
-//! A stand-in backend server that writes raw HTTP/1.1 and can be told to misbehave.
+//! A stand-in backend server that speaks raw HTTP/1.1, with configurable faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/standins/src/trial/policy.rs
+++ b/standins/src/trial/policy.rs
@@ -2,65 +2,65 @@
 
 use clap::ValueEnum;
 
-/// Who sees which server, and how requests are bound.
+/// Which instances use which servers, and where requests queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Policy {
-    /// Callers spray over all instances; each goes round the servers. The naive version.
+    /// Callers use any instance of their zone; each instance uses all servers round-robin. The baseline.
     SprayRoundRobin,
-    /// As above; the better of two random servers by own requests in flight.
+    /// As above, but the better of two random servers by the instance's own requests in flight.
     SprayTwoChoices,
-    /// As above; the server with the fewest own requests in flight.
+    /// As above, but the server with the fewest own requests in flight.
     SprayLeast,
-    /// Homes that each use all servers, the least loaded by own requests, no waiting here.
+    /// Callers use homes; each home uses all servers, by fewest own requests in flight, without a queue.
     HomesLeast,
-    /// Homes with keepers, late binding, nothing passed between homes.
+    /// Each server has one home, its keeper; requests queue at the home and are not forwarded.
     Keepers,
-    /// Keepers, and a home without a free slot passes on to one that told of free slots.
+    /// As `Keepers`; a home without a free slot forwards to one that reported free slots.
     KeepersSpill,
-    /// As above, and a queued request moves on when another home tells of free slots.
+    /// As above; a queued request is also forwarded when another home reports free slots.
     KeepersPull,
-    /// One home keeps all servers.
+    /// One home is the keeper of all servers.
     OneHome,
     /// As `KeepersPull`, with hedges.
     KeepersPullHedge,
     /// As `OneHome`, with hedges.
     OneHomeHedge,
-    /// Knows every slot and every slow server at no delay; no hedges.
+    /// Knows the state of each server without delay; no hedges.
     Oracle,
 }
 
 impl Policy {
-    /// Whether callers go to any instance rather than to homes.
+    /// Whether callers use any instance instead of homes.
     #[must_use]
     pub const fn sprays(self) -> bool {
         matches!(self, Self::SprayRoundRobin | Self::SprayTwoChoices | Self::SprayLeast)
     }
 
-    /// Whether requests wait at the home for a slot.
+    /// Whether requests queue at the home until a slot is free.
     #[must_use]
     pub const fn queues_at_home(self) -> bool {
         !self.sprays() && !matches!(self, Self::HomesLeast)
     }
 
-    /// Whether one place decides for all servers.
+    /// Whether a single home dispatches to all servers.
     #[must_use]
     pub const fn has_single_home(self) -> bool {
         matches!(self, Self::OneHome | Self::OneHomeHedge | Self::Oracle)
     }
 
-    /// Whether homes pass requests on when they arrive.
+    /// Whether homes forward requests on arrival.
     #[must_use]
     pub const fn forwards_new_requests(self) -> bool {
         matches!(self, Self::KeepersSpill | Self::KeepersPull | Self::KeepersPullHedge)
     }
 
-    /// Whether homes pass requests on that wait already.
+    /// Whether homes forward queued requests.
     #[must_use]
     pub const fn forwards_queued_requests(self) -> bool {
         matches!(self, Self::KeepersPull | Self::KeepersPullHedge)
     }
 
-    /// Whether slow attempts are joined by a second.
+    /// Whether slow attempts are hedged.
     #[must_use]
     pub const fn hedges(self) -> bool {
         matches!(self, Self::KeepersPullHedge | Self::OneHomeHedge)
