--- a/standins/src/load/load_summary.rs
+++ b/standins/src/load/load_summary.rs
@@ -45,8 +45,8 @@
 
 impl LoadSummary {
     /// Records the result of a call that completed `us` microseconds after its scheduled time.
-    pub fn record(&mut self, told: &CallResult, expected: &[u8], us: u64) {
-        match told {
+    pub fn record(&mut self, result: &CallResult, expected: &[u8], us: u64) {
+        match result {
             CallResult::NotSent => self.not_sent += 1,
             CallResult::Broken => self.broken += 1,
             CallResult::Answered { status, outcome, body, .. } => match (outcome.as_str(), *status)
--- a/standins/src/load/runner.rs
+++ b/standins/src/load/runner.rs
@@ -71,10 +71,10 @@
         let caller = callers[at].clone();
         tokio::time::sleep_until(due).await;
         work.spawn(async move {
-            let told = caller.call(&call).await;
+            let result = caller.call(&call).await;
             let us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
             let mut one = LoadSummary::default();
-            one.record(&told, &body_for(&call.id, len), us);
+            one.record(&result, &body_for(&call.id, len), us);
             one
         });
         while let Some(Ok(one)) = work.try_join_next() {
--- a/standins/src/platform/server.rs
+++ b/standins/src/platform/server.rs
@@ -174,7 +174,7 @@
     let answer = match path.strip_prefix("/v1/kv/") {
         Some(key) if is_write => handle_write(shared, key, request).await,
         Some(key) => handle_read(shared, key, &request).await,
-        None if path.starts_with("/v1/session/") => session(shared, &path, request).await,
+        None if path.starts_with("/v1/session/") => handle_session(shared, &path, request).await,
         None => handle_list(shared, &path),
     };
     if is_write && switches.try_drop_response() {
@@ -226,19 +226,23 @@
 ) -> Response<Full<Bytes>> {
     shared.switches.writes.fetch_add(1, Ordering::Relaxed);
     let cas = query_param(&request, "cas").and_then(|text| text.parse().ok());
-    let handle_session = query_param(&request, "acquire");
+    let session = query_param(&request, "acquire");
     let Ok(body) = request.into_body().collect().await else {
         return reply(400, 0, "body".into());
     };
     let body = body.to_bytes();
-    let written = match handle_session {
+    let written = match session {
         Some(session) => shared.state.acquire(key, &body, &session),
         None => shared.state.put_cas(key, &body, cas),
     };
     reply(200, 0, written.to_string())
 }
 
-async fn session(shared: &Shared, path: &str, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle_session(
+    shared: &Shared,
+    path: &str,
+    request: Request<Incoming>,
+) -> Response<Full<Bytes>> {
     shared.switches.writes.fetch_add(1, Ordering::Relaxed);
     if let Some(id) = path.strip_prefix("/v1/session/renew/") {
         let status = if shared.state.renew(id) { 200 } else { 404 };
--- a/standins/src/routed/memory_event_store.rs
+++ b/standins/src/routed/memory_event_store.rs
@@ -187,8 +187,8 @@
         let mut remaining =
             matching.filter(|item| after.is_none_or(|after| item.key.as_str() > after));
         let items: Vec<Item> = remaining.by_ref().take(PAGE_ITEMS).cloned().collect();
-        let more = remaining.next().is_some();
-        Ok(Page { items, has_more: more, revision: state.revision })
+        let has_more = remaining.next().is_some();
+        Ok(Page { items, has_more, revision: state.revision })
     }
 
     async fn events(
--- a/standins/src/routed/memory_links.rs
+++ b/standins/src/routed/memory_links.rs
@@ -124,7 +124,7 @@
         self.net.bytes.load(Ordering::Relaxed)
     }
 
-    fn reached(&self, address: SocketAddr) -> Option<Arc<Endpoint<K>>> {
+    fn endpoint(&self, address: SocketAddr) -> Option<Arc<Endpoint<K>>> {
         self.net.endpoints.lock().get(&address).cloned().flatten()
     }
 
@@ -136,7 +136,7 @@
     async fn send(&self, from: SocketAddr, bytes: usize) {
         self.net.messages.fetch_add(1, Ordering::Relaxed);
         self.net.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
-        match self.reached(from) {
+        match self.endpoint(from) {
             Some(end) => end.transmit(bytes).await,
             None => std::future::pending().await,
         }
@@ -176,7 +176,7 @@
 
     async fn exchange(&self, address: SocketAddr, request: PeerRequest) -> PeerReply {
         self.send(self.own, encode(&request).len()).await;
-        let Some(to) = self.reached(address) else {
+        let Some(to) = self.endpoint(address) else {
             return std::future::pending().await;
         };
         let reply = self.answer(&to, request).await;
--- a/standins/src/routed/raw_server.rs
+++ b/standins/src/routed/raw_server.rs
@@ -120,12 +120,12 @@
     ///
     /// # Panics
     /// If no port is free.
-    pub async fn spawn_with_headers(id: &str, names: HeaderNames) -> Self {
+    pub async fn spawn_with_headers(id: &str, header_names: HeaderNames) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let shared = Arc::new(Shared {
             id: id.into(),
-            header_names: names,
+            header_names,
             behaviour: Mutex::new(Behaviour::Answer),
             crash_rule: Mutex::default(),
             crash: Notify::new(),
--- a/standins/src/routed/relay_fleet.rs
+++ b/standins/src/routed/relay_fleet.rs
@@ -214,10 +214,10 @@
     /// Starts instances that follow the store with the production [`Follower`].
     #[must_use]
     pub fn start(store: &MemoryEventStore, size: FleetSize) -> Self {
-        Self::start_with(store, size, Self::follow)
+        Self::start_with(store, size, Self::start_follower)
     }
 
-    /// Starts instances with a custom follower; `follow` starts it for one index.
+    /// Starts instances with a custom follower; `start_follower` starts it for one index.
     pub fn start_with(
         store: &MemoryEventStore,
         size: FleetSize,
@@ -225,12 +225,12 @@
     ) -> Self {
         let sinks: Vec<LastWrite> = (0..size.instances).map(|_| LastWrite::default()).collect();
         let mirrors = sinks.iter().map(|sink| Arc::new(Mirror::new(sink.clone()))).collect();
-        let losses = Mutex::new(vec![InstanceFault::None; size.instances]);
-        let net = Arc::new(RelayNet { mirrors, faults: losses });
-        let views: Vec<MemoryEventStore> =
+        let faults = Mutex::new(vec![InstanceFault::None; size.instances]);
+        let net = Arc::new(RelayNet { mirrors, faults });
+        let store_clients: Vec<MemoryEventStore> =
             (0..size.instances).map(|_| store.new_client()).collect();
         let (boards, tasks) = (Vec::new(), JoinSet::new());
-        let mut fleet = Self { size, sinks, net, store_clients: views, boards, tasks };
+        let mut fleet = Self { size, sinks, net, store_clients, boards, tasks };
         for at in 0..size.instances {
             start_follower(&mut fleet, at);
         }
@@ -248,7 +248,7 @@
         self.tasks.spawn(task);
     }
 
-    fn follow(&mut self, at: usize) {
+    fn start_follower(&mut self, at: usize) {
         let board = new_board(self.size, at);
         self.boards.push(Arc::clone(&board));
         let (view, peers) = (self.store_clients[at].clone(), self.peers(at));
--- a/standins/src/trial/model.rs
+++ b/standins/src/trial/model.rs
@@ -143,8 +143,8 @@
             self.now_us = us;
             match event {
                 Event::Arrive => self.arrive(),
-                Event::AtHome { home, request, forwarded: passed } => {
-                    self.at_home(home, request, passed);
+                Event::AtHome { home, request, forwarded } => {
+                    self.at_home(home, request, forwarded);
                 }
                 Event::AtServer { attempt } => self.at_server(attempt),
                 Event::Done { attempt } => self.done(attempt),
@@ -153,7 +153,7 @@
                 Event::Hedge { request } => self.hedge(request),
                 Event::GiveUp { request, home } => self.give_up(request, home),
                 Event::SendReport { home } => self.send_reports(home),
-                Event::ReceiveReport { to, from, free } => self.told(to, from, free),
+                Event::ReceiveReport { to, from, free } => self.receive_report(to, from, free),
             }
         }
     }
@@ -211,8 +211,8 @@
         in_zone[self.rng.random_range(0..in_zone.len())]
     }
 
-    fn at_home(&mut self, home: usize, request: usize, passed: bool) {
-        if !passed {
+    fn at_home(&mut self, home: usize, request: usize, forwarded: bool) {
+        if !forwarded {
             self.homes[home].pool.hedge_budget.record_request();
             self.homes[home].pool.retry_budget.record_request();
         }
@@ -225,7 +225,7 @@
         {
             return self.start_attempt(home, request, server);
         }
-        if self.policy.forwards_new_requests() && !passed && self.forward(home, request) {
+        if self.policy.forwards_new_requests() && !forwarded && self.forward(home, request) {
             return;
         }
         self.enqueue(home, request);
@@ -266,16 +266,14 @@
 
     fn forward(&mut self, home: usize, request: usize) -> bool {
         let now = self.now_us;
-        let receive_report = &mut self.homes[home].free_slot_reports;
-        let fresh = (0..receive_report.len()).find(|at| {
-            *at != home
-                && receive_report[*at].0 > 0
-                && now - receive_report[*at].1 < REPORT_MAX_AGE_US
+        let reports = &mut self.homes[home].free_slot_reports;
+        let fresh = (0..reports.len()).find(|at| {
+            *at != home && reports[*at].0 > 0 && now - reports[*at].1 < REPORT_MAX_AGE_US
         });
         let Some(to) = fresh else {
             return false;
         };
-        receive_report[to].0 -= 1;
+        reports[to].0 -= 1;
         self.outcome.forwarded += 1;
         let way = self.one_way_us(self.homes[home].zone, self.homes[to].zone);
         self.schedule(now + way, Event::AtHome { home: to, request, forwarded: true });
@@ -526,7 +524,7 @@
         self.schedule(self.now_us + self.scene.report_interval_us, Event::SendReport { home });
     }
 
-    fn told(&mut self, to: usize, from: usize, free: u32) {
+    fn receive_report(&mut self, to: usize, from: usize, free: u32) {
         self.homes[to].free_slot_reports[from] = (free, self.now_us);
         if !self.policy.forwards_queued_requests() {
             return;
